--- a/crates/recovery/src/announcements.rs
+++ b/crates/recovery/src/announcements.rs
@@ -1,4 +1,4 @@
-//! The announcing side: which starts may be ordered.
+//! Tracks which announced starts may be ordered.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,40 +6,40 @@
 
 use crate::Life;
 
-/// How long one recorded as uninformed must have confirmed everything before it is relied on again.
+/// How long an uninformed controller must have confirmed everything before starts wait for it again.
 const STEADY: Micros = Micros::from_secs(2);
 
 #[derive(Debug, Default)]
 struct Peer {
     confirmed: u64,
-    /// Since when it owes a confirmation.
+    /// Since when an announcement is unconfirmed.
     owes: Option<Micros>,
-    /// Since when it owes none.
+    /// Since when every announcement is confirmed.
     even: Micros,
 }
 
-/// Announced starts, and who has confirmed them.
+/// Announced starts, and the controllers that have confirmed them.
 ///
-/// Announcements are numbered by the messages that carry them. The caller keeps the *record* of
-/// uninformed controllers in the state service: it is changed before anything relies on the change.
+/// An announcement is numbered by the message that carries it. The caller keeps the *record* of uninformed controllers
+/// in the state service. The record is changed before starts rely on the change.
 #[derive(Debug, Default)]
 pub struct Announcements {
     peers: BTreeMap<Life, Peer>,
-    /// Recorded as uninformed, and since when the record has been in force: not waited for.
+    /// Controllers recorded as uninformed, and since when the record has been in force: starts do not wait for them.
     excused: BTreeMap<Life, Micros>,
     last: u64,
-    /// The revision of the view that was last taken on, and the last announcement before it.
+    /// Revision of the view that was applied last, and the number of the last announcement before it.
     entered: (u64, u64),
 }
 
 impl Announcements {
-    /// Nothing has been announced, and nobody is excused.
+    /// Creates a state without announcements and without uninformed controllers.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The controllers that may take jobs over, without this one. A new one owes confirmation of all
-    /// that it has not confirmed yet. `revision`: of the view that names them.
+    /// Sets the other controllers that may take over jobs. One that is new has all announcements still to confirm.
+    /// `revision`: of the view that names them.
     pub fn members(&mut self, now: Micros, revision: u64, members: impl IntoIterator<Item = Life>) {
         self.entered = (revision, self.last);
         let members: BTreeSet<Life> = members.into_iter().collect();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A message with this number announces starts.
+    /// Notes that the message with this number announces starts.
     pub fn announced(&mut self, now: Micros, number: u64) {
         self.last = self.last.max(number);
         for peer in self.peers.values_mut() {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A controller has taken in all messages up to this number.
+    /// Notes that a controller has processed all messages up to this number.
     pub fn confirmed(&mut self, now: Micros, by: &Life, number: u64) {
         if let Some(peer) = self.peers.get_mut(by) {
             peer.confirmed = peer.confirmed.max(number);
@@ -72,16 +72,17 @@
         }
     }
 
-    /// Starts announced by messages up to this number may be ordered.
+    /// The message number up to which announced starts may be ordered.
     pub fn settled(&self) -> u64 {
         let relied_on = self.peers.iter().filter(|(life, _)| !self.excused.contains_key(*life));
         relied_on.map(|(_, peer)| peer.confirmed).min().unwrap_or(u64::MAX)
     }
 
-    /// The view before which nothing was announced that is not confirmed; 0 while something may be.
+    /// The revision of the present view if every announcement before it is confirmed, else 0.
     ///
-    /// Whoever is told this may rely on what any other controller knows. So one that is not waited for must know that it is
-    /// not: `term` after the record has been in force it has read so, or acts no more.
+    /// A controller that receives this revision relies on what any other controller knows. So a controller for which
+    /// starts do not wait must know that it is uninformed: once the record has been in force for `term`, it has either
+    /// read the record or may not act any more.
     pub fn cleared(&self, now: Micros, term: Micros) -> u64 {
         let (view, last) = self.entered;
         let knows_it = |life: &Life| self.excused.get(life).is_some_and(|since| now.since(*since) >= term);
@@ -89,18 +90,18 @@
         if accounted { view } else { 0 }
     }
 
-    /// Somebody who is waited for has not confirmed everything.
+    /// Whether a controller for which starts wait has not confirmed everything.
     pub fn owed(&self) -> bool {
         self.peers.iter().any(|(life, peer)| peer.owes.is_some() && !self.excused.contains_key(life))
     }
 
-    /// Those not waited for.
+    /// The controllers recorded as uninformed.
     pub fn excused(&self) -> BTreeSet<Life> {
         self.excused.keys().cloned().collect()
     }
 
-    /// The record that is wanted: those already excused that are not to be relied on again, and those
-    /// that have owed a confirmation for longer than `patience`. None if the record is as wanted.
+    /// The controllers that the record should name: those already uninformed that are not to be waited for again yet,
+    /// and those with an announcement unconfirmed for longer than `patience`. None if the record is as it should be.
     pub fn wanted_record(&self, now: Micros, patience: Micros) -> Option<BTreeSet<Life>> {
         let late = |peer: &Peer| peer.owes.is_some_and(|since| now.since(since) > patience);
         let steady = |peer: &Peer| peer.owes.is_none() && now.since(peer.even) > STEADY;
@@ -110,18 +111,18 @@
             .filter(|(life, peer)| if self.excused.contains_key(*life) { !steady(peer) } else { late(peer) })
             .map(|(life, _)| life.clone())
             .collect();
-        // One that is no longer a member need not be struck off for its own sake.
+        // A controller that is no longer a member does not call for a change of the record.
         let stands = self.excused.keys().filter(|life| self.peers.contains_key(*life));
         (!stands.eq(wanted.iter())).then_some(wanted)
     }
 
-    /// A record is about to be written. Whoever it leaves out is relied on from now on, for it may be
-    /// in force at any moment.
+    /// Notes that a record is about to be written. From now on starts wait for the controllers that it leaves out,
+    /// since it may be in force at any moment.
     pub fn record_sent(&mut self, record: &BTreeSet<Life>) {
         self.excused.retain(|life, _| record.contains(life));
     }
 
-    /// The record is in force: those it names need not confirm.
+    /// Notes that the record is in force: starts do not wait for the controllers that it names.
     pub fn record_holds(&mut self, now: Micros, record: &BTreeSet<Life>) {
         self.record_sent(record);
         for life in record {
@@ -134,7 +135,7 @@
 mod tests {
     use super::*;
 
-    /// How long a controller may act without having read what has changed.
+    /// How long a controller may act without having read the changes.
     const TERM: Micros = Micros::from_secs(15);
 
     fn life(name: &str) -> Life {
@@ -147,8 +148,8 @@
         a
     }
 
-    /// Guards the order that everything rests on: nothing is ordered that a controller which may take
-    /// over does not know of.
+    /// Guards the rule on which takeovers rely: no start is ordered before every controller that may take over knows
+    /// it.
     #[test]
     fn a_start_is_ordered_when_all_have_confirmed_it() {
         let mut a = two();
@@ -170,8 +171,8 @@
         assert_eq!(a.settled(), u64::MAX, "nobody is left to know");
     }
 
-    /// Guards against starts that stand still because one controller does, and against relying on the
-    /// record before it holds, or not relying on a controller after the record has let it go.
+    /// Guards against starts that are blocked by one controller, against relying on the record before it is in force,
+    /// and against not waiting for a controller that the record no longer names.
     #[test]
     fn one_that_does_not_confirm_is_recorded_before_it_is_left_out() {
         let (mut a, second) = (two(), Micros::from_secs(1));
@@ -196,7 +197,8 @@
         assert_eq!(a.settled(), 1, "the record may be gone already");
     }
 
-    /// Guards a newcomer against a witness that does not know that something was ordered without it.
+    /// Guards a controller that has just joined against a witness that does not know that starts were ordered without
+    /// it.
     #[test]
     fn what_one_was_not_told_is_cleared_only_when_it_must_have_read_so() {
         let (mut a, at) = (two(), Micros::from_secs(2));
--- a/crates/recovery/src/inquiry.rs
+++ b/crates/recovery/src/inquiry.rs
@@ -1,35 +1,35 @@
-//! The asking side: what a controller that has just joined is told of machines before it goes on.
+//! The queries of a controller that takes over jobs: what may be on machines that are not fully known.
 
 use std::collections::BTreeSet;
 
 use marblewalk_units::Micros;
 
-/// How long after a question that leaves machines open the next is put.
+/// Time after a query before the next one is sent, if machines are still unresolved.
 const ASK_AGAIN: Micros = Micros::from_secs(1);
 
-/// Questions about open machines during one takeover, and the machines that witnesses have covered.
+/// Queries about unresolved machines during one takeover, and the machines on which witnesses have reported.
 ///
-/// A *witness* is any other controller that knows all that may be on a machine, whether it holds it or
-/// not. What it answers counts only if it was asked after every other controller had said that all it
-/// announced before it took on the present view is confirmed: an earlier answer may lack a start that
-/// the witness has confirmed since.
+/// A *witness* is any other controller that knows every task that may be on a machine, whether or not it holds the
+/// machine. Its answer counts only if the query was sent after every other controller had reported that all it
+/// announced before it applied the present view is confirmed: an earlier answer may lack a start that the witness
+/// has confirmed since.
 #[derive(Debug, Default)]
 pub struct Inquiry {
     asked: u64,
-    /// The first question of the present takeover: answers to earlier ones prove nothing.
+    /// The first query of the present takeover: answers to earlier ones prove nothing.
     first: Option<u64>,
     at: Micros,
     covered: BTreeSet<String>,
 }
 
 impl Inquiry {
-    /// Jobs are taken over with a new view: nothing has been told yet.
+    /// Starts a takeover under a new view: no witness has reported yet.
     pub fn begin(&mut self) {
         self.first = None;
         self.covered.clear();
     }
 
-    /// Whether to ask now. `first`: nobody has been asked yet, so one witness is enough to try.
+    /// The target of a query if one is due now. The first query goes to a single witness.
     pub fn due(&self, now: Micros) -> Option<Question> {
         match self.first {
             None => Some(Question::OfOne),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A question is put; its number.
+    /// Notes that a query is sent, and returns its number.
     pub fn ask(&mut self, now: Micros) -> u64 {
         self.asked += 1;
         self.at = now;
@@ -46,12 +46,12 @@
         self.asked
     }
 
-    /// Whether an answer to this question counts for the present takeover.
+    /// Whether an answer to this query counts for the present takeover.
     pub fn counts(&self, question: u64) -> bool {
         self.first.is_some_and(|first| question >= first)
     }
 
-    /// A witness has told all that may be on a machine.
+    /// Notes that a witness has reported every task that may be on a machine.
     pub fn cover(&mut self, machine: &str) {
         self.covered.insert(machine.to_owned());
     }
@@ -61,12 +61,12 @@
     }
 }
 
-/// Whom a question goes to.
+/// The receivers of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Question {
-    /// One that has been there for long, if any has.
+    /// One controller, if possible one that was a member before this view.
     OfOne,
-    /// Everyone: who knows one machine need not know another.
+    /// Every other controller: one that knows one machine need not know another.
     OfAll,
 }
 
@@ -74,7 +74,7 @@
 mod tests {
     use super::*;
 
-    /// Guards against taking for complete what was said before everybody's debts were paid.
+    /// Guards against taking an answer for complete that was given before all announcements were confirmed.
     #[test]
     fn answers_to_questions_of_an_earlier_view_count_for_nothing() {
         let mut inquiry = Inquiry::default();
--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The listening side: what may be concluded from what others have announced.
+//! Tracks, from the announcements of other controllers, on which machines every possible task is known.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,85 +6,86 @@
 
 use crate::{Life, Position};
 
-/// What a numbered message is to its receiver.
+/// Result of checking a message's number against those received before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hearing {
-    /// Nothing was missed: it may be confirmed.
+    /// No message is missing: the message may be confirmed.
     Complete,
-    /// Something was missed: the sender is to tell everything again.
+    /// A message is missing: the sender must send its full state again.
     Broken,
 }
 
-/// What has been heard from one life of another controller.
+/// State of the messages received from one incarnation of another controller.
 #[derive(Debug, Default)]
 struct Chain {
-    /// The newest message that came from it.
+    /// Position of the newest message received.
     newest: Position,
     number: u64,
     unbroken: bool,
-    /// Up to which revision it had followed the records when it last spoke.
+    /// Revision of the state service up to which the sender had followed the records, by its last message.
     applied: u64,
-    /// It has recorded that it does not wait for this controller's confirmation.
+    /// Its record lists this controller as uninformed: it does not wait for this controller's confirmation.
     uninformed: bool,
-    /// It is registered no more. Nothing that it says is confirmed any longer, so that it orders nothing
-    /// that this controller has not heard of, unless it counted without it.
+    /// Its registration has ended. No further message of it is confirmed, so it can't order a start that this
+    /// controller does not know of, unless it has recorded this controller as uninformed.
     over: bool,
 }
 
 /// What is known of one machine.
 #[derive(Debug, Default)]
 struct Standing {
-    /// Everything that was on it, when it was last known in full, is known.
+    /// At some point everything on the machine was known; the other fields track what may be unknown since.
     known: bool,
-    /// Revision of the record by which this controller has learnt of it, if somebody held it by then: who held it
-    /// before is not known.
+    /// Revision of the record from which this controller learned of the machine, if the machine had a holder by then.
+    /// The holders before that revision are unknown.
     first_read: u64,
-    /// Who has held it since, the present holder last.
+    /// Incarnations that have held the machine since, the present holder last.
     holders: Vec<Life>,
-    /// Holders of whose announcements something may have been missed since they last spoke of it, and
-    /// whether it may have been ordered all the same: they did not wait for this controller when it was missed.
+    /// Holders that may have announced something in a missed message since their last status of the machine. The value
+    /// is true if such a start may have been ordered all the same, because the holder did not wait for this
+    /// controller's confirmation when the message was missed.
     missed: BTreeMap<Life, bool>,
 }
 
-/// What a controller knows for certain of where tasks may be.
+/// Tracks on which machines every task that may be there is known.
 ///
-/// A machine is *listed* when the tasks that the caller has noted for it include all that may be there:
-/// it was once known in full, and whoever has held it since ordered nothing unannounced. The caller
-/// notes a task when it is announced and removes one only when the machine's holder says, of the machine
-/// as resolved, that it is not there.
+/// A machine is *fully known* when the tasks that the caller has recorded for it include all that may be there: at some
+/// point everything on it was known, and no holder since then has ordered a start without announcing it. The caller
+/// records a task when it is announced, and removes it only when the holder reports the machine as resolved and
+/// without that task.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Revision from which the others count on this controller's confirmation, if they have seen it.
+    /// Revision from which the other controllers wait for this controller's confirmation, once they have seen it.
     since: Option<u64>,
-    /// Revision from which this controller has seen every record.
+    /// Revision from which this controller has seen every change of the records.
     from: u64,
     chains: BTreeMap<Life, Chain>,
     machines: FxHashMap<String, Standing>,
 }
 
 impl Ledger {
-    /// Nothing is known.
+    /// Creates a state in which nothing is known.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The records were loaded as of this revision; whatever changes from then on is followed.
+    /// Notes that the records were loaded as of this revision. Later changes are followed.
     pub fn loaded(&mut self, revision: u64) {
         self.from = revision;
     }
 
-    /// A life is over: its registration has been removed, or replaced by the next one's.
+    /// Notes that an incarnation has ended: its registration was removed or replaced by a newer one.
     pub fn ended(&mut self, life: &Life) {
         self.chains.entry(life.clone()).or_default().over = true;
     }
 
-    /// This controller became one that may take jobs over at this revision, or has ceased to be.
+    /// Sets the revision at which this controller became a member that may take over jobs; none if it is not one.
     pub fn member_since(&mut self, revision: Option<u64>) {
         self.since = revision;
     }
 
-    /// Whether a message is newer than all that have come from its sender. One that is not must be dropped: it may lack
-    /// what has been announced since, and would be taken for proof that this is not so.
+    /// Whether a message is newer than all messages received from its sender. An older one must be dropped: it may lack
+    /// what was announced since, and would be taken as proof that nothing was.
     pub fn is_newest(&mut self, from: &Life, position: Position) -> bool {
         let chain = self.chains.entry(from.clone()).or_default();
         let newest = position > chain.newest;
@@ -92,7 +93,7 @@
         newest
     }
 
-    /// A message with this number has come. `whole`: it tells of all the sender's machines.
+    /// Checks the number of a received message. `whole`: the message lists all of the sender's machines.
     pub fn heard(&mut self, from: &Life, number: u64, whole: bool, applied: u64) -> Hearing {
         let chain = self.chains.entry(from.clone()).or_default();
         let next = chain.unbroken && number == chain.number + 1;
@@ -107,25 +108,26 @@
         if complete { Hearing::Complete } else { Hearing::Broken }
     }
 
-    /// A controller's record names this one as uninformed, or no longer does.
+    /// Sets whether another controller's record lists this one as uninformed.
     pub fn uninformed(&mut self, by: &Life, named: bool) {
         let chain = self.chains.entry(by.clone()).or_default();
         chain.uninformed = named;
         if named {
-            // From here on it may order what never comes here, also on machines that it no longer has.
+            // From now on the sender may order starts that it never announces here, also on machines it no longer
+            // holds.
             chain.unbroken = false;
             self.missed_by(by, true);
         }
     }
 
-    /// Something that this controller announced may have been missed; `ordered`: and ordered all the same.
+    /// Notes that announcements of this incarnation may have been missed. `ordered`: it may have ordered the starts.
     fn missed_by(&mut self, life: &Life, ordered: bool) {
         for standing in self.machines.values_mut().filter(|s| s.holders.contains(life)) {
             *standing.missed.entry(life.clone()).or_default() |= ordered;
         }
     }
 
-    /// A machine is granted; to nobody yet: nothing can be on it.
+    /// Notes a grant. A machine that is granted to nobody yet is empty.
     pub fn granted(&mut self, machine: &str, to: Option<Life>) {
         match to {
             None => {
@@ -137,7 +139,8 @@
                 let standing = self.machines.entry(machine.to_owned()).or_default();
                 standing.holders.retain(|holder| *holder != life);
                 if uninformed {
-                    // It orders there without this controller, and may give the machine away before it speaks of it.
+                    // It orders starts there without this controller, and may lose the machine before it next reports
+                    // on it.
                     *standing.missed.entry(life.clone()).or_default() = true;
                 }
                 standing.holders.push(life);
@@ -145,16 +148,16 @@
         }
     }
 
-    /// A machine that this controller has learnt of by a record of this revision, which says that somebody holds it.
+    /// Adds a machine of which this controller learns from a record of this revision, which names a holder.
     pub fn first_read(&mut self, machine: &str, holder: Life, revision: u64) {
         self.granted(machine, Some(holder));
         self.machines.entry(machine.to_owned()).or_default().first_read = revision;
     }
 
-    /// Its holder has spoken of a machine under its present grant. `resolved`: it is known in full.
+    /// Notes that the holder has reported on a machine under its present grant. `resolved`: it knows all tasks there.
     pub fn told(&mut self, machine: &str, by: &Life, resolved: bool) {
-        // While its messages are missed, one that goes on without this controller may order more right after its word. What
-        // is missed later is noted when the break shows.
+        // While messages of an uninforming holder are missed, it may order more right after this report. Messages that
+        // are missed later are noted when the gap in the numbers shows.
         let (broken, ordered) = self.chains.get(by).map_or((false, false), |c| (!c.unbroken, c.uninformed));
         let standing = self.machines.entry(machine.to_owned()).or_default();
         if resolved {
@@ -167,11 +170,13 @@
         }
     }
 
-    /// A witness has told all that may be on a machine. Lives that are over as of the view that the witness
-    /// had taken on bind nothing any more: what they ordered it had confirmed. Former holders that live
-    /// stay: one that has not heard of a later grant yet may still announce starts there, and what of it is
-    /// missed here must count. Where such a one may not be known, because the machine may have changed hands after the
-    /// others began to count on this controller and before it loaded the records, the word holds only as of now.
+    /// Notes that a witness has reported every task that may be on a machine.
+    ///
+    /// Holders that had ended as of the view that the witness had applied are dropped: the witness has confirmed all
+    /// that they ordered. Former holders that are still registered stay: one that has not seen a later grant yet may
+    /// still announce starts there, and a missed announcement of it must count. Such a holder may be unknown here if
+    /// the machine may have changed hands after the others began to wait for this controller's confirmation and before
+    /// it loaded the records; the report then holds only for the present moment.
     pub fn witnessed(&mut self, machine: &str, over: impl Fn(&Life) -> bool) {
         let standing = self.machines.entry(machine.to_owned()).or_default();
         standing.known |= self.since.is_some_and(|since| standing.first_read <= since);
@@ -179,22 +184,23 @@
         standing.missed.retain(|life, _| !over(life));
     }
 
-    /// Whether nothing of what a controller has said so far was missed.
+    /// Whether no message of an incarnation has been missed so far.
     pub fn unbroken(&self, life: &Life) -> bool {
         self.chains.get(life).is_some_and(|c| c.unbroken)
     }
 
-    /// A machine is gone, and everything on it.
+    /// Notes that a machine has been removed, with everything on it.
     pub fn gone(&mut self, machine: &str) {
         self.machines.remove(machine);
     }
 
-    /// Whether all that may be on a machine is known.
+    /// Whether every task that may be on a machine is known.
     pub fn listed(&self, machine: &str, me: &Life) -> bool {
         self.known_but_for(machine, |holder| holder == me)
     }
 
-    /// Whether all that may be on a machine is known, beside what the asker itself has ordered there.
+    /// Whether every task that may be on a machine is known, apart from those that the asking controller has ordered
+    /// there.
     pub fn listed_for(&self, machine: &str, me: &Life, asker: &Life) -> bool {
         self.known_but_for(machine, |holder| holder == me || holder == asker)
     }
@@ -208,10 +214,10 @@
         })
     }
 
-    /// Whether everything that a controller may have ordered has been announced here: it counted on
-    /// this one's confirmation, and none of its messages was missed. Of one that is over, what was missed was
-    /// never confirmed and so never ordered; one that has begun since counted on this controller from its
-    /// first order on, heard or not.
+    /// Whether everything that an incarnation may have ordered was announced here: it waited for this controller's
+    /// confirmation, and no message of it was missed. A missed announcement of an incarnation that has ended was never
+    /// confirmed and so never ordered. An incarnation that began after this controller became a member waited for this
+    /// controller from its first order on, whether or not any message of it arrived.
     fn sound(&self, life: &Life) -> bool {
         let (Some(since), Some(chain)) = (self.since, self.chains.get(life)) else { return false };
         let newborn = life.1 >= since && life.1 > self.from;
@@ -219,7 +225,7 @@
         counted && !chain.uninformed && (chain.over || chain.unbroken)
     }
 
-    /// Forgets lives that are over and of whose time no machine is left.
+    /// Removes ended incarnations that no machine lists as a holder.
     pub fn prune(&mut self, registered: impl Fn(&Life) -> bool) {
         let held: BTreeSet<&Life> = self.machines.values().flat_map(|s| &s.holders).collect();
         self.chains.retain(|life, _| registered(life) || held.contains(life));
@@ -234,7 +240,7 @@
         (name.to_owned(), 1)
     }
 
-    /// A ledger of `me` that has heard all of `a`, which holds the machine m, known in full.
+    /// State of `me`, which has received all messages of `a`; `a` holds the machine m, which is fully known.
     fn usual() -> (Ledger, Life, Life) {
         let (mut ledger, a, me) = (Ledger::new(), life("a"), life("me"));
         ledger.member_since(Some(10));
@@ -262,8 +268,8 @@
         assert!(!ledger.listed("m", &me));
     }
 
-    /// Guards against concluding from silence: a message missed may have announced a start, also on a
-    /// machine that its sender no longer has and so does not speak of when it tells all again.
+    /// Guards against taking a missed message for no news: it may have announced a start, also on a machine that its
+    /// sender no longer holds and so leaves out of its next full status.
     #[test]
     fn what_was_missed_must_be_told_again() {
         let (mut ledger, a, me) = usual();
@@ -283,8 +289,8 @@
         assert!(moved.listed("m", &me));
     }
 
-    /// Guards against forgetting a former holder that a witness's word does not bind, and against one whose
-    /// life is over holding a machine back for ever.
+    /// Guards against dropping a former holder that is still registered when a witness reports, and against an ended
+    /// incarnation that keeps a machine from ever being fully known.
     #[test]
     fn a_witnessed_machine_hangs_on_former_holders_that_live() {
         let (a, b, me) = (life("a"), life("b"), life("me"));
@@ -305,7 +311,8 @@
         assert!(ledger.listed_for("m", &me, &a), "what a ordered it knows itself");
     }
 
-    /// Guards against a former holder that a newcomer does not know, and that may go on without it.
+    /// Guards against a former holder that a controller which has just joined can't know of, and that may not wait for
+    /// it.
     #[test]
     fn a_witness_binds_no_former_holder_that_a_newcomer_does_not_know() {
         let (b, me) = (life("b"), life("me"));
@@ -325,8 +332,8 @@
         }
     }
 
-    /// Guards jobs against waiting for a controller that ended before anybody had heard it, and the books
-    /// against one that ended after it had gone on without this controller.
+    /// Guards jobs against waiting for a controller that ended before any message of it arrived, and against taking a
+    /// machine for fully known when its holder ended after it had recorded this controller as uninformed.
     #[test]
     fn lives_that_are_over_ordered_only_what_was_confirmed() {
         let (mut ledger, a, me) = usual();
@@ -352,8 +359,9 @@
         assert!(!ledger.listed("m", &me), "it may have ordered something while it did not wait");
     }
 
-    /// Guards against a word that is taken for all: who goes on without this controller may order more right after it, on a
-    /// machine that is then given away and of which it never speaks again.
+    /// Guards against taking a resolved report for final: a holder that has recorded this controller as uninformed may
+    /// order more right after it, on a machine that is then granted to another controller and that it never reports on
+    /// again.
     #[test]
     fn what_is_ordered_after_a_word_while_uninformed_may_be_there() {
         let (mut ledger, a, me) = usual();
@@ -362,7 +370,7 @@
         ledger.uninformed(&a, true);
         assert_eq!(ledger.heard(&a, 8, false, 11), Hearing::Broken);
         ledger.told("m", &a, true);
-        // It now orders what never comes here; then the machine is another's.
+        // Now it orders a start that is not announced here; then the machine is granted to another controller.
         ledger.granted("m", Some(b.clone()));
         ledger.told("m", &b, false);
         assert_eq!(ledger.heard(&a, 12, true, 12), Hearing::Complete);
@@ -372,7 +380,7 @@
         assert!(!ledger.listed("m", &me), "nor once it has ended");
     }
 
-    /// Guards against a controller that is not counted on: what it missed it cannot know of.
+    /// Guards against conclusions of a controller for whose confirmation the others do not wait.
     #[test]
     fn who_is_not_counted_on_concludes_nothing() {
         let (mut ledger, a, me) = usual();
@@ -391,7 +399,7 @@
         assert!(!ledger.listed("m", &me));
     }
 
-    /// A later life of the same controller vouches for nothing that an earlier one did.
+    /// Guards against attributing messages of one incarnation of a controller to another one.
     #[test]
     fn lives_are_told_apart_and_forgotten_when_nothing_hangs_on_them() {
         let (mut ledger, _, me) = usual();
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,17 +1,19 @@
-//! What survives a controller's end.
+//! Failover of jobs between controllers: which tasks may still be running after a controller has failed.
 //!
-//! A controller that takes jobs over must not start a task that may still be somewhere. Waiting until
-//! every machine has reported is always right, but then one silent machine holds back all jobs. This
-//! crate keeps the evidence that makes the wait needless in most cases:
+//! A controller that takes over jobs must not start a task that may still run somewhere. It could wait until every
+//! machine has reported, but then one silent machine would block all jobs. This crate keeps the evidence that makes
+//! the wait unnecessary in most cases:
 //!
-//! - [`Announcements`]: a start is *announced* to the other controllers before it is ordered, and ordered
-//!   only when all have confirmed it. One that does not confirm is recorded as uninformed first.
-//! - [`Ledger`]: what a controller may conclude from the announcements that it confirmed. A machine is
-//!   *listed* if all that may be on it is known, whether or not it can be reached.
-//! - [`Inquiry`]: what a controller that has just joined, and has confirmed nothing, asks of the others.
+//! - [`Announcements`]: a start is *announced* to the other controllers before it is ordered, and ordered only when
+//!   all of them have confirmed the announcement. A controller that does not confirm is first recorded in the state
+//!   service as *uninformed*; from then on starts do not wait for it.
+//! - [`MachineKnowledge`]: what a controller can conclude from the announcements that it has confirmed. A machine is
+//!   *fully known* if every task that may be on it is known, whether or not the machine can be reached.
+//! - [`WitnessQueries`]: the queries by which a controller that has just joined, and has confirmed nothing yet, learns
+//!   from the others what may be on a machine.
 //!
-//! All are plain state machines: events and times in, answers out. Carrying messages, recording and
-//! deciding what to start are the caller's.
+//! All types are state machines without I/O or clock. Sending messages, writing records and deciding what to start
+//! is up to the caller.
 
 mod announcements;
 mod inquiry;
@@ -23,5 +25,5 @@
 pub use ledger::{Hearing, Ledger};
 pub use position::Position;
 
-/// A controller in one of its lives: its name, and the stamp of its registration.
+/// One incarnation of a controller: its member name and the revision of its registration.
 pub type Life = (String, u64);
--- a/crates/recovery/src/position.rs
+++ b/crates/recovery/src/position.rs
@@ -1,14 +1,15 @@
-//! Where a message stands among all that one life of a controller has sent.
+//! Order of the messages that one incarnation of a controller sends.
 
-/// The place of a message in the order in which its sender made them.
+/// The position of a message in the order in which its sender made them.
 ///
-/// A message to all has the next number. One to a single controller keeps the number of the last one to all and is counted
-/// apart, since the others do not miss it. A connection that was given up may still deliver what it held after the first
-/// messages of the one that has taken its place, so a receiver compares places rather than trust the order of arrival.
+/// A broadcast has the next broadcast number. A message to a single controller keeps the number of the last broadcast
+/// and is counted separately, since the other controllers do not miss it. A connection that was given up may still
+/// deliver its messages after the first ones of the connection that replaced it, so a receiver compares positions
+/// instead of relying on the order of arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The number of the last message to all.
+    /// The number of the last broadcast.
     pub number: u64,
-    /// How many messages to single controllers have followed that one.
+    /// How many messages to single controllers were sent after that broadcast.
     pub single: u32,
 }
--- a/crates/recovery/tests/uninformed.rs
+++ b/crates/recovery/tests/uninformed.rs
@@ -1,11 +1,11 @@
-//! Records, grants and messages of a controller that goes on without this one. Guards against the known failure
-//! `ran_twice`: a machine counts as known in full though a start that was ordered there never came here.
+//! Messages of a controller that has recorded this one as uninformed. Guards against the known failure `ran_twice`: a
+//! machine counts as fully known although a start that was ordered there was never announced here.
 
 use marblewalk_recovery::{Hearing, Ledger, Life};
 
-/// Guards against `ran_twice`: a controller that goes on without this one orders a start, the message that announces it is
-/// lost, and a whole status before it had made the connection look complete. What was missed counted as never ordered once
-/// the sender had ended.
+/// Guards against `ran_twice`: a controller that has recorded this one as uninformed orders a start, and the message
+/// that announces it is lost. A full status sent before that message had made the sequence look complete, so the missed
+/// announcement counted as never ordered once the sender had ended.
 #[test]
 fn what_is_missed_after_a_whole_status_while_uninformed_was_ordered() {
     let (a, me): (Life, Life) = (("a".to_owned(), 1), ("me".to_owned(), 2));
@@ -18,15 +18,15 @@
     assert!(ledger.listed("m", &me));
     ledger.uninformed(&a, true);
     assert_eq!(ledger.heard(&a, 8, false, 11), Hearing::Broken);
-    // The answer to the request for everything that follows.
+    // The answer to the request for a full status that follows.
     assert_eq!(ledger.heard(&a, 8, true, 11), Hearing::Complete);
     ledger.told("m", &a, true);
-    // Status 9 announces a start on the machine, does not come here, and the start is ordered without this controller. Then
-    // the machine is this one's, and the former holder's words no longer speak of it.
+    // Status 9 announces a start on the machine and is lost, and the start is ordered without this controller's
+    // confirmation. Then the machine is granted to this controller, and the former holder no longer reports on it.
     ledger.granted("m", Some(me.clone()));
     assert_eq!(ledger.heard(&a, 10, false, 12), Hearing::Broken);
     assert_eq!(ledger.heard(&a, 10, true, 12), Hearing::Complete);
-    // This controller has kept up for a while, and is waited for again.
+    // This controller has confirmed everything for a while, and is no longer recorded as uninformed.
     ledger.uninformed(&a, false);
     assert!(!ledger.listed("m", &me), "what was missed may have been ordered");
     ledger.ended(&a);
