--- a/crates/admission/examples/cost.rs
+++ b/crates/admission/examples/cost.rs
@@ -1,5 +1,5 @@
-//! What admission costs at the size of a large deployment: processor time of one division of a pool and
-//! of one plan, and the bytes of a plan and of a controller's word. Simulated load, this machine's clock:
+//! Cost of admission control in a large deployment: processor time of one division of a pool, of one submission and of
+//! one rate plan, and the encoded size of a plan and of a load report. The load is simulated, the times are measured:
 //!
 //!     cargo run --release -p marblewalk-admission --example cost
 
@@ -14,7 +14,7 @@
 const JOBS: u64 = 5_000;
 const CLASSES: u64 = 1_000;
 
-/// Microseconds that one call takes, averaged over many.
+/// Microseconds per call, averaged over many calls.
 fn per_call(times: u32, mut call: impl FnMut()) -> f64 {
     let start = Instant::now();
     (0..times).for_each(|_| call());
--- a/crates/admission/src/door.rs
+++ b/crates/admission/src/door.rs
@@ -1,9 +1,9 @@
-//! Who is let in at the door of one controller.
+//! Rate limiting of job submissions at one controller.
 //!
-//! While there is no shortage everyone is. When changes are short, each flow has its rate, and a
-//! submission that comes before its turn is told when to come back: it has an *appointment*. All
-//! controllers are told of it, so that whichever is asked gives the same answer, and whoever keeps its
-//! appointment is taken before those that come for the first time.
+//! Without a shortage every submission is admitted. When writes to the state service are short, each flow has a rate,
+//! and a submission that exceeds it is told when to retry: it gets a *retry slot*. The slots are sent to all
+//! controllers, so that each gives the same answer, and a submission that comes back in its slot is admitted before
+//! new ones.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,83 +13,83 @@
 
 use crate::flows::{self, Flow, Flows};
 
-/// Nobody is taken who would wait longer than this for the state service, and none who is ahead of his
-/// turn where half of it is waited for: an answer in a second is better than to be turned away for one.
+/// No submission is admitted that would wait longer than this for the state service, and none that is ahead of its
+/// flow's rate where the wait is more than half of this: a user would rather wait a second for an answer than be turned
+/// away for a second.
 pub const MOST_BEHIND: Micros = Micros::from_millis(1_200);
 const HALF_BEHIND: Micros = Micros(MOST_BEHIND.0 / 2);
-/// How far ahead of its turn a flow's submission is taken: a burst is no shortage.
+/// How far ahead of its rate a flow's submissions are admitted, so that a short burst is not treated as a shortage.
 const BURST: Micros = Micros::from_secs(1);
-/// The first and the last instant from now that an appointment is made for. Users repeat a request for
-/// 60 s, and wait no longer than 30 s before they do.
+/// The shortest and the longest time to a retry slot. Users repeat a request for 60 s, and wait at most 30 s before
+/// they do.
 const SOONEST: Micros = Micros::from_secs(1);
 const LATEST: Micros = Micros::from_secs(30);
-/// How much of a flow's rate appointments are made for: they come to one controller or another by chance.
+/// The part of a flow's rate that retry slots may use. It is below 1 because retries reach controllers at random.
 const FILLED: f64 = 0.85;
-/// How early one may come to an appointment, for clocks and roundings.
+/// How much earlier than its slot a retry is accepted, to allow for clock differences and rounding.
 const EARLY: Micros = Micros::from_millis(1_200);
-/// How long after it an appointment is remembered.
+/// How long a retry slot is kept after its time.
 const KEPT: Micros = Micros::from_secs(60);
-/// Appointments remembered at most, and told to the others at a time.
+/// The most retry slots that are kept, and that are sent to the other controllers in one message.
 const MOST_APPOINTMENTS: usize = 8_192;
 const MOST_TOLD: usize = 256;
 
-/// Why a request was turned away.
+/// Why a submission was turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Its appointment is still to come.
+    /// Its retry slot is still to come.
     Early,
     /// Its flow has used up its share.
     Share,
-    /// Nothing more can be taken at this moment, whoever it is for.
+    /// The queue for the state service is too long for any submission.
     Behind,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Take,
-    /// Not now; what is offered may come back after so long.
+    /// Not admitted: the submission may be retried after this time.
     Turned(Reason, Micros),
 }
 
-/// What the door can let through.
+/// What this controller can admit at present.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Submissions a second that this controller can have recorded.
+    /// Submissions per second that this controller can record.
     pub per_s: f64,
-    /// How long the next one would wait for its turn.
+    /// How long the next submission would wait in the queue for the state service.
     pub behind: Micros,
 }
 
-/// An appointment as one controller tells the others: whose it is, as a hash of the id, and in how
-/// long.
+/// A retry slot as it is sent to the other controllers: the hash of the job's id, and the time until the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Appointment {
     pub id: u64,
     pub due_in: Micros,
 }
 
-/// The door of one controller.
+/// The submission rate limiter of one controller.
 #[derive(Debug, Default)]
 pub struct Door {
     pub flows: Flows,
-    /// Which part of each flow the plan in force lets in.
+    /// The fraction of each flow that the plan in force admits; none without a plan.
     planned: Option<HashMap<Flow, f64>>,
     due: HashMap<u64, Micros>,
-    /// In the order in which they were made.
+    /// Slots in the order in which they were made.
     order: VecDeque<(Micros, u64)>,
     untold: VecDeque<u64>,
-    /// Since when users' questions about a job have gone unanswered.
+    /// Since when users' queries for a job have been turned away, by the hash of its id.
     unanswered: HashMap<u64, Micros>,
     asked: VecDeque<(Micros, u64)>,
 }
 
 impl Door {
-    /// Takes over which part of each flow a plan lets in; none: no plan is in force.
+    /// Sets the fraction of each flow that a plan admits; none if no plan is in force.
     pub fn follow(&mut self, plan: Option<&[(Flow, f64)]>) {
         self.planned = plan.map(|parts| parts.iter().cloned().collect());
     }
 
-    /// A submission is offered. One that is taken must be recorded now.
+    /// Decides on a submission. One that is admitted must be recorded now.
     pub fn offer(&mut self, now: Micros, id: &str, team: &str, class: &str, capacity: Capacity) -> Verdict {
         self.forget(now);
         let hash = xxh3_64(id.as_bytes());
@@ -102,23 +102,23 @@
         }
         let verdict = match due {
             Some(due) if now + EARLY < due => Verdict::Turned(Reason::Early, due.since(now)),
-            // It has waited for its turn.
+            // It comes back in its retry slot.
             Some(_) if capacity.behind <= MOST_BEHIND => Verdict::Take,
             Some(_) => Verdict::Turned(Reason::Behind, SOONEST.max(capacity.behind)),
             None => {
                 let gap = Micros::from_secs_f64(1.0 / (rate * FILLED).max(1e-3));
                 let turn = row.next.max(now);
-                // Who keeps to its share does not wait for those that don't.
+                // A flow within its share does not wait for those that exceed theirs.
                 let most = if turn == now { MOST_BEHIND } else { HALF_BEHIND };
                 if capacity.behind <= most && turn.since(now) <= BURST {
                     row.next = turn + gap;
                     Verdict::Take
                 } else if capacity.behind <= Micros(HALF_BEHIND.0 / 2) {
-                    // Nobody else is in need of what is there.
+                    // The queue is short: no other flow needs the capacity.
                     row.next = turn;
                     Verdict::Take
                 } else {
-                    // What is behind now is in the way of those that come back, too.
+                    // The present queue also delays the submissions that come back.
                     let turn = turn.max(now + capacity.behind).min(now + LATEST);
                     row.next = turn + gap;
                     let reason = if capacity.behind <= most { Reason::Share } else { Reason::Behind };
@@ -136,7 +136,7 @@
                 if due.is_none() {
                     self.appoint(hash, now + wait);
                     self.untold.push_back(hash);
-                    // Where there are no others, nobody asks for what they are to be told.
+                    // Without other controllers the queue of unsent slots is never drained.
                     if self.untold.len() > MOST_APPOINTMENTS {
                         self.untold.pop_front();
                     }
@@ -146,7 +146,7 @@
         verdict
     }
 
-    /// The rate of a flow at this controller: by the plan, or by what it is itself offered.
+    /// The rate of a flow at this controller: by the plan in force, or else by what is submitted here.
     fn rate_of(&self, now: Micros, team: &str, class: &str, per_s: f64) -> f64 {
         let flow = Flow { team: team.to_owned(), class: class.to_owned() };
         let offered = self.flows.offered(now);
@@ -156,7 +156,7 @@
             return rate * part;
         }
         let rates = flows::divide(&offered, per_s);
-        // One that has not been seen yet has what an equal division would leave it.
+        // A flow that has not been seen yet gets what an equal division would leave it.
         let fair = per_s / (offered.len() + 1) as f64;
         rates.into_iter().find(|(f, _)| *f == flow).map_or(fair, |(_, rate)| rate.max(fair))
     }
@@ -188,14 +188,14 @@
         }
     }
 
-    /// Appointments made since the last call, for the other controllers.
+    /// Takes the slots made since the last call, to be sent to the other controllers.
     pub fn tell(&mut self, now: Micros) -> Vec<Appointment> {
         let n = self.untold.len().min(MOST_TOLD);
         let told = self.untold.drain(..n);
         told.filter_map(|id| Some(Appointment { id, due_in: self.due.get(&id)?.since(now) })).collect()
     }
 
-    /// Another controller has made appointments. The later of two is kept, as the user was told it last.
+    /// Adds another controller's slots. Of two slots of one job the later is kept, as the user was told it last.
     pub fn told(&mut self, now: Micros, appointments: &[Appointment]) {
         for a in appointments {
             let due = now + a.due_in.min(LATEST);
@@ -205,13 +205,13 @@
         }
     }
 
-    /// Since when a job's user has asked without an answer; now, if this is the first time. Of more
-    /// questions than can be answered, those that have waited longest go first.
+    /// Since when a job's user has queried it without an answer; now, if this is the first query. When there are more
+    /// queries than can be answered, those that have waited longest go first.
     pub fn asked(&self, now: Micros, id: &str) -> Micros {
         self.unanswered.get(&xxh3_64(id.as_bytes())).copied().unwrap_or(now)
     }
 
-    /// A question about a job was turned away.
+    /// Notes that a query for a job was turned away.
     pub fn unanswered(&mut self, now: Micros, id: &str) {
         self.forget(now);
         let hash = xxh3_64(id.as_bytes());
@@ -221,12 +221,12 @@
         }
     }
 
-    /// A question about a job was answered.
+    /// Notes that a query for a job was answered.
     pub fn answered(&mut self, id: &str) {
         self.unanswered.remove(&xxh3_64(id.as_bytes()));
     }
 
-    /// Appointments that are still to be kept.
+    /// The number of retry slots still to come.
     pub fn appointments(&self) -> usize {
         self.due.len()
     }
@@ -238,7 +238,7 @@
 
     use super::*;
 
-    /// A user as the protocol has it: repeats after the time it is told, for 60 s.
+    /// A user as the protocol describes it: repeats a request after the time it is told, for 60 s.
     struct User {
         id: String,
         class: &'static str,
@@ -248,7 +248,7 @@
         taken: Option<Micros>,
     }
 
-    /// Several doors, of which one ends now and then, under ten times the submissions they can take.
+    /// Simulates several controllers, which restart now and then, under ten times the submissions that they can record.
     fn rush(seed: u64) -> Vec<User> {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut doors: Vec<Door> = (0..4).map(|_| Door::default()).collect();
@@ -292,15 +292,15 @@
                         u.next = now + wait;
                     }
                 }
-                // What is let in is recorded within the time that users wait for an answer.
+                // What is admitted is recorded within the time that users wait for an answer.
                 assert!(queues[n] / per_s < 3.0, "seed {seed}: {} s behind", queues[n] / per_s);
             }
         }
         users
     }
 
-    /// Guards each class's share: however many others come, the quiet class is let in at once or nearly,
-    /// and everyone within the time that users go on asking, at few attempts.
+    /// Guards each class's share: however many submissions of other classes come, those of the quiet class are admitted
+    /// at once or nearly so, and all others within the time that users keep trying, at few attempts.
     #[test]
     fn a_rush_of_one_class_keeps_out_nobody_and_few_come_often() {
         for seed in 0..20 {
@@ -315,7 +315,8 @@
         }
     }
 
-    /// An id has one appointment, whichever controller is asked, and keeps it before newcomers.
+    /// Guards against gaming: a submission has one retry slot at all controllers, and in it goes before new
+    /// submissions.
     #[test]
     fn nobody_wins_by_asking_another_controller() {
         let mut doors = [Door::default(), Door::default(), Door::default()];
@@ -331,7 +332,7 @@
             let free = Capacity { per_s: 2.0, behind: Micros::ZERO };
             let verdict = door.offer(later, "j-1", "red", "any", free);
             assert_eq!(verdict, Verdict::Turned(Reason::Early, wait - Micros::from_millis(500)));
-            // At its time it is taken, where a newcomer is not.
+            // In its slot it is admitted, where a new submission is not.
             let busy = Capacity { per_s: 2.0, behind: MOST_BEHIND };
             door.offer(now + wait, "j-2", "red", "any", busy);
             assert!(matches!(door.offer(now + wait, "j-3", "red", "any", busy), Verdict::Turned(..)));
@@ -339,7 +340,7 @@
         }
     }
 
-    /// Appointments and unanswered questions are bounded, and those past are forgotten.
+    /// Guards against unbounded memory: retry slots and rejected queries are bounded, and past ones are removed.
     #[test]
     fn what_is_remembered_stays_bounded() {
         let mut door = Door::default();
--- a/crates/admission/src/fair.rs
+++ b/crates/admission/src/fair.rs
@@ -1,16 +1,16 @@
-//! Weighted max-min shares (water filling; Bertsekas and Gallager, Data Networks, 6.5.2).
+//! Weighted max-min fairness (water filling; Bertsekas and Gallager, Data Networks, 6.5.2).
 
-/// One party to a division.
+/// One claimant in a division.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Party {
     /// The most it can use, in the unit that is divided.
     pub demand: f64,
-    /// Its part beside others' as long as nobody has all it can use; above 0.
+    /// Its share relative to the other claimants' as long as none is satisfied; above 0.
     pub weight: f64,
 }
 
-/// Divides `supply` so that nobody's share per weight could grow but at the cost of one whose share
-/// per weight is no larger. What one party leaves unused is the others' at once.
+/// Divides `supply` so that no claimant's share per weight could be raised without lowering that of a claimant whose
+/// share per weight is no larger. What one claimant leaves unused goes to the others.
 pub fn shares(parties: &[Party], supply: f64) -> Vec<f64> {
     let mut order: Vec<usize> = (0..parties.len()).collect();
     let level = |i: usize| parties[i].demand.max(0.0) / parties[i].weight;
@@ -33,7 +33,7 @@
 
     use super::*;
 
-    /// The defining property: whoever has less than it can use has as much per weight as anyone.
+    /// The defining property: a claimant that is not satisfied has at least as much per weight as any other.
     #[test]
     fn nobody_short_has_less_per_weight_than_another() {
         for seed in 0..500 {
--- a/crates/admission/src/flows.rs
+++ b/crates/admission/src/flows.rs
@@ -1,5 +1,5 @@
-//! What is offered and taken by team and class: exact counts for the flows seen lately, and one row
-//! for all others, since users invent names of classes.
+//! Submissions counted by team and class: exact counts for the recently seen flows, and one entry for all others, since
+//! class names are the users' own.
 
 use std::num::NonZeroUsize;
 
@@ -9,23 +9,23 @@
 
 use crate::fair::{self, Party};
 
-/// Rows kept.
+/// The most flows that are counted separately.
 pub const ROWS: usize = 64;
-/// The class that stands for all that have no row of their own.
+/// The team and class under which all flows without an entry of their own are counted.
 pub const OTHERS: &str = "(others)";
-/// Over how long rates are averaged.
+/// The time constant of averaged rates, in seconds.
 const AVERAGE: f64 = 5.0;
-/// A flow that offers less than this many requests a second has nothing to offer.
+/// A flow with fewer submissions per second than this counts as inactive.
 const ACTIVE: f64 = 0.02;
 
-/// A team and a class of jobs.
+/// A flow: the jobs of one team and class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Flow {
     pub team: String,
     pub class: String,
 }
 
-/// A rate of events that fades while none come.
+/// An event rate that decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     per_s: f64,
@@ -33,13 +33,13 @@
 }
 
 impl Rate {
-    /// Counts `amount` at an instant.
+    /// Adds `amount` events at an instant.
     pub fn add(&mut self, now: Micros, amount: f64) {
         self.per_s = self.now(now) + amount / AVERAGE;
         self.at = now;
     }
 
-    /// Events a second, averaged over the last few.
+    /// Events per second, averaged over the last few seconds.
     pub fn now(&self, now: Micros) -> f64 {
         self.per_s * (-now.since(self.at).as_secs_f64() / AVERAGE).exp()
     }
@@ -51,14 +51,14 @@
     pub offered: u64,
     pub taken: u64,
     pub turned_away: u64,
-    /// New submissions a second, without those that return.
+    /// New submissions per second, without retries.
     pub rate: Rate,
-    /// When its next submission has its turn, while there is a shortage (the theoretical arrival time of
-    /// the generic cell rate algorithm, ITU-T I.371).
+    /// When the next submission conforms to the flow's rate, during a shortage (the theoretical arrival time of the
+    /// generic cell rate algorithm, ITU-T I.371).
     pub(crate) next: Micros,
 }
 
-/// The rows of all flows.
+/// The counters of all flows.
 #[derive(Debug)]
 pub struct Flows {
     rows: LruCache<Flow, Row>,
@@ -75,7 +75,7 @@
 }
 
 impl Flows {
-    /// The row of a flow. Where there are too many, the one unused for longest joins the others.
+    /// The counters of a flow. When there are too many flows, the least recently used one is added to the others.
     pub fn row(&mut self, team: &str, class: &str) -> &mut Row {
         let flow = Flow { team: team.to_owned(), class: class.to_owned() };
         if !self.rows.contains(&flow)
@@ -89,21 +89,21 @@
         self.rows.get_or_insert_mut(flow, Row::default)
     }
 
-    /// All rows, the others last.
+    /// The counters of all flows, those without an entry of their own last.
     pub fn iter(&self) -> impl Iterator<Item = (Flow, &Row)> {
         let others = Flow { team: OTHERS.to_owned(), class: OTHERS.to_owned() };
         let used = (self.others.offered > 0).then_some((others, &self.others));
         self.rows.iter().map(|(flow, row)| (flow.clone(), row)).chain(used)
     }
 
-    /// What each flow offers now, in submissions a second.
+    /// The present rate of each active flow, in submissions per second.
     pub fn offered(&self, now: Micros) -> Vec<(Flow, f64)> {
         let rates = self.rows.iter().map(|(flow, row)| (flow.clone(), row.rate.now(now)));
         rates.filter(|(_, rate)| *rate >= ACTIVE).collect()
     }
 }
 
-/// Divides a rate among flows: by max-min among teams, and within a team among its classes.
+/// Divides a rate among flows: by max-min fairness among teams, and within a team among its classes.
 pub fn divide(offered: &[(Flow, f64)], capacity: f64) -> Vec<(Flow, f64)> {
     let mut teams: std::collections::BTreeMap<&str, Vec<&(Flow, f64)>> = Default::default();
     for row in offered {
@@ -124,7 +124,7 @@
 mod tests {
     use super::*;
 
-    /// Users invent names of classes: memory stays bounded, and no count is lost.
+    /// Guards against unbounded memory, since class names are the users' own, and against lost counts.
     #[test]
     fn a_thousand_classes_keep_few_rows_and_all_counts() {
         let mut flows = Flows::default();
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,10 +1,10 @@
-//! Admission under overload, as plain state machines without I/O or clock.
+//! Admission control under overload: state machines without I/O or clock.
 //!
-//! - [`fair`] shares an amount by weighted max-min.
-//! - [`pool`] decides which jobs the fleet works on, so that those that are let in get finished.
-//! - [`flows`] counts what is offered and taken by team and class.
-//! - [`door`] decides who is let in at one controller, and when the others come back.
-//! - [`plan`] keeps all controllers together within the limits of the state service.
+//! - [`max_min`] divides an amount by weighted max-min fairness.
+//! - [`pool`] divides a pool of machines among the waiting jobs, so that the admitted ones finish.
+//! - [`flows`] counts submissions by team and class.
+//! - [`submission_limiter`] decides which submissions one controller takes, and when the others may be retried.
+//! - [`rate_plan`] keeps all controllers together within the rate limits of the state service.
 
 pub mod door;
 pub mod fair;
--- a/crates/admission/src/plan.rs
+++ b/crates/admission/src/plan.rs
@@ -1,15 +1,17 @@
-//! One plan for all controllers: which part of the state service's limits each may use beyond what is
-//! always its own, and at which rate each flow is let in.
+//! Leases of the state service's rate limits: how much each controller may use beyond its fixed part, and at which rate
+//! each flow of submissions is admitted.
 //!
-//! A part of the limits is leased, as in Doorman: the leader's plans are numbered under its stamp, and a
-//! part ends by itself. The sum stays within the limits whatever is lost, late or cut, because
+//! The leader leases parts of the limits to the controllers, as in Doorman: its plans are numbered under its
+//! registration, and a lease expires by itself. The sum stays within the limits even if messages are lost, delayed or
+//! cut off, because
 //!
-//! - a plan repeats the clock of the last word that the leader has of each controller, and ends a term
-//!   after that *on the controller's own clock*: one that is delivered late is over already;
-//! - what a controller may still hold counts as given until it confirms a later plan or its term is
-//!   over; only what is left goes to others;
-//! - a new leader renews for a term what each controller says it holds, and gives out nothing else;
-//! - whoever holds no plan keeps to its own part, which no plan contains.
+//! - a plan repeats the clock of the last load report that the leader has received from each controller, and the lease
+//!   expires a term after that *on the controller's own clock*: in a plan that is delivered late it has expired
+//!   already;
+//! - what a controller may still hold counts as leased until it confirms a later plan or its lease has expired; only
+//!   the rest is leased to others;
+//! - for its first term a new leader renews what each controller reports to hold, and leases out nothing else;
+//! - a controller without a lease keeps to its fixed part, which no plan contains.
 
 use std::collections::BTreeMap;
 
@@ -20,14 +22,14 @@
 use crate::fair::{self, Party};
 use crate::flows::{self, Flow};
 
-/// How long a part of the limits is held without a newer plan.
+/// How long a lease is held without a newer plan.
 pub const TERM: Micros = Micros::from_secs(4);
-/// Steady clocks drift apart by less than this.
+/// Monotonic clocks drift apart by less than this factor.
 const DRIFT: f64 = 0.001;
-/// What a controller uses that it has not asked for yet: it may ask for more the next time.
+/// Factor on the rates that a controller asks for, since it may ask for more the next time.
 const HEADROOM: f64 = 1.25;
 
-/// Parts of the limits, in thousandths of a change and of a call a second.
+/// Rates of writes and of all calls, in thousandths per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Rates {
     pub changes: u64,
@@ -56,30 +58,30 @@
     }
 }
 
-/// What a controller says of itself, about twice a second.
+/// A controller's report to the leader and to the other controllers, about twice a second.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Word {
-    /// Its registration, and its steady clock.
+    /// The sender's registration and its monotonic clock.
     pub life: u64,
     pub clock: Micros,
-    /// The last plan it has taken over, by the leader's stamp and number.
+    /// The last plan that it has applied: the leader's registration and the plan's number.
     pub plan: (u64, u64),
-    /// What it holds by that plan.
+    /// The rates that it holds by that plan.
     pub holds: Rates,
-    /// What it could use beyond its own part.
+    /// The rates that it could use beyond its fixed part.
     pub wants: Rates,
-    /// New submissions a second by flow.
+    /// New submissions per second, by flow.
     pub offered: Vec<(Flow, f64)>,
-    /// Appointments made since its last word.
+    /// Retry slots made since its last report.
     pub appointments: Vec<Appointment>,
 }
 
-/// One controller's part in a plan.
+/// One controller's lease in a plan.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Part {
     pub member: String,
     pub life: u64,
-    /// The controller's clock as the leader last had it: its part ends a term later.
+    /// The controller's clock in the last report that the leader received: the lease expires a term later.
     pub clock: Micros,
     pub rates: Rates,
 }
@@ -89,12 +91,12 @@
     pub leader: u64,
     pub number: u64,
     pub parts: Vec<Part>,
-    /// Which part of each flow's new submissions is let in, at whichever controller they come; above 0 and
-    /// at most 1. Flows that are not named have what is equal among those they meet.
+    /// The fraction of each flow's new submissions that is admitted, at any controller; above 0 and at most 1. A flow
+    /// that is not named gets its max-min share of the controller's own rate.
     pub flows: Vec<(Flow, f64)>,
 }
 
-/// What one controller holds.
+/// The lease that one controller holds.
 #[derive(Debug, Default)]
 pub struct Held {
     plan: (u64, u64),
@@ -104,7 +106,7 @@
 }
 
 impl Held {
-    /// Takes over a plan of the leader with this stamp, if it is newer than the one held and not over.
+    /// Applies a plan of the leader with this registration, if it is newer than the one held and has not expired.
     pub fn take(&mut self, now: Micros, me: (&str, u64), leader: u64, plan: &Plan) -> bool {
         if plan.leader != leader || (plan.leader, plan.number) <= self.plan {
             return false;
@@ -119,12 +121,12 @@
         true
     }
 
-    /// What is held beyond one's own part at an instant: nothing without a plan in force.
+    /// The rates held beyond the fixed part at an instant: zero without a lease in force.
     pub fn rates(&self, now: Micros) -> Rates {
         if now < self.until { self.rates } else { Rates::default() }
     }
 
-    /// Which part of each flow is let in, while a plan is in force.
+    /// The fraction of each flow that is admitted, while a plan is in force.
     pub fn in_force(&self, now: Micros) -> Option<&[(Flow, f64)]> {
         (now < self.until).then_some(self.flows.as_slice())
     }
@@ -133,7 +135,7 @@
         self.plan
     }
 
-    /// A new life starts with nothing.
+    /// Drops the lease: a new registration starts without one.
     pub fn forget(&mut self) {
         *self = Held::default();
     }
@@ -144,17 +146,17 @@
 struct Known {
     word: Word,
     heard: Micros,
-    /// Parts that may be in force: plan's number, when it is over on the leader's clock, and how much.
+    /// Leases that may be in force: the plan's number, when the lease has expired on the leader's clock, and its rates.
     given: Vec<(u64, Micros, Rates)>,
 }
 
-/// The leader's side.
+/// Makes the leader's plans.
 #[derive(Debug)]
 pub struct Planner {
     leader: u64,
     since: Micros,
     number: u64,
-    /// What there is to lease.
+    /// The rates that can be leased.
     pool: Rates,
     known: BTreeMap<String, Known>,
 }
@@ -164,29 +166,28 @@
         Planner { leader, since: now, number: 0, pool, known: BTreeMap::new() }
     }
 
-    /// Notes a controller's word.
+    /// Records a controller's load report.
     pub fn heard(&mut self, now: Micros, member: &str, word: Word) {
         let known = self.known.entry(member.to_owned()).or_default();
         if known.word.life == word.life && word.clock < known.word.clock {
             return;
         }
         if word.plan.0 == self.leader && word.life == known.word.life {
-            // It will take over no older plan any more.
+            // It no longer applies an older plan.
             known.given.retain(|(number, ..)| *number >= word.plan.1);
         }
         known.heard = now;
         known.word = Word { appointments: Vec::new(), ..word };
     }
 
-    /// What a controller may hold at most, by what it has been given and by its own word.
+    /// The most that a controller may hold, by the leases sent to it and by its own report.
     fn may_hold(&self, now: Micros, known: &Known) -> Rates {
         let given = known.given.iter().filter(|(_, until, _)| now < *until);
         let given = given.fold(Rates::default(), |most, (.., rates)| most.max(*rates));
         if now < known.heard + term() { given.max(known.word.holds) } else { given }
     }
 
-    /// Makes the next plan: for the controllers heard within half a term, of which those that are not
-    /// `members` any more get nothing.
+    /// Makes the next plan: for the controllers that reported within half a term and are still `members`.
     pub fn plan(&mut self, now: Micros, members: &[(String, u64)], submissions_per_s: f64) -> Plan {
         self.number += 1;
         let fresh = |k: &Known, member: &str| {
@@ -199,7 +200,8 @@
             self.known.iter().map(|(m, k)| (m, self.may_hold(now, k))).collect();
         let taken = may.values().fold(Rates::default(), |sum, r| sum.plus(*r));
         let mut free = self.pool.minus(taken);
-        // Until the plans of a leader before have ended, nobody may be given what another may hold.
+        // Until the plans of a previous leader have expired, a rate that another controller may hold must not be
+        // leased.
         if now < self.since + term() {
             free = Rates::default();
         }
@@ -241,7 +243,7 @@
         plan
     }
 
-    /// What each should have: by max-min of what it could use, and an equal part of what is left.
+    /// The rates that each controller should have: max-min fair by what it could use, and an equal part of the rest.
     fn targets(&self, names: &[String]) -> Vec<Rates> {
         let wants = |name: &String| self.known.get(name).map_or(Rates::default(), |k| k.word.wants);
         let divide = |amount: fn(Rates) -> u64| {
@@ -257,7 +259,7 @@
     }
 }
 
-/// How long a part may be held, on another's clock.
+/// The longest time for which a lease may be held, measured on another controller's clock.
 fn term() -> Micros {
     TERM.mul_f64(1.0 + DRIFT)
 }
@@ -273,13 +275,13 @@
         life: u64,
         held: Held,
         planner: Option<Planner>,
-        /// Its clock runs ahead by so much.
+        /// How far its clock is ahead.
         ahead: Micros,
         offers: f64,
     }
 
-    /// Messages lost, doubled and late by up to a minute, controllers that end and come back, leaders
-    /// that follow each other: all together never hold more than there is to lease.
+    /// Guards against exceeding the limits when messages are lost, duplicated and up to a minute late, controllers
+    /// restart and leaders change: all controllers together never hold more than can be leased.
     #[test]
     fn whatever_is_lost_or_late_all_together_hold_no_more_than_there_is() {
         let pool = Rates { changes: 50_000, calls: 200_000 };
@@ -307,7 +309,7 @@
                     _ => rng.random_range(1..200),
                 };
                 if rng.random_range(0..60) == 0 {
-                    // A controller ends and is there again at once: its limits are the old life's too.
+                    // A controller restarts at once; the rates that its former registration held are still leased.
                     let n = rng.random_range(0..5);
                     life += 1;
                     nodes[n].held.forget();
--- a/crates/admission/src/pool.rs
+++ b/crates/admission/src/pool.rs
@@ -1,13 +1,13 @@
-//! Which jobs the fleet works on when there is more work than machines.
+//! Division of a pool of machines among jobs when there is more work than machines.
 //!
-//! A pool's supply is divided among *flows*, one for each rank, team and class with unfinished work:
-//! guarantees first, then by rank, among teams and within a team among classes by max-min. A flow
-//! spends its share on few jobs at a time, each with all the tasks it can use, so that what is begun
-//! gets finished. A part of the share goes by arrival; the rest to the most jobs that can be done in
-//! time (Moore, "An n job, one machine sequencing algorithm for minimizing the number of late jobs",
-//! 1968, with the share as the machine), earliest due first, and then by the work that is left.
+//! A pool's supply is divided among *flows*, one for each rank, team and class with unfinished work: guarantees first,
+//! then by rank, and within a rank by max-min fairness among teams and among a team's classes. A flow spends its share
+//! on few jobs at a time, each with all the tasks it can use, so that jobs that have started also finish. A part of the
+//! share is spent in order of arrival. The rest goes to the largest number of jobs that can be done in time (Moore, "An
+//! n job, one machine sequencing algorithm for minimizing the number of late jobs", 1968, with the share as the
+//! machine), earliest deadline first, and then by remaining work.
 //!
-//! Nothing is remembered from one division to the next: a new leader divides as the last one did.
+//! No state is kept from one division to the next, so a new leader divides as the previous one did.
 
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -15,35 +15,35 @@
 
 use crate::fair::{self, Party};
 
-/// The part of a pool that ranks below the highest have between them, however much is wanted above.
+/// The fraction of a pool that all ranks below the highest get together, whatever the demand of the highest.
 pub const LEAST: f64 = 1.0 / 16.0;
-/// The part of a flow's share that goes by arrival, so that no job waits for ever for smaller ones.
+/// The fraction of a flow's share that is spent in order of arrival, so that small jobs can't starve a large one.
 pub const BY_ARRIVAL: f64 = 1.0 / 16.0;
-/// The part of a flow's share that goes to first tasks of jobs whose turn is not yet, by arrival: each is
-/// begun within a wait that has a bound, long before it can be done.
+/// The fraction of a flow's share that goes to first tasks of jobs whose turn has not come, in order of arrival. It
+/// bounds the wait for a job's first task, which starts long before the whole job can be done.
 pub const FIRST: f64 = 1.0 / 16.0;
-/// The most of a share that first tasks get where that is needed for each to come within [`FIRST_WITHIN_S`].
+/// The largest fraction of a share that first tasks get, if they need it to start within [`FIRST_WITHIN_S`].
 pub const FIRST_MOST: f64 = 0.15;
 const FIRST_WITHIN_S: f64 = 200.0;
-/// The largest jobs of a flow have so much of its share as they are of its work, times this, and at most half; of
-/// these too the least work goes first. With the least work first of all alone, of gangs of sixteen beside small
-/// ones fewer than a third were ever begun.
+/// The largest jobs of a flow get a fraction of its share: their fraction of the flow's work times this, and at most
+/// half. Among them the job with the least remaining work goes first. Ordering all jobs by least work alone, fewer than
+/// a third of gangs of 16 tasks ever started beside small ones.
 pub const LARGE: f64 = 0.75;
 const LARGE_MOST: f64 = 0.5;
-/// From twice to eight times a share of demand that part grows from nothing: a rush that will soon be over leaves the
-/// largest time enough, and their part would only make others late.
+/// The ratios of demand to share between which that fraction grows from zero to its full value: after a short rush
+/// there is time enough for the largest jobs, and an earlier start would only delay others.
 const LARGE_DEMAND: (f64, f64) = (2.0, 8.0);
-/// A job is one of the largest where so many of its flow are no larger.
+/// A job counts as one of the largest if this fraction of its flow's jobs is no larger.
 const LARGE_FROM: f64 = 0.85;
-/// How far beyond its share a flow names jobs, for places that the first in turn can't use.
+/// How far beyond its share a flow admits jobs, for capacity that the first jobs in turn can't use.
 pub const SPARE: f64 = 0.25;
-/// How much more the work of a gang counts for each instant missed by which it was expected to start: one
-/// that can still start in time, and costs little, goes before one that can't.
+/// Factor on the work of a gang for each objective time for its start that it has missed: a gang that can still start
+/// in time, and takes little work, goes before one that can't.
 const MISSED: f64 = 4.0;
-/// The least part of the estimated time that a job takes: owners' estimates are often too high.
+/// The smallest fraction of its estimated run time that a task is assumed to take: estimates are often too high.
 const ESTIMATE: f64 = 0.6;
 
-/// One job with unfinished tasks.
+/// A job with unfinished tasks, as input to the division of a pool.
 #[derive(Clone, Debug)]
 pub struct Offer<'a> {
     pub team: &'a str,
@@ -54,31 +54,30 @@
     pub arrival: u64,
     /// Tasks that are not done.
     pub tasks: u32,
-    /// Tasks that it was submitted with.
+    /// Tasks that the job was submitted with.
     pub of: u32,
-    /// It starts whole or not at all.
+    /// All tasks start together or none does.
     pub whole: bool,
-    /// Some of its tasks run: it keeps its floor.
+    /// Some of its tasks run: the job keeps its minimum.
     pub begun: bool,
     /// Tasks that run or are done.
     pub started: u32,
-    /// What one task takes of the pool, with what it makes unusable of its machine.
+    /// What one task takes of the pool, including what it makes unusable on its machine.
     pub size: f64,
-    /// What one task takes of its team's limit: no more than it asks for.
+    /// What one task takes of its team's limit: no more than the task requests.
     pub taken: f64,
-    /// The most of the pool that its tasks could use, on machines that it may run on.
+    /// The most of the pool that its tasks can use on the machines that are eligible for it.
     pub usable: f64,
     /// Estimated run time of a task, in seconds.
     pub task_s: f64,
-    /// Seconds left until the nearest instant by which the job is expected to be done and can be, as
-    /// [`nearest`] finds it; none: nothing is expected any more.
+    /// Seconds until the nearest deadline that can still be met, as [`nearest_reachable_deadline`] finds it; none if no
+    /// deadline can be met.
     pub due_s: Option<f64>,
-    /// How many of the instants have passed by which it was expected to start.
+    /// How many of the objective times for its start have passed.
     pub starts_missed: u8,
 }
 
-/// Of the instants by which a job is expected to be done, in seconds from now, the nearest that can still
-/// be met by tasks estimated to take `task_s`.
+/// The nearest of a job's deadlines, in seconds from now, that can still be met by tasks estimated to take `task_s`.
 pub fn nearest(due_s: impl Iterator<Item = f64>, task_s: f64) -> Option<f64> {
     due_s.filter(|due| *due > task_s * ESTIMATE).min_by(f64::total_cmp)
 }
@@ -88,17 +87,17 @@
         f64::from(self.tasks) * self.size
     }
 
-    /// Work that is left, in the pool's unit times seconds.
+    /// Remaining work, in the pool's unit times seconds.
     fn work(&self) -> f64 {
         self.demand() * self.task_s.max(1.0)
     }
 
-    /// It has had no more than a first task.
+    /// At most the first task of the job has started, and that one still runs.
     fn hardly_begun(&self) -> bool {
         !self.whole && self.started <= 1 && (self.begun || self.started == 0)
     }
 
-    /// The fewest tasks that it is given once admitted.
+    /// The fewest tasks that the job gets once admitted.
     pub fn floor(&self) -> u32 {
         if self.whole { self.tasks } else { self.tasks.min(1) }
     }
@@ -107,34 +106,36 @@
 /// What a team is entitled to in this pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Entitlement {
-    /// Goes to its work before anything else is given out.
+    /// Goes to the team's work before anything else is divided.
     pub guarantee: f64,
-    /// The most it may use; 0: no limit.
+    /// The most that the team may use; 0: no limit.
     pub limit: f64,
 }
 
-/// When a job's turn comes.
+/// When an admitted job may start tasks, relative to the other jobs of its rank. The variants are in order of
+/// precedence, except that [`Turn::Usual`] leaves the order to rank and arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Turn {
-    /// There is room for all of its flow: by rank and arrival.
+    /// The supply suffices for the whole flow: by rank and arrival.
     #[default]
     Usual,
-    /// One task, the job's first, long before its turn; not another when that has ended.
+    /// Only the job's first task, long before its turn; no other task when that one has ended.
     First,
-    /// In this place among the jobs that its flow's share is spent on.
+    /// Position among the jobs on which the flow's share is spent.
     Nth(u32),
-    /// It takes what those leave, in this order.
+    /// Uses capacity that the jobs before it leave, in this order.
     Spare(u32),
-    /// It has waited for long and takes what all others leave idle: what it starts with, and no more when that ends.
+    /// The job has waited for long and uses what all others leave idle: only the tasks that it starts with, and no more
+    /// when they end.
     Backfill,
 }
 
-/// What is decided on an offer.
+/// Decision on a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// Up to so many tasks at a time.
+    /// The job may run up to this many tasks at a time.
     Admitted { most: u32, turn: Turn },
-    /// Not before others are done.
+    /// The job waits until others are done.
     Waits,
 }
 
@@ -151,7 +152,7 @@
 
 type FlowKey<'a> = (u8, &'a str, &'a str);
 
-/// Divides a pool: one verdict for each offer, in order, and what each flow has.
+/// Divides a pool: returns a decision for each job, in the order of `offers`, and each flow's share.
 pub fn divide(
     offers: &[Offer<'_>],
     supply: f64,
@@ -163,7 +164,7 @@
     }
     let demands: Vec<f64> = flows.values().map(|f| f.iter().map(|i| offers[*i].demand()).sum()).collect();
     let keys: Vec<FlowKey> = flows.keys().copied().collect();
-    // A share of machines that it can't run on would be lost to the others.
+    // A share of machines that the flow's jobs can't run on would be lost to the other flows.
     let usable = |flow: &Vec<usize>| flow.iter().map(|i| offers[*i].usable).fold(0.0, f64::max);
     let wanted: Vec<f64> = flows.values().zip(&demands).map(|(f, d)| d.min(usable(f))).collect();
     let entitled = |team: &str| in_the_pool(offers, team, entitled(team));
@@ -190,7 +191,7 @@
     (verdicts, rows)
 }
 
-/// A team's limit as the pool counts: its tasks make more of their machines unusable than counts against the limit.
+/// A team's limit in the pool's unit: tasks make more of their machines unusable than counts against the limit.
 fn in_the_pool(offers: &[Offer<'_>], team: &str, entitled: Entitlement) -> Entitlement {
     if entitled.limit <= 0.0 {
         return entitled;
@@ -202,7 +203,7 @@
     Entitlement { limit: entitled.limit * more, ..entitled }
 }
 
-/// Divides the supply among flows: guarantees, the least part of each, then rank by rank.
+/// Divides the supply among flows: first the guarantees, then the minimum of lower ranks, then rank by rank.
 fn flow_shares(
     keys: &[FlowKey],
     demands: &[f64],
@@ -219,7 +220,7 @@
         let limit = entitled(team).limit;
         if limit > 0.0 { limit } else { f64::INFINITY }
     };
-    // Within a guarantee a team's own ranks go first.
+    // Within a guarantee a team's higher ranks go first.
     let wanted =
         |team: &str, flows: &[usize]| flows.iter().map(|i| demands[*i]).sum::<f64>().min(limit(team));
     let names: Vec<&str> = teams.keys().copied().collect();
@@ -240,7 +241,7 @@
                 give(&mut shares, demands, part, teams[team].iter().copied().filter(|i| keys[*i].0 == rank));
         }
     }
-    // Then no flow is at nothing: each of the lower ranks has its part of a least part.
+    // Then the flows of lower ranks get an equal part of the minimum, so that none is left at zero.
     let top = keys.iter().map(|k| k.0).max().unwrap_or(0);
     let below: Vec<usize> = (0..keys.len()).filter(|i| keys[*i].0 < top).collect();
     let each = if below.is_empty() { 0.0 } else { supply * LEAST / below.len() as f64 };
@@ -273,7 +274,7 @@
     shares
 }
 
-/// Adds to the shares of some flows what they lack, equally, out of `part`; how much.
+/// Distributes `part` equally among flows, up to their unmet demand, and returns how much was added to the shares.
 fn give(shares: &mut [f64], demands: &[f64], part: f64, flows: impl Iterator<Item = usize>) -> f64 {
     let flows: Vec<usize> = flows.collect();
     let party = |i: &usize| Party { demand: demands[*i] - shares[*i], weight: 1.0 };
@@ -286,7 +287,7 @@
     given
 }
 
-/// Spends a flow's share on its jobs. Those that run keep their floors whatever their turn.
+/// Spends a flow's share on its jobs. Jobs that run keep their minimum whatever their turn.
 fn spend(offers: &[Offer<'_>], flow: &[usize], share: f64, verdicts: &mut [Verdict]) {
     let mut by_arrival = flow.to_vec();
     by_arrival.sort_unstable_by_key(|i| offers[*i].arrival);
@@ -302,7 +303,7 @@
         }
     }
     let large = large_from(offers, flow);
-    // One that is begun goes on: its tasks differ by what is left of them alone.
+    // A job that has started goes on: tasks that are done count as no remaining work.
     let left_of = |i: &usize| offers[*i].task_s * f64::from(offers[*i].of) * offers[*i].size;
     let mut largest: Vec<usize> = rest.extract_if(.., |i| offers[*i].of >= large).collect();
     largest
@@ -324,10 +325,10 @@
     }
     let left = (share * (1.0 - BY_ARRIVAL) - of_large).max(share * BY_ARRIVAL);
     order.extend(most_in_time(offers, rest, left));
-    // A gang that runs holds its places, whatever else is decided.
+    // A running gang keeps its machines in any case.
     let held: f64 =
         flow.iter().filter(|i| offers[**i].whole && offers[**i].begun).map(|i| offers[*i].demand()).sum();
-    // What first tasks may take of the share; what they don't is spent like the rest.
+    // The part of the share that first tasks may take. What they leave is spent like the rest.
     let hardly = || flow.iter().filter(|i| offers[**i].hardly_begun()).map(|i| &offers[*i]);
     let in_time: f64 = hardly().map(|o| o.size * o.task_s.max(1.0) / FIRST_WITHIN_S).sum();
     let part = in_time.clamp(share * FIRST, share * FIRST_MOST);
@@ -353,7 +354,7 @@
             last = Some((turn, i, most));
         }
     }
-    // Those that have their first task keep its place until it ends; then it is the next one's, by arrival.
+    // A first task keeps its place until it ends. Then the place goes to the next job, by arrival.
     let mut firsts: Vec<usize> = later.iter().map(|l| l.1).filter(|i| offers[*i].hardly_begun()).collect();
     firsts.sort_unstable_by_key(|i| (!offers[*i].begun, offers[*i].arrival));
     for i in firsts {
@@ -395,7 +396,7 @@
     }
 }
 
-/// From how many tasks on a job of a flow is one of its largest; where none is larger than others, none is.
+/// The number of tasks from which a job counts as one of the largest of its flow; `u32::MAX` if all are of one size.
 fn large_from(offers: &[Offer<'_>], flow: &[usize]) -> u32 {
     let mut sizes: Vec<u32> = flow.iter().map(|i| offers[*i].of).collect();
     sizes.sort_unstable();
@@ -404,7 +405,7 @@
     if from > least { from } else { u32::MAX }
 }
 
-/// A job's work, for a heap of which the largest leaves first.
+/// A job's work in a max-heap: the largest is removed first.
 #[derive(PartialEq)]
 struct Largest(f64, usize);
 impl Eq for Largest {}
@@ -419,11 +420,12 @@
     }
 }
 
-/// The jobs in the order in which a share is spent on them: if all can be done in time, earliest due
-/// first; else by the work that is left, where the most that can be done in time count half, and gangs
-/// more that have missed their start.
+/// Orders jobs for spending a share. If all of them can be done in time: earliest deadline first. Else by remaining
+/// work, which counts half for the largest set of jobs that can be done in time, and more for gangs that have missed
+/// their start.
 ///
-/// Owners' estimates are too rough, and jobs come too often, for the due to order those that can.
+/// In that case the deadlines do not order the jobs that can be done in time: estimates are too rough for that, and new
+/// jobs arrive too often.
 fn most_in_time(offers: &[Offer<'_>], jobs: Vec<usize>, share: f64) -> Vec<usize> {
     struct Row {
         job: usize,
@@ -438,7 +440,7 @@
         .map(|job| {
             let o = &offers[job];
             let due = o.due_s.unwrap_or(f64::INFINITY);
-            // Only what starts whole can miss its start as a whole.
+            // Only a job whose tasks start together can miss its start.
             let missed = if o.whole { o.starts_missed } else { 0 };
             Row { job, arrival: o.arrival, work: o.work(), due, in_time: o.due_s.is_some(), missed }
         })
--- a/crates/admission/src/pool/tests.rs
+++ b/crates/admission/src/pool/tests.rs
@@ -1,4 +1,4 @@
-//! How a pool is divided, and what holds of every division.
+//! Tests of the division of a pool.
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
@@ -26,8 +26,8 @@
     }
 }
 
-/// Random pools: nothing is given out twice, no guarantee is broken, no flow is at nothing, and what
-/// a flow has is spent on its jobs.
+/// Random pools: no more than the supply is divided, guarantees are kept, no flow is left at zero, and a flow's share
+/// is spent on its jobs.
 #[test]
 fn shares_are_kept_and_spent() {
     for seed in 0..400 {
@@ -95,9 +95,8 @@
     }
 }
 
-/// Guards against a share of machines that the flow can't run on: with sixteen times the urgent gangs,
-/// which need large machines, arrays that run on small ones were held to the least part beside idle
-/// machines.
+/// Guards against a share of machines that the flow's jobs can't run on: under sixteen times the usual number of urgent
+/// gangs, which need large machines, arrays that run on small machines got only the minimum while machines were idle.
 #[test]
 fn what_a_flow_cannot_use_is_the_others() {
     let urgent = (0..50).map(|n| Offer { usable: 30.0, ..offer("red", "rush", 2, n, 10) });
@@ -108,9 +107,9 @@
     assert_eq!((share("rush"), share("any")), (Some(30.0), Some(70.0)));
 }
 
-/// Guards every job of a flood against waiting until it could be done: each has its first task within a
-/// wait that follows from the jobs before it and the part kept for first tasks, and nearly as many are
-/// done as the pool could do with nothing but the smallest.
+/// Guards jobs against starvation when many arrive at once: each starts its first task within a bound that follows from
+/// the jobs before it and from the fraction kept for first tasks, and nearly as many jobs finish as if the smallest
+/// always went first.
 #[test]
 fn in_a_flood_each_job_has_a_first_task_soon_and_few_less_are_done() {
     let (supply, task_s) = (160.0, 40u64);
@@ -154,7 +153,7 @@
         }
     }
     assert_eq!(waits.len(), 200, "jobs without a first task");
-    // Ten places of 40 s for 200 first tasks.
+    // Ten slots of 40 s each for 200 first tasks.
     let longest = waits.values().max();
     assert!(longest.is_some_and(|s| *s <= 800), "waited {longest:?} s");
     sizes.sort_unstable();
@@ -167,8 +166,8 @@
     assert!(best < 160 && done * 10 >= best * 8, "{done} done of {best} that could be");
 }
 
-/// A pool that works as it divides: how long a job of `tasks` takes beside an endless stream of
-/// others, in seconds; none if it has not ended.
+/// Simulates a pool of 32 slots and returns after how many seconds the job `one` ends beside an endless stream of other
+/// jobs; none if it does not end.
 fn beside_a_stream(mut one: Offer<'static>, stream: fn(u64) -> Offer<'static>) -> Option<u64> {
     let mut offers: Vec<Offer> = (1..40).map(stream).collect();
     one.arrival = 40;
@@ -177,7 +176,7 @@
     for second in 0..4_000u64 {
         offers.extend((0..2).map(|k| stream(100 + second * 2 + k)));
         let (verdicts, _) = divide(&offers, 32.0, |_| Entitlement::default());
-        // The first in turn have the places; room is held back for a gang until it fits.
+        // Slots go to jobs in order of their turn. A gang that does not fit is skipped.
         let mut turns: Vec<(Turn, usize, u32)> = Vec::new();
         for (i, v) in verdicts.iter().enumerate() {
             if let Verdict::Admitted { most, turn } = v {
@@ -211,13 +210,13 @@
     None
 }
 
-/// Guards large jobs and gangs against small ones that never end, and lower ranks against urgent work:
-/// each wait has a bound that follows from the share.
+/// Guards large jobs and gangs against starvation by an endless stream of small jobs, and lower ranks against urgent
+/// work: each wait has a bound that follows from the share.
 #[test]
 fn no_stream_holds_a_job_at_nothing_for_ever() {
     let small = |n| offer("red", "any", 1, n, 4);
     let urgent = |n| offer("red", "rush", 2, n, 40);
-    // 40 jobs of 4 tasks come before, by arrival on two places: 80 s of 32 places' work, and its own.
+    // By arrival on 2 of 32 slots: 800 s for 40 earlier jobs of 4 tasks, then 1500 s for its own 300 tasks.
     let large = beside_a_stream(offer("red", "any", 1, 0, 300), small);
     assert!(large.is_some_and(|s| s <= 2_400), "the large array took {large:?} s");
     let gang = beside_a_stream(Offer { whole: true, ..offer("red", "any", 1, 0, 16) }, small);
@@ -228,8 +227,8 @@
     assert!(other.is_some_and(|s| s <= 60), "the other class took {other:?} s");
 }
 
-/// Guards a team against waiting at a limit that it has not reached: what its tasks make unusable of their machines
-/// counted against it, and of four tasks with one accelerator each, under a limit of four, only three were admitted.
+/// Guards a team against being held below its limit: capacity that its tasks make unusable on their machines counted
+/// against the limit, and of four tasks with one accelerator each, under a limit of four, only three were admitted.
 #[test]
 fn a_teams_limit_counts_what_its_tasks_take_and_not_what_they_make_unusable() {
     for wide in 0..=4 {
--- a/crates/blame/src/lib.rs
+++ b/crates/blame/src/lib.rs
@@ -1,73 +1,74 @@
-//! Whether it was the job or the machine, when tasks fail.
+//! Attribution of task failures to the job or to the machine.
 //!
-//! A faulty machine fails every task that it starts, and a job submitted with a mistake fails on every machine.
-//! One failure tells nothing; what tells them apart is who else failed where:
+//! A faulty machine fails every task that it starts, and a job submitted with a mistake fails on every machine. One
+//! failure does not tell which of them is at fault; the failures of other jobs and on other machines do:
 //!
-//! - a job that has failed on [`SEVERAL`] machines and has never succeeded anywhere is *mistaken*. It is tried
-//!   ever more rarely, and says nothing against the machines that it failed on;
-//! - a machine on which [`PROVEN`] jobs have failed that succeeded elsewhere, or [`DOUBTED`] of which nothing
-//!   else is known, and none has succeeded since, is *faulty*. It says nothing against the jobs that failed there.
+//! - a job that has failed on [`BROKEN_JOB_MACHINES`] machines and has never succeeded is *broken*. It is tried less
+//!   and less often, and its failures do not count against the machines;
+//! - a machine is *faulty* if nothing has succeeded on it since [`FAULTY_KNOWN_GOOD_JOBS`] jobs failed there that
+//!   succeeded elsewhere, or [`FAULTY_SUSPECT_JOBS`] jobs that are not broken. Failures on a faulty machine do not
+//!   count against the jobs.
 //!
-//! Each conclusion takes evidence away from the other, so both are drawn anew from what is left: a job whose bad
-//! luck was a machine gets its standing back, and a machine that only met mistaken jobs is in order.
+//! Each conclusion removes evidence for the other, so both are drawn anew from what remains: a job that only met faulty
+//! machines becomes healthy again, and so does a machine that only ran broken jobs.
 //!
-//! A plain state machine: outcomes and times in, standings out. Nothing here is recorded. Every controller notes
-//! what it hears of all machines, so an heir knows what its predecessor knew, and one that has just begun learns
-//! it again at the price of a few tries.
+//! This is a state machine without I/O or clock, and nothing of it is stored. Every controller records the outcomes
+//! that it receives for all machines, so a successor knows what its predecessor knew. A controller that has just
+//! started learns it again at the cost of a few attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use marblewalk_units::Micros;
 
-/// Machines on which a job must have failed, and have succeeded on none, to count as mistaken.
+/// Machines on which a job must have failed, without success on any, to count as broken.
 pub const SEVERAL: usize = 2;
-/// Jobs that succeeded elsewhere and must have failed on a machine for it to count as faulty.
+/// Jobs that have succeeded elsewhere and must have failed on a machine for it to count as faulty.
 pub const PROVEN: usize = 2;
-/// Jobs of which nothing else is known that must have failed there.
+/// Jobs that are not broken and must have failed on a machine for it to count as faulty.
 pub const DOUBTED: usize = 4;
-/// Machines remembered for a job: more tell no more.
+/// The most machines recorded for one job; further ones add no evidence.
 const MOST_MACHINES: usize = 64;
-/// The pause after a mistaken job's first failed try, which doubles with each, and the longest.
+/// The pause after the first failed attempt of a broken job, which doubles with each attempt, and the longest pause.
 const FIRST_PAUSE: Micros = Micros::from_secs(2);
 const LONGEST_PAUSE: Micros = Micros::from_secs(64);
 
-/// How a job stands.
+/// Whether a job itself appears to be the cause of its failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing speaks against it that a machine does not explain.
+    /// Any failures of the job are explained by faulty machines.
     Good,
-    /// It fails wherever it goes: not to be tried before this instant, and then one task only.
+    /// The job fails on every machine: it may next be tried at `retry_at`, with one task only.
     Mistaken { until: Micros },
 }
 
 #[derive(Clone, Debug, Default)]
 struct Tried {
-    /// Where it failed.
+    /// Machines on which it has failed.
     on: BTreeSet<String>,
     succeeded: bool,
-    /// Tries since it has counted as mistaken, and when the next may be.
+    /// Attempts since the job has counted as broken, and when the next one may be made.
     tries: u32,
     until: Micros,
 }
 
-/// What is known of jobs and machines on which something has failed.
+/// Failures of jobs and machines.
 #[derive(Clone, Debug, Default)]
 pub struct Blame {
     jobs: BTreeMap<String, Tried>,
     machines: BTreeMap<String, Failed>,
 }
 
-/// What has failed on a machine since something last succeeded there.
+/// Failures on a machine since a task last succeeded there.
 #[derive(Clone, Debug, Default)]
 struct Failed {
     jobs: BTreeSet<String>,
-    /// Jobs that failed there, succeeded elsewhere and are over.
+    /// Number of jobs that failed there, succeeded elsewhere and have ended.
     over: usize,
 }
 
 impl Blame {
-    /// A task of a job has failed on a machine. `succeeded`: the job is known to have succeeded on some machine,
-    /// or to run well on another.
+    /// Records that a task of a job has failed on a machine. `succeeded`: the job is known to have succeeded on some
+    /// machine, or to run well on another.
     pub fn failed(&mut self, now: Micros, job: &str, machine: &str, succeeded: bool) {
         let tried = self.jobs.entry(job.to_owned()).or_default();
         tried.succeeded |= succeeded;
@@ -78,7 +79,7 @@
         if !self.mistaken(job) {
             return;
         }
-        // Many tasks of one try fail together: they are one failure.
+        // Many tasks of one attempt fail together: they count as one failure.
         if let Some(tried) = self.jobs.get_mut(job).filter(|t| t.until <= now) {
             let pause = FIRST_PAUSE.mul_f64(f64::from(1u32 << tried.tries.min(5))).min(LONGEST_PAUSE);
             tried.tries += 1;
@@ -86,7 +87,7 @@
         }
     }
 
-    /// A task of a job has completed on a machine, so both are in order.
+    /// Records that a task of a job has completed on a machine, which shows that both are in order.
     pub fn succeeded(&mut self, job: &str, machine: &str) {
         self.machines.remove(machine);
         if let Some(tried) = self.jobs.get_mut(job) {
@@ -96,12 +97,12 @@
         }
     }
 
-    /// Machines that a job failed on, and that are in order as far as is known: for them it must answer itself.
+    /// Machines on which a job has failed and that are not proven faulty: the job itself may be the cause.
     fn unexplained<'a>(&'a self, tried: &'a Tried) -> impl Iterator<Item = &'a String> {
         tried.on.iter().filter(|machine| !self.proven(machine))
     }
 
-    /// Enough jobs have failed on a machine that succeeded elsewhere.
+    /// Whether enough jobs that succeeded elsewhere have failed on a machine.
     fn proven(&self, machine: &str) -> bool {
         let Some(failed) = self.machines.get(machine) else { return false };
         let known = failed.jobs.iter().filter(|job| self.jobs.get(*job).is_some_and(|t| t.succeeded));
@@ -120,13 +121,13 @@
         }
     }
 
-    /// Whether every task fails on a machine, whatever it is of.
+    /// Whether a machine fails the tasks of every job.
     pub fn faulty(&self, machine: &str) -> bool {
         let Some(failed) = self.machines.get(machine) else { return false };
         self.proven(machine) || failed.over + self.not_mistaken(failed) >= DOUBTED
     }
 
-    /// How much speaks against starting a job on a machine: the least comes first.
+    /// Evidence against starting a job on a machine: the machine with the lowest value is preferred.
     pub fn doubt(&self, job: &str, machine: &str) -> usize {
         let Some(failed) = self.machines.get(machine) else { return 0 };
         if failed.jobs.contains(job) { usize::MAX } else { failed.over + self.not_mistaken(failed) }
@@ -136,7 +137,7 @@
         failed.jobs.iter().filter(|job| !self.mistaken(job)).count()
     }
 
-    /// Nothing has failed anywhere, as far as is known.
+    /// Whether no machine has a failure on record.
     pub fn nothing(&self) -> bool {
         self.machines.is_empty()
     }
@@ -146,7 +147,8 @@
         self.jobs.get(job).map(|t| t.on.iter().cloned().collect()).unwrap_or_default()
     }
 
-    /// A job is over. What it says against a machine stands if it succeeded elsewhere; else nobody will ever know.
+    /// Records that a job has ended. Its failures still count against the machines if it succeeded elsewhere; otherwise
+    /// their cause will never be known.
     pub fn job_over(&mut self, job: &str) {
         let Some(tried) = self.jobs.remove(job) else { return };
         for machine in tried.on {
@@ -161,8 +163,9 @@
         }
     }
 
-    /// A machine is no more. What failed there still speaks against its jobs, unless the machine was faulty: a
-    /// fleet that shrinks for want of work would else forget them all, and try each again at once.
+    /// Records that a machine has been removed. Failures there still count against its jobs, unless the machine was
+    /// faulty: otherwise a cluster that shrinks for lack of work would forget them all and try every broken job again
+    /// at once.
     pub fn machine_gone(&mut self, machine: &str) {
         if !self.faulty(machine) {
             self.machines.remove(machine);
@@ -182,8 +185,8 @@
 
     use super::*;
 
-    /// Guards healthy machines against jobs that fail wherever they go, and such jobs' victims against faulty
-    /// machines: both at once, in any order, with several of each.
+    /// Guards healthy machines against broken jobs, and healthy jobs against faulty machines, when there are several of
+    /// both and they fail in any order.
     #[test]
     fn mistaken_jobs_and_faulty_machines_are_told_apart() {
         for seed in 0..300 {
@@ -203,7 +206,8 @@
                 if done[j] || held {
                     continue;
                 }
-                // Placed as the scheduler does: where least speaks against it, and not on what is set apart.
+                // Placed as the scheduler does: on the machine with the least evidence against it, and not on faulty
+                // ones.
                 let there = (0..machines).filter(|m| !blame.faulty(&name("m", *m)));
                 let m = there.min_by_key(|m| (blame.doubt(&job, &name("m", *m)), rng.random::<u32>()));
                 let m = m.expect("a machine is left");
@@ -229,8 +233,8 @@
         }
     }
 
-    /// Guards the machines' time, and the records: the tries of a mistaken job become rare, and its hundred tasks
-    /// that fail together count as one try.
+    /// Guards machine time and the records of the state service: a broken job is tried less and less often, and 100
+    /// tasks that fail together count as one attempt.
     #[test]
     fn a_mistaken_job_is_tried_ever_more_rarely() {
         let mut blame = Blame::default();
@@ -248,7 +252,7 @@
         assert!((5..=15).contains(&tries), "{tries} tries in ten minutes");
     }
 
-    /// Guards a job against its bad luck: what failed on machines that turn out to be faulty is forgiven.
+    /// Guards healthy jobs: failures on machines that turn out to be faulty no longer count against a job.
     #[test]
     fn a_job_that_met_faulty_machines_gets_its_standing_back() {
         let mut blame = Blame::default();
--- a/crates/hearing/src/tests.rs
+++ b/crates/hearing/src/tests.rs
@@ -1,4 +1,4 @@
-//! What later reports show of a machine's hearing.
+//! Tests of what reports show of answers that were sent before.
 
 use super::*;
 
@@ -8,7 +8,7 @@
     Shown { session, tally, token, start }
 }
 
-/// Guards against trust in answers: sent is not arrived.
+/// Guards against taking an answer that was sent for one that arrived.
 #[test]
 fn what_later_reports_do_not_show_did_not_arrive() {
     let mut h = Hearing::default();
@@ -23,8 +23,8 @@
     assert!(!h.deaf(), "it has seen the token");
 }
 
-/// Guards against the machine whose tasks die again and again while it seems alive: its session rises though
-/// it was answered. One that was really not answered for so long is not deaf.
+/// Guards against a machine that seems alive while its tasks die again and again: it begins new sessions although its
+/// reports are answered. A machine that was really not answered for that long does not count as unreachable.
 #[test]
 fn a_session_that_ends_although_it_was_answered_shows_it_too() {
     for (pause, deaf) in [(5, true), (20, false)] {
@@ -35,13 +35,13 @@
     }
 }
 
-/// Guards machines that hear against one answer that was lost, and against copies that come late.
+/// Guards reachable machines against single lost answers and late duplicates of reports.
 #[test]
 fn one_lost_answer_or_an_old_copy_proves_nothing() {
     let mut h = Hearing::default();
     for n in 1..40 {
         let now = Micros::from_secs(3 * n);
-        // Every other answer is lost; a copy of an older report comes in between.
+        // Every other answer is lost, and a duplicate of an older report arrives in between.
         let arrived = n % 2 == 0;
         h.reported(now, shown(1, 10 * n, 7, arrived), LEASE);
         h.answered(now, shown(1, 10 * n, 7, arrived), 7, true);
@@ -50,8 +50,8 @@
     }
 }
 
-/// Guards machines that hear against reports that were kept back and come all at once, to a controller that remembers
-/// nothing: each was answered and the next did not show it, so the machine was taken for deaf and answered no more.
+/// Guards reachable machines against delayed reports that all arrive at once at a controller without state: each was
+/// answered and the next did not show the answer, so the machine was taken for unreachable and not answered any more.
 #[test]
 fn reports_that_were_kept_back_and_come_at_once_prove_nothing() {
     let mut h = Hearing::default();
@@ -60,7 +60,7 @@
         h.reported(now, old, LEASE);
         h.answered(now, old, 9, true);
     }
-    // The session that they tell of was over, and its end is no sign either.
+    // The session of these reports had ended, and its end is no evidence either.
     h.reported(Micros::from_secs(3), shown(2, 30, 7, false), LEASE);
     assert!(!h.deaf());
     h.answered(Micros::from_secs(3), shown(2, 30, 7, false), 9, false);
--- a/crates/retry/src/lib.rs
+++ b/crates/retry/src/lib.rs
@@ -1,26 +1,26 @@
-//! One rule for calls that are repeated: how soon, and how much later each time.
+//! Exponential backoff with jitter for calls that are repeated.
 //!
-//! A [`Rule`] says how the pauses grow, and a [`Backoff`] keeps where one call stands. Plain state: the
-//! caller brings time and chance. How many calls there may be at all is for the caller's budget to say.
+//! A [`BackoffPolicy`] defines how the delays grow, and a [`Backoff`] holds the state of one call. The caller supplies
+//! the time and the random numbers, and limits the total number of calls.
 
 use marblewalk_units::Micros;
 use rand::{Rng, RngExt};
 
-/// How pauses between repeated calls grow.
+/// How the delays between repeated calls grow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
-    /// The pause after the first failure.
+    /// The delay after the first failure.
     pub first: Micros,
-    /// No pause is longer, apart from chance.
+    /// The longest delay, without jitter.
     pub most: Micros,
-    /// Each pause is so many times the one before.
+    /// The factor by which each delay is longer than the one before.
     pub growth: f64,
-    /// Up to this part of a pause is added by chance, so that many callers do not come together.
+    /// Up to this fraction of a delay is added at random, so that many callers do not retry at the same time.
     pub jitter: f64,
 }
 
 impl Rule {
-    /// The pause after so many failures in a row, without chance; none after none.
+    /// The delay after this many failures in a row, without jitter; zero without a failure.
     pub fn pause(&self, failures: u32) -> Micros {
         if failures == 0 {
             return Micros::ZERO;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Where one repeated call stands.
+/// The backoff state of one repeated call.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Backoff {
     failures: u32,
@@ -43,7 +43,7 @@
         now >= self.until
     }
 
-    /// When it may next be made.
+    /// When the call may next be made.
     pub fn until(&self) -> Micros {
         self.until
     }
@@ -53,7 +53,7 @@
         self.failures
     }
 
-    /// The call has failed: it waits. Returns when it may be made again.
+    /// Records a failure and returns when the call may be repeated.
     pub fn failed(&mut self, now: Micros, rule: &Rule, rng: &mut impl Rng) -> Micros {
         self.failures = self.failures.saturating_add(1);
         let pause = rule.pause(self.failures);
@@ -62,7 +62,7 @@
         self.until
     }
 
-    /// The call has succeeded.
+    /// Records a success, which resets the backoff.
     pub fn succeeded(&mut self) {
         *self = Backoff::default();
     }
@@ -95,7 +95,7 @@
         assert_eq!(Rule { most: Micros::ZERO, ..RULE }.pause(9), RULE.first, "a bound below the first pause");
     }
 
-    /// Guards against a storm: what fails together must not come back together.
+    /// Guards against a retry storm: callers that fail together must not retry together.
     #[test]
     fn callers_that_fail_together_come_back_apart() {
         let mut rng = StdRng::seed_from_u64(2);
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -1,10 +1,10 @@
-//! Newtypes for times and amounts. Times are whole microseconds throughout.
+//! Types for times and for amounts of resources. Times are whole microseconds.
 
 use std::ops::{Add, AddAssign, Sub};
 
 use bitcode::{Decode, Encode};
 
-/// A span of time, or an instant on a process's own steady clock, in microseconds.
+/// A span of time, or an instant on the process's own monotonic clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Micros(pub u64);
 
@@ -20,7 +20,7 @@
         Micros(s * 1_000_000)
     }
 
-    /// Converts seconds as the protocols carry them; nonsense becomes zero, too much saturates.
+    /// Converts seconds as the protocols carry them. NaN and negative values become zero; too large ones saturate.
     pub fn from_secs_f64(s: f64) -> Self {
         Micros((s * 1e6).round().max(0.0) as u64)
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Amounts of processor, accelerator and memory, in thousandths so that sums are exact.
+/// Amounts of processors, accelerators and memory (GB), in thousandths so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Resources {
     pub cpu: u64,
@@ -71,13 +71,13 @@
 }
 
 impl Resources {
-    /// What a task needs: rounded up to a thousandth.
+    /// What a task requests: rounded up to a thousandth.
     pub fn need(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let up = |x: f64| (x * 1e3 - 1e-6).ceil().max(0.0) as u64;
         Resources { cpu: up(cpus), gpu: up(gpus), memory: up(memory_gb) }
     }
 
-    /// What a machine has: rounded down to a thousandth.
+    /// What a machine provides: rounded down to a thousandth.
     pub fn supply(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let down = |x: f64| (x * 1e3 + 1e-6).floor().max(0.0) as u64;
         Resources { cpu: down(cpus), gpu: down(gpus), memory: down(memory_gb) }
@@ -117,7 +117,7 @@
         Resources { cpu: f(self.cpu, o.cpu), gpu: f(self.gpu, o.gpu), memory: f(self.memory, o.memory) }
     }
 
-    /// How many times this need goes into `room`.
+    /// How many times this request fits in `room`; at most 2^20.
     pub fn times_in(self, room: Resources) -> u64 {
         let per = |need: u64, has: u64| has.checked_div(need).unwrap_or(u64::MAX);
         per(self.cpu, room.cpu).min(per(self.gpu, room.gpu)).min(per(self.memory, room.memory)).min(1 << 20)
