--- a/crates/admission/examples/cost.rs
+++ b/crates/admission/examples/cost.rs
@@ -5,9 +5,9 @@
 
 use std::time::Instant;
 
-use marblewalk_admission::door::{Capacity, Door};
-use marblewalk_admission::plan::{Planner, Rates, Word};
-use marblewalk_admission::pool::{self, Entitlement, Offer};
+use marblewalk_admission::pool::{self, Entitlement, JobRequest};
+use marblewalk_admission::rate_plan::{LoadReport, Planner, Rates};
+use marblewalk_admission::submission_limiter::{Capacity, SubmissionLimiter};
 use marblewalk_units::Micros;
 
 const CONTROLLERS: usize = 7;
@@ -24,54 +24,61 @@
 fn main() {
     let names: Vec<String> = (0..CLASSES).map(|n| format!("class-{n}")).collect();
     for classes in [2, CLASSES] {
-        let offers: Vec<Offer> = (0..JOBS)
-            .map(|n| Offer {
+        let jobs: Vec<JobRequest> = (0..JOBS)
+            .map(|n| JobRequest {
                 team: if n % 2 == 0 { "red" } else { "blue" },
                 class: &names[(n % classes) as usize],
                 rank: 1 + (n % 7 == 0) as u8,
                 arrival: n,
-                tasks: 1 + (n * 7_919 % 60) as u32,
-                of: 1 + (n * 7_919 % 60) as u32,
-                whole: n % 11 == 0,
-                begun: n % 5 == 0,
-                started: u32::from(n % 5 == 0),
-                taken: 1.0,
-                size: 1_000.0,
-                usable: 8_000e3,
-                task_s: 20.0 + (n * 31 % 90) as f64,
-                due_s: pool::nearest([(n % 300) as f64, (n % 600) as f64].into_iter(), 20.0),
-                starts_missed: (n % 3) as u8,
+                unfinished_tasks: 1 + (n * 7_919 % 60) as u32,
+                total_tasks: 1 + (n * 7_919 % 60) as u32,
+                gang: n % 11 == 0,
+                running: n % 5 == 0,
+                started_tasks: u32::from(n % 5 == 0),
+                quota_size: 1.0,
+                task_size: 1_000.0,
+                usable_supply: 8_000e3,
+                estimated_task_s: 20.0 + (n * 31 % 90) as f64,
+                due_s: pool::nearest_reachable_deadline(
+                    [(n % 300) as f64, (n % 600) as f64].into_iter(),
+                    20.0,
+                ),
+                missed_starts: (n % 3) as u8,
             })
             .collect();
         let took = per_call(50, || {
-            std::hint::black_box(pool::divide(&offers, 10_000e3, |_| Entitlement::default()));
+            std::hint::black_box(pool::divide(&jobs, 10_000e3, |_| Entitlement::default()));
         });
         println!("{JOBS} jobs of {classes} classes: a division takes {took:.0} us");
     }
-    let full = Capacity { per_s: 5.0, behind: Micros::from_secs(1) };
-    let mut door = Door::default();
+    let full = Capacity { submissions_per_s: 5.0, queue_delay: Micros::from_secs(1) };
+    let mut limiter = SubmissionLimiter::default();
     let mut id = 0u64;
     let took = per_call(20_000, || {
         id += 1;
         let class = &names[(id % CLASSES) as usize];
-        door.offer(Micros::from_millis(id), &format!("j-{id:06}"), "red", class, full);
+        limiter.decide(Micros::from_millis(id), &format!("j-{id:06}"), "red", class, full);
     });
     println!("{CLASSES} classes, all turned away: a submission takes {took:.1} us");
     let now = Micros::from_millis(id);
-    let mut planner = Planner::new(Micros::ZERO, 1, Rates { changes: 14_000, calls: 71_000 });
+    let mut planner = Planner::new(Micros::ZERO, 1, Rates { writes: 14_000, calls: 71_000 });
     let members: Vec<(String, u64)> = (0..CONTROLLERS).map(|n| (format!("quarry-{n}"), 1)).collect();
-    let word = Word {
-        life: 1,
+    let report = LoadReport {
+        registration: 1,
         clock: now,
-        offered: door.flows.offered(now),
-        appointments: door.tell(now),
+        offered_rates: limiter.flows.offered_rates(now),
+        retry_slots: limiter.take_unsent_slots(now),
         ..Default::default()
     };
     let took = per_call(200, || {
-        members.iter().for_each(|(m, _)| planner.heard(now, m, word.clone()));
-        std::hint::black_box(planner.plan(now, &members, 30.0));
+        members.iter().for_each(|(m, _)| planner.record_report(now, m, report.clone()));
+        std::hint::black_box(planner.next_plan(now, &members, 30.0));
     });
-    let plan = planner.plan(now, &members, 30.0);
+    let plan = planner.next_plan(now, &members, 30.0);
     println!("a plan for {CONTROLLERS} controllers takes {took:.0} us");
-    println!("bytes: a plan {}, a word {}", bitcode::encode(&plan).len(), bitcode::encode(&word).len());
+    println!(
+        "bytes: a plan {}, a load report {}",
+        bitcode::encode(&plan).len(),
+        bitcode::encode(&report).len()
+    );
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -6,8 +6,8 @@
 //! - [`submission_limiter`] decides which submissions one controller takes, and when the others may be retried.
 //! - [`rate_plan`] keeps all controllers together within the rate limits of the state service.
 
-pub mod door;
-pub mod fair;
 pub mod flows;
-pub mod plan;
+pub mod max_min;
 pub mod pool;
+pub mod rate_plan;
+pub mod submission_limiter;
--- a/crates/admission/src/pool/tests.rs
+++ b/crates/admission/src/pool/tests.rs
@@ -6,44 +6,50 @@
 
 const NAMES: [&str; 3] = ["red", "green", "blue"];
 
-fn offer(team: &'static str, class: &'static str, rank: u8, arrival: u64, tasks: u32) -> Offer<'static> {
-    Offer {
+fn job(
+    team: &'static str,
+    class: &'static str,
+    rank: u8,
+    arrival: u64,
+    unfinished_tasks: u32,
+) -> JobRequest<'static> {
+    JobRequest {
         team,
         class,
         rank,
         arrival,
-        tasks,
-        of: tasks,
-        whole: false,
-        begun: false,
-        started: 0,
-        size: 1.0,
-        taken: 1.0,
-        usable: f64::INFINITY,
-        task_s: 10.0,
+        unfinished_tasks,
+        total_tasks: unfinished_tasks,
+        gang: false,
+        running: false,
+        started_tasks: 0,
+        task_size: 1.0,
+        quota_size: 1.0,
+        usable_supply: f64::INFINITY,
+        estimated_task_s: 10.0,
         due_s: Some(100.0),
-        starts_missed: 0,
+        missed_starts: 0,
     }
 }
 
 /// Random pools: no more than the supply is divided, guarantees are kept, no flow is left at zero, and a flow's share
 /// is spent on its jobs.
 #[test]
-fn shares_are_kept_and_spent() {
+fn shares_respect_entitlements_and_are_spent() {
     for seed in 0..400 {
         let mut rng = StdRng::seed_from_u64(seed);
         let n = rng.random_range(1..60);
-        let offers: Vec<Offer> = (0..n)
+        let jobs: Vec<JobRequest> = (0..n)
             .map(|i| {
                 let (team, class) = (NAMES[rng.random_range(0..3)], NAMES[rng.random_range(0..3)]);
-                let one = offer(team, class, rng.random_range(0..3), i, rng.random_range(1..30));
-                let begun = rng.random_bool(0.2);
-                let started = if begun || rng.random_bool(0.2) { rng.random_range(1..4) } else { 0 };
-                Offer {
-                    whole: class == "blue",
-                    begun,
-                    started,
-                    due_s: nearest([rng.random_range(0.0..300.0)].into_iter(), 10.0),
+                let one = job(team, class, rng.random_range(0..3), i, rng.random_range(1..30));
+                let running = rng.random_bool(0.2);
+                let started_tasks = if running || rng.random_bool(0.2) { rng.random_range(1..4) } else { 0 };
+                JobRequest {
+                    gang: class == "blue",
+                    running,
+                    started_tasks,
+                    due_s: nearest_reachable_deadline([rng.random_range(0.0..300.0)].into_iter(), 10.0),
                     ..one
                 }
             })
@@ -54,43 +60,44 @@
             "green" => Entitlement { guarantee: 0.0, limit: 100.0 },
             _ => Entitlement::default(),
         };
-        let (verdicts, flows) = divide(&offers, supply, entitled);
+        let (admissions, flows) = divide(&jobs, supply, entitled);
         let total: f64 = flows.iter().map(|f| f.share).sum();
         assert!(total <= supply + 1e-6, "seed {seed}: {total} of {supply}");
         let of = |team: &str| {
-            let mine = flows.iter().filter(|f| f.team == team);
-            mine.fold((0.0, 0.0), |(d, s), f| (d + f.demand, s + f.share))
+            let own = flows.iter().filter(|f| f.team == team);
+            own.fold((0.0, 0.0), |(d, s), f| (d + f.demand, s + f.share))
         };
         assert!(of("red").1 >= of("red").0.min(15.0) - 1e-6, "seed {seed}: the guarantee");
         assert!(of("green").1 <= 100.0 + 1e-6, "seed {seed}: the limit");
-        let least = supply * LEAST / flows.len() as f64;
+        let least = supply * LOWER_RANKS_FRACTION / flows.len() as f64;
         for f in &flows {
-            let mine: Vec<usize> = (0..offers.len())
+            let own: Vec<usize> = (0..jobs.len())
                 .filter(|i| {
-                    let o = &offers[*i];
-                    o.team == f.team && o.class == f.class && o.rank == f.rank
+                    let job = &jobs[*i];
+                    job.team == f.team && job.class == f.class && job.rank == f.rank
                 })
                 .collect();
-            let has = |i: &usize| match verdicts[*i] {
-                Verdict::Admitted { most, turn: Turn::Usual | Turn::Nth(_) | Turn::First } => f64::from(most),
+            let allocated = |i: &usize| match admissions[*i] {
+                JobAdmission::Admitted { max_tasks, turn: Turn::Usual | Turn::Nth(_) | Turn::First } => {
+                    f64::from(max_tasks)
+                }
                 _ => 0.0,
             };
-            let spent: f64 = mine.iter().map(has).sum();
-            let largest = mine.iter().map(|i| offers[*i].demand()).fold(0.0, f64::max);
-            let held: f64 = mine
-                .iter()
-                .filter(|i| offers[**i].whole && offers[**i].begun)
-                .map(|i| offers[*i].demand())
-                .sum();
+            let spent: f64 = own.iter().map(allocated).sum();
+            let largest = own.iter().map(|i| jobs[*i].demand()).fold(0.0, f64::max);
+            let held: f64 =
+                own.iter().filter(|i| jobs[**i].gang && jobs[**i].running).map(|i| jobs[*i].demand()).sum();
             let due = f.share.min(f.demand);
             assert!(spent >= due.floor() - 1.0, "seed {seed}: {spent} spent of {f:?}");
             assert!(spent <= due.max(held) + largest + 1e-6, "seed {seed}: {spent} spent of {f:?}");
             let limited = f.team == "green";
             assert!(limited || f.share >= f.demand.min(least) - 1e-6, "seed {seed}: {f:?} of {supply}");
         }
-        for (o, v) in offers.iter().zip(&verdicts).filter(|(o, _)| o.begun) {
-            let Verdict::Admitted { most, .. } = v else { panic!("seed {seed}: {o:?} lost its floor") };
-            assert!(*most >= o.floor(), "seed {seed}");
+        for (job, v) in jobs.iter().zip(&admissions).filter(|(job, _)| job.running) {
+            let JobAdmission::Admitted { max_tasks, .. } = v else {
+                panic!("seed {seed}: {job:?} lost its minimum")
+            };
+            assert!(*max_tasks >= job.min_tasks(), "seed {seed}");
         }
     }
 }
@@ -98,11 +105,11 @@
 /// Guards against a share of machines that the flow's jobs can't run on: under sixteen times the usual number of urgent
 /// gangs, which need large machines, arrays that run on small machines got only the minimum while machines were idle.
 #[test]
-fn what_a_flow_cannot_use_is_the_others() {
-    let urgent = (0..50).map(|n| Offer { usable: 30.0, ..offer("red", "rush", 2, n, 10) });
-    let plain = (50..60).map(|n| offer("red", "any", 1, n, 10));
-    let offers: Vec<Offer> = urgent.chain(plain).collect();
-    let (_, flows) = divide(&offers, 100.0, |_| Entitlement::default());
+fn unusable_supply_goes_to_other_flows() {
+    let urgent = (0..50).map(|n| JobRequest { usable_supply: 30.0, ..job("red", "rush", 2, n, 10) });
+    let plain = (50..60).map(|n| job("red", "any", 1, n, 10));
+    let jobs: Vec<JobRequest> = urgent.chain(plain).collect();
+    let (_, flows) = divide(&jobs, 100.0, |_| Entitlement::default());
     let share = |class: &str| flows.iter().find(|f| f.class == class).map(|f| f.share);
     assert_eq!((share("rush"), share("any")), (Some(30.0), Some(70.0)));
 }
@@ -111,9 +118,9 @@
 /// the jobs before it and from the fraction kept for first tasks, and nearly as many jobs finish as if the smallest
 /// always went first.
 #[test]
-fn in_a_flood_each_job_has_a_first_task_soon_and_few_less_are_done() {
+fn when_many_jobs_arrive_each_starts_a_first_task_soon_and_most_finish() {
     let (supply, task_s) = (160.0, 40u64);
-    let mut offers: Vec<Offer> = Vec::new();
+    let mut jobs: Vec<JobRequest> = Vec::new();
     let mut running: Vec<(u64, u64)> = Vec::new();
     let mut waits: BTreeMap<u64, u64> = BTreeMap::new();
     let (mut arrivals, mut done, mut sizes) = (0, 0, Vec::new());
@@ -121,34 +128,41 @@
         if second < 200 {
             arrivals += 1;
             sizes.push(10 + (arrivals * 7 % 31) as u32);
-            let one = offer("red", "any", 1, arrivals, 10 + (arrivals * 7 % 31) as u32);
-            offers.push(Offer { task_s: task_s as f64, due_s: None, ..one });
+            let one = job("red", "any", 1, arrivals, 10 + (arrivals * 7 % 31) as u32);
+            jobs.push(JobRequest { estimated_task_s: task_s as f64, due_s: None, ..one });
         }
         for (arrival, _) in running.extract_if(.., |(_, end)| *end <= second) {
-            if let Some(o) = offers.iter_mut().find(|o| o.arrival == arrival) {
-                o.tasks -= 1;
+            if let Some(job) = jobs.iter_mut().find(|job| job.arrival == arrival) {
+                job.unfinished_tasks -= 1;
             }
         }
-        done += offers.extract_if(.., |o| o.tasks == 0).count();
-        for o in &mut offers {
-            o.begun = running.iter().any(|(arrival, _)| *arrival == o.arrival);
+        done += jobs.extract_if(.., |job| job.unfinished_tasks == 0).count();
+        for job in &mut jobs {
+            job.running = running.iter().any(|(arrival, _)| *arrival == job.arrival);
         }
-        let (verdicts, _) = divide(&offers, supply, |_| Entitlement::default());
+        let (admissions, _) = divide(&jobs, supply, |_| Entitlement::default());
         let mut turns: Vec<(Turn, usize, u32)> = Vec::new();
-        for (i, v) in verdicts.iter().enumerate() {
-            if let Verdict::Admitted { most, turn } = v {
-                turns.push((*turn, i, *most));
+        for (i, v) in admissions.iter().enumerate() {
+            if let JobAdmission::Admitted { max_tasks, turn } = v {
+                turns.push((*turn, i, *max_tasks));
             }
         }
         turns.sort_by_key(|(turn, i, _)| (*turn, *i));
-        for (turn, i, most) in turns {
-            let o = &mut offers[i];
-            let here = running.iter().filter(|(arrival, _)| *arrival == o.arrival).count() as u32;
-            let more = if turn == Turn::First && o.started > 0 { 0 } else { most.saturating_sub(here) };
-            for _ in 0..more.min(o.tasks - here).min((supply as usize - running.len()) as u32) {
-                running.push((o.arrival, second + task_s));
-                o.started += 1;
-                waits.entry(o.arrival).or_insert(second + 1 - o.arrival);
+        for (turn, i, max_tasks) in turns {
+            let job = &mut jobs[i];
+            let running_tasks = running.iter().filter(|(arrival, _)| *arrival == job.arrival).count() as u32;
+            let to_start = if turn == Turn::First && job.started_tasks > 0 {
+                0
+            } else {
+                max_tasks.saturating_sub(running_tasks)
+            };
+            for _ in 0..to_start
+                .min(job.unfinished_tasks - running_tasks)
+                .min((supply as usize - running.len()) as u32)
+            {
+                running.push((job.arrival, second + task_s));
+                job.started_tasks += 1;
+                waits.entry(job.arrival).or_insert(second + 1 - job.arrival);
             }
         }
     }
@@ -168,42 +182,48 @@
 
 /// Simulates a pool of 32 slots and returns after how many seconds the job `one` ends beside an endless stream of other
 /// jobs; none if it does not end.
-fn beside_a_stream(mut one: Offer<'static>, stream: fn(u64) -> Offer<'static>) -> Option<u64> {
-    let mut offers: Vec<Offer> = (1..40).map(stream).collect();
+fn seconds_beside_stream(
+    mut one: JobRequest<'static>,
+    stream: fn(u64) -> JobRequest<'static>,
+) -> Option<u64> {
+    let mut jobs: Vec<JobRequest> = (1..40).map(stream).collect();
     one.arrival = 40;
-    offers.push(one);
+    jobs.push(one);
     let mut work: BTreeMap<u64, f64> = BTreeMap::new();
     for second in 0..4_000u64 {
-        offers.extend((0..2).map(|k| stream(100 + second * 2 + k)));
-        let (verdicts, _) = divide(&offers, 32.0, |_| Entitlement::default());
+        jobs.extend((0..2).map(|k| stream(100 + second * 2 + k)));
+        let (admissions, _) = divide(&jobs, 32.0, |_| Entitlement::default());
         // Slots go to jobs in order of their turn. A gang that does not fit is skipped.
         let mut turns: Vec<(Turn, usize, u32)> = Vec::new();
-        for (i, v) in verdicts.iter().enumerate() {
-            if let Verdict::Admitted { most, turn } = v {
-                turns.push((*turn, i, *most));
+        for (i, v) in admissions.iter().enumerate() {
+            if let JobAdmission::Admitted { max_tasks, turn } = v {
+                turns.push((*turn, i, *max_tasks));
             }
         }
         turns.sort_by_key(|(turn, i, _)| (*turn, *i));
-        let mut places = 32.0;
-        for (_, i, most) in turns {
-            let o = &mut offers[i];
-            let most = f64::from(most);
-            if places >= if o.whole { most } else { 1.0 } {
-                let used = most.min(places);
-                (places, o.begun) = (places - used, true);
-                *work.entry(o.arrival).or_default() += used / o.task_s;
+        let mut free_slots = 32.0;
+        for (_, i, max_tasks) in turns {
+            let job = &mut jobs[i];
+            let max_tasks = f64::from(max_tasks);
+            if free_slots >= if job.gang { max_tasks } else { 1.0 } {
+                let used = max_tasks.min(free_slots);
+                (free_slots, job.running) = (free_slots - used, true);
+                *work.entry(job.arrival).or_default() += used / job.estimated_task_s;
             }
         }
-        offers.retain_mut(|o| {
-            let done = work.get_mut(&o.arrival);
-            if let Some(done) = done.filter(|d| **d >= if o.whole { f64::from(o.tasks) } else { 1.0 }) {
-                o.tasks -= (done.floor() as u32).min(o.tasks);
+        jobs.retain_mut(|job| {
+            let done = work.get_mut(&job.arrival);
+            if let Some(done) =
+                done.filter(|d| **d >= if job.gang { f64::from(job.unfinished_tasks) } else { 1.0 })
+            {
+                job.unfinished_tasks -= (done.floor() as u32).min(job.unfinished_tasks);
                 *done -= done.floor();
             }
-            o.due_s = nearest(o.due_s.map(|due| due - 1.0).into_iter(), o.task_s);
-            o.tasks > 0
+            job.due_s =
+                nearest_reachable_deadline(job.due_s.map(|due| due - 1.0).into_iter(), job.estimated_task_s);
+            job.unfinished_tasks > 0
         });
-        if offers.iter().all(|o| o.arrival != 40) {
+        if jobs.iter().all(|job| job.arrival != 40) {
             return Some(second);
         }
     }
@@ -213,34 +233,36 @@
 /// Guards large jobs and gangs against starvation by an endless stream of small jobs, and lower ranks against urgent
 /// work: each wait has a bound that follows from the share.
 #[test]
-fn no_stream_holds_a_job_at_nothing_for_ever() {
-    let small = |n| offer("red", "any", 1, n, 4);
-    let urgent = |n| offer("red", "rush", 2, n, 40);
+fn no_stream_of_jobs_starves_another_job() {
+    let small = |n| job("red", "any", 1, n, 4);
+    let urgent = |n| job("red", "rush", 2, n, 40);
     // By arrival on 2 of 32 slots: 800 s for 40 earlier jobs of 4 tasks, then 1500 s for its own 300 tasks.
-    let large = beside_a_stream(offer("red", "any", 1, 0, 300), small);
+    let large = seconds_beside_stream(job("red", "any", 1, 0, 300), small);
     assert!(large.is_some_and(|s| s <= 2_400), "the large array took {large:?} s");
-    let gang = beside_a_stream(Offer { whole: true, ..offer("red", "any", 1, 0, 16) }, small);
+    let gang = seconds_beside_stream(JobRequest { gang: true, ..job("red", "any", 1, 0, 16) }, small);
     assert!(gang.is_some_and(|s| s <= 1_000), "the gang took {gang:?} s");
-    let lower = beside_a_stream(offer("red", "any", 0, 0, 10), urgent);
+    let lower = seconds_beside_stream(job("red", "any", 0, 0, 10), urgent);
     assert!(lower.is_some_and(|s| s <= 100), "the lower rank took {lower:?} s");
-    let other = beside_a_stream(offer("red", "other", 2, 0, 40), urgent);
+    let other = seconds_beside_stream(job("red", "other", 2, 0, 40), urgent);
     assert!(other.is_some_and(|s| s <= 60), "the other class took {other:?} s");
 }
 
 /// Guards a team against being held below its limit: capacity that its tasks make unusable on their machines counted
 /// against the limit, and of four tasks with one accelerator each, under a limit of four, only three were admitted.
 #[test]
-fn a_teams_limit_counts_what_its_tasks_take_and_not_what_they_make_unusable() {
+fn a_teams_limit_does_not_count_capacity_that_its_tasks_make_unusable() {
     for wide in 0..=4 {
-        let offers: Vec<Offer> = (0..4)
+        let jobs: Vec<JobRequest> = (0..4)
             .map(|n| {
                 let class = if n % 2 == 0 { "any" } else { "other" };
-                let size = if n < wide { 4.0 / 3.0 } else { 1.0 };
-                Offer { size, ..offer("red", class, 1, n, 1) }
+                let task_size = if n < wide { 4.0 / 3.0 } else { 1.0 };
+                JobRequest { task_size, ..job("red", class, 1, n, 1) }
             })
             .collect();
-        let limited = |limit| divide(&offers, 40.0, |_| Entitlement { guarantee: 0.0, limit }).0;
-        let admitted = |verdicts: Vec<Verdict>| verdicts.iter().filter(|v| **v != Verdict::Waits).count();
+        let limited = |limit| divide(&jobs, 40.0, |_| Entitlement { guarantee: 0.0, limit }).0;
+        let admitted = |admissions: Vec<JobAdmission>| {
+            admissions.iter().filter(|v| **v != JobAdmission::Waiting).count()
+        };
         assert_eq!(admitted(limited(4.0)), 4, "{wide} of four are wide");
         assert!(admitted(limited(2.0)) < 4, "{wide} of four are wide");
     }
--- a/crates/hearing/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -16,98 +16,106 @@
 use marblewalk_units::Micros;
 
 /// Answers lost in a row after which a machine counts as unreachable.
-pub const DEAF: u32 = 2;
+pub const UNREACHABLE_AFTER: u32 = 2;
 
 /// A worker that got no answer sends no report for a second. A report that comes sooner was sent before the answer, and
 /// delayed or duplicated on its way.
-const SOONEST: Micros = Micros::from_millis(900);
+const MIN_UNANSWERED_REPORT_GAP: Micros = Micros::from_millis(900);
 
 /// The last answer, to which later reports are compared.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Answer {
+struct SentAnswer {
     at: Micros,
     session: u64,
     tally: u64,
     token: u64,
     /// It raised the token, so a report with that token proves that the answer arrived.
-    raised: bool,
+    raised_token: bool,
     /// It ordered starts.
-    starts: bool,
+    ordered_starts: bool,
 }
 
 /// Tracks whether answers arrive at one machine.
 #[derive(Clone, Debug, Default)]
-pub struct Hearing {
-    answer: Option<Answer>,
-    lost: u32,
-    deaf_since: Option<Micros>,
+pub struct DeliveryMonitor {
+    last_answer: Option<SentAnswer>,
+    lost_answers: u32,
+    unreachable_since: Option<Micros>,
 }
 
 /// What a report shows of the answer before it.
 #[derive(Clone, Copy, Debug)]
-pub struct Shown {
+pub struct ReportedState {
     pub session: u64,
     pub tally: u64,
     pub token: u64,
     /// At least one of the starts that the last answer ordered is listed, in any state.
-    pub start: bool,
+    pub lists_start: bool,
 }
 
-impl Hearing {
+impl DeliveryMonitor {
     /// Records that a report was answered with orders. `shown`: what that report showed.
-    pub fn answered(&mut self, at: Micros, shown: Shown, token: u64, starts: bool) {
-        let raised = token > shown.token;
-        self.answer = Some(Answer { at, session: shown.session, tally: shown.tally, token, raised, starts });
+    pub fn answered(&mut self, at: Micros, shown: ReportedState, token: u64, ordered_starts: bool) {
+        let raised_token = token > shown.token;
+        self.last_answer = Some(SentAnswer {
+            at,
+            session: shown.session,
+            tally: shown.tally,
+            token,
+            raised_token,
+            ordered_starts,
+        });
     }
 
     /// Evaluates a newer report. `lease`: how long a session outlives the last answer that arrived.
-    pub fn reported(&mut self, now: Micros, shown: Shown, lease: Micros) {
-        let Some(answer) = self.answer.filter(|a| (shown.session, shown.tally) > (a.session, a.tally)) else {
+    pub fn reported(&mut self, now: Micros, shown: ReportedState, lease: Micros) {
+        let Some(answer) = self.last_answer.filter(|a| (shown.session, shown.tally) > (a.session, a.tally))
+        else {
             return;
         };
-        let missing = shown.token < answer.token || answer.starts && !shown.start;
-        if now.since(answer.at) < SOONEST && (missing || shown.session > answer.session) {
+        let missing = shown.token < answer.token || answer.ordered_starts && !shown.lists_start;
+        if now.since(answer.at) < MIN_UNANSWERED_REPORT_GAP && (missing || shown.session > answer.session) {
             return;
         }
-        self.answer = None;
+        self.last_answer = None;
         if shown.session > answer.session {
             // A new session has no start of the former one, and may have lost the token, so only the end of the session
             // is evidence. A report without the token may have been an old one itself, of a session that had already
             // ended.
             if now.since(answer.at) < lease {
-                self.lose(now, if answer.raised { 1 } else { DEAF });
+                self.record_lost(now, if answer.raised_token { 1 } else { UNREACHABLE_AFTER });
             }
         } else if missing {
-            self.lose(now, 1);
-        } else if answer.raised || answer.starts {
-            self.hears();
+            self.record_lost(now, 1);
+        } else if answer.raised_token || answer.ordered_starts {
+            self.mark_reachable();
         }
     }
 
-    fn lose(&mut self, now: Micros, answers: u32) {
-        self.lost += answers;
-        if self.lost >= DEAF {
-            self.deaf_since.get_or_insert(now);
+    fn record_lost(&mut self, now: Micros, answers: u32) {
+        self.lost_answers += answers;
+        if self.lost_answers >= UNREACHABLE_AFTER {
+            self.unreachable_since.get_or_insert(now);
         }
     }
 
     /// Records that the machine has replied to a direct call, or has shown that an answer arrived.
-    pub fn hears(&mut self) {
-        *self = Hearing::default();
+    pub fn mark_reachable(&mut self) {
+        *self = DeliveryMonitor::default();
     }
 
     /// Drops the last answer: answers under a former grant are no evidence.
-    pub fn granted(&mut self) {
-        self.answer = None;
+    pub fn grant_changed(&mut self) {
+        self.last_answer = None;
     }
 
     /// Since when answers have not reached the machine, if it counts as unreachable.
-    pub fn deaf_since(&self) -> Option<Micros> {
-        self.deaf_since
+    pub fn unreachable_since(&self) -> Option<Micros> {
+        self.unreachable_since
     }
 
-    pub fn deaf(&self) -> bool {
-        self.deaf_since.is_some()
+    pub fn is_unreachable(&self) -> bool {
+        self.unreachable_since.is_some()
     }
 }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -16,14 +16,14 @@
 //! is up to the caller.
 
 mod announcements;
-mod inquiry;
-mod ledger;
-mod position;
+mod machine_knowledge;
+mod message_position;
+mod witness_queries;
 
 pub use announcements::Announcements;
-pub use inquiry::{Inquiry, Question};
-pub use ledger::{Hearing, Ledger};
-pub use position::Position;
+pub use machine_knowledge::{MachineKnowledge, SequenceCheck};
+pub use message_position::MessagePosition;
+pub use witness_queries::{QueryTarget, WitnessQueries};
 
 /// One incarnation of a controller: its member name and the revision of its registration.
-pub type Life = (String, u64);
+pub type Incarnation = (String, u64);
--- a/crates/recovery/src/position.rs
+++ b/crates/recovery/src/message_position.rs
@@ -7,9 +7,9 @@
 /// deliver its messages after the first ones of the connection that replaced it, so a receiver compares positions
 /// instead of relying on the order of arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Position {
+pub struct MessagePosition {
     /// The number of the last broadcast.
-    pub number: u64,
+    pub broadcast: u64,
     /// How many messages to single controllers were sent after that broadcast.
-    pub single: u32,
+    pub unicast: u32,
 }
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -37,6 +37,7 @@
         Micros((self.0 as f64 * factor).round() as u64)
     }
 
+    /// The time since an earlier instant; zero if `earlier` is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
@@ -88,32 +89,32 @@
     }
 
     pub fn plus(self, o: Resources) -> Resources {
-        self.each(o, |a, b| a + b)
+        self.combine(o, |a, b| a + b)
     }
 
     pub fn minus(self, o: Resources) -> Resources {
-        self.each(o, u64::saturating_sub)
+        self.combine(o, u64::saturating_sub)
     }
 
     pub fn times(self, n: u64) -> Resources {
-        self.each(Resources { cpu: n, gpu: n, memory: n }, |a, n| a * n)
+        self.combine(Resources { cpu: n, gpu: n, memory: n }, |a, n| a * n)
     }
 
     pub fn scaled(self, factor: f64) -> Resources {
-        self.each(self, |a, _| (a as f64 * factor) as u64)
+        self.combine(self, |a, _| (a as f64 * factor) as u64)
     }
 
     /// The smaller of each amount.
     pub fn min(self, o: Resources) -> Resources {
-        self.each(o, u64::min)
+        self.combine(o, u64::min)
     }
 
     /// The larger of each amount.
     pub fn max(self, o: Resources) -> Resources {
-        self.each(o, u64::max)
+        self.combine(o, u64::max)
     }
 
-    fn each(self, o: Resources, f: impl Fn(u64, u64) -> u64) -> Resources {
+    fn combine(self, o: Resources, f: impl Fn(u64, u64) -> u64) -> Resources {
         Resources { cpu: f(self.cpu, o.cpu), gpu: f(self.gpu, o.gpu), memory: f(self.memory, o.memory) }
     }
 
--- a/src/bookkeeping/budget.rs
+++ b/src/bookkeeping/budget.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use marblewalk_admission::flows::Rate;
+use marblewalk_admission::flows::DecayingRate;
 
 use crate::protocol::units::Micros;
 
@@ -56,7 +56,7 @@
     /// Waiting calls that change nothing.
     reads: usize,
     /// Calls and changes asked for lately, a second.
-    asked: (Rate, Rate),
+    asked: (DecayingRate, DecayingRate),
 }
 
 impl<T> Budget<T> {
@@ -95,7 +95,7 @@
         let waiting = |amount: fn(u32) -> f64| -> f64 {
             self.queues.iter().flatten().map(|(_, writes, _)| amount(*writes)).sum()
         };
-        (self.asked.0.now(now) + waiting(|_| 1.0), self.asked.1.now(now) + waiting(f64::from))
+        (self.asked.0.per_second(now) + waiting(|_| 1.0), self.asked.1.per_second(now) + waiting(f64::from))
     }
 
     /// How long a change of this urgency would wait for those before it.
--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -3,10 +3,10 @@
 
 use std::collections::HashMap;
 
-use marblewalk_admission::door::Capacity;
-use marblewalk_admission::flows::{Flow, ROWS, Row};
-use marblewalk_admission::plan::{Plan, Rates, Word};
+use marblewalk_admission::flows::{Flow, FlowCounters, MAX_FLOWS};
 use marblewalk_admission::pool::FlowShare;
+use marblewalk_admission::rate_plan::{LoadReport, RatePlan, Rates};
+use marblewalk_admission::submission_limiter::Capacity;
 
 use crate::bookkeeping::budget::Urgency;
 use crate::coordination::{Controller, Effect};
@@ -30,9 +30,9 @@
 impl Controller {
     /// Whether a plan is in force here, appointments that are still to be kept, and what has been
     /// offered, taken and turned away of each team and class.
-    pub fn at_the_door(&self) -> (bool, usize, Vec<(Flow, Row)>) {
+    pub fn at_the_door(&self) -> (bool, usize, Vec<(Flow, FlowCounters)>) {
         let rows = self.door.flows.iter().map(|(flow, row)| (flow, row.clone()));
-        (self.held.in_force(self.now).is_some(), self.door.appointments(), rows.collect())
+        (self.held.admitted_fractions(self.now).is_some(), self.door.retry_slots(), rows.collect())
     }
 
     /// As the leader has divided the pools: demand and share of the teams and classes that want most, and
@@ -49,7 +49,7 @@
         }
         shares.sort_by(|a, b| b.demand.total_cmp(&a.demand));
         let waits = |s: &FlowShare| oldest.get(&(s.team.as_str(), s.class.as_str())).copied();
-        shares.into_iter().take(ROWS).map(|s| (s, waits(s).unwrap_or(0.0))).collect()
+        shares.into_iter().take(MAX_FLOWS).map(|s| (s, waits(s).unwrap_or(0.0))).collect()
     }
 
     fn count(&self) -> f64 {
@@ -61,7 +61,7 @@
         let leased = if self.count() > 1.0 { LEASED } else { 0.0 };
         let part = |limit: f64| (limit * MARGIN * leased * 1e3) as u64;
         let state = self.settings.params.state;
-        Rates { changes: part(state.write_rps), calls: part(state.rps) }
+        Rates { writes: part(state.write_rps), calls: part(state.rps) }
     }
 
     /// Sets the rates of calls: this controller's own part, and what it holds by a plan in force.
@@ -73,7 +73,7 @@
         let part = if leads { leaders } else { (1.0 - leaders) / (count - 1.0) };
         let held = self.held.rates(self.now);
         let calls = state.rps * own / count + held.calls as f64 / 1e3;
-        let writes = state.write_rps * own * part + held.changes as f64 / 1e3;
+        let writes = state.write_rps * own * part + held.writes as f64 / 1e3;
         self.own_rates = (state.rps * own / count, state.write_rps * own * part);
         self.calls.set_rates(self.now, calls, writes);
     }
@@ -81,21 +81,21 @@
     /// What can be let in at this controller's door now.
     pub(super) fn capacity(&self) -> Capacity {
         Capacity {
-            per_s: self.calls.writes_per_s() * FOR_SUBMISSIONS,
-            behind: self.calls.delay(Urgency::Acceptance),
+            submissions_per_s: self.calls.writes_per_s() * FOR_SUBMISSIONS,
+            queue_delay: self.calls.delay(Urgency::Acceptance),
         }
     }
 
     /// Tells the others what is offered here, and as the leader makes the next plan.
     pub(super) fn admission_tick(&mut self) {
         self.set_rates();
-        self.door.follow(self.held.in_force(self.now));
+        self.door.set_planned_fractions(self.held.admitted_fractions(self.now));
         if self.now >= self.word_at && self.entitled() && self.count() > 1.0 {
             self.word_at = self.now + WORDS_EVERY;
             let word = self.door_word();
             let plans = self.lead.as_mut().and_then(|l| l.planner.as_mut());
             if let Some(planner) = plans {
-                planner.heard(self.now, &self.settings.member, word.clone());
+                planner.record_report(self.now, &self.settings.member, word.clone());
             }
             self.effects.push(Effect::Send(None, PeerMessage::Door(word)));
         }
@@ -104,20 +104,20 @@
         }
     }
 
-    fn door_word(&mut self) -> Word {
+    fn door_word(&mut self) -> LoadReport {
         let (calls, changes) = self.calls.wanted(self.now);
         let beyond = |wanted: f64, own: f64| ((wanted - own).max(0.0) * 1e3) as u64;
-        Word {
-            life: self.lease.as_ref().map_or(0, |l| l.stamp),
+        LoadReport {
+            registration: self.lease.as_ref().map_or(0, |l| l.stamp),
             clock: self.now,
-            plan: self.held.number(),
-            holds: self.held.rates(self.now),
-            wants: Rates {
-                changes: beyond(changes, self.own_rates.1),
+            plan_id: self.held.plan_id(),
+            held: self.held.rates(self.now),
+            wanted: Rates {
+                writes: beyond(changes, self.own_rates.1),
                 calls: beyond(calls, self.own_rates.0),
             },
-            offered: self.door.flows.offered(self.now),
-            appointments: self.door.tell(self.now),
+            offered_rates: self.door.flows.offered_rates(self.now),
+            retry_slots: self.door.take_unsent_slots(self.now),
         }
     }
 
@@ -127,24 +127,24 @@
         let Some(lead) = &mut self.lead else { return };
         lead.plan_at = self.now + PLANS_EVERY;
         let Some(planner) = &mut lead.planner else { return };
-        let plan = planner.plan(self.now, &members, submissions);
+        let plan = planner.next_plan(self.now, &members, submissions);
         self.effects.push(Effect::Send(None, PeerMessage::Plan(plan.clone())));
         self.plan_said(&plan);
     }
 
     /// Another controller's word on its door.
-    pub(super) fn door_said(&mut self, from: &str, word: Word) {
-        self.door.told(self.now, &word.appointments);
+    pub(super) fn door_said(&mut self, from: &str, word: LoadReport) {
+        self.door.merge_slots(self.now, &word.retry_slots);
         if let Some(planner) = self.lead.as_mut().and_then(|l| l.planner.as_mut()) {
-            planner.heard(self.now, from, word);
+            planner.record_report(self.now, from, word);
         }
     }
 
     /// A plan, which counts if it is the recorded leader's.
-    pub(super) fn plan_said(&mut self, plan: &Plan) {
+    pub(super) fn plan_said(&mut self, plan: &RatePlan) {
         let leader = self.leader.as_ref().map_or(0, |l| l.2);
         let life = self.lease.as_ref().map_or(0, |l| l.stamp);
-        if self.held.take(self.now, (&self.settings.member, life), leader, plan) {
+        if self.held.apply(self.now, (&self.settings.member, life), leader, plan) {
             self.set_rates();
         }
     }
--- a/src/coordination/blocks.rs
+++ b/src/coordination/blocks.rs
@@ -197,7 +197,7 @@
                 let foreign = !own && !spot.held.is_empty();
                 let cards_idle = spot.machine.supply.gpu > 0 && spec.gpus == 0.0;
                 let busy = foreign && !spot.machine.idle();
-                let doubt = self.blame.doubt(short.id, spot.name);
+                let doubt = self.blame.suspicion(short.id, spot.name);
                 let key = (doubt, cards_idle, keeps_dear(spec, spot.machine), !fits, busy, spot.room.cpu, i);
                 options.push(key);
             }
@@ -263,7 +263,7 @@
                 let dear = m.supply.gpu > 0 && spec.gpus == 0.0;
                 let busy = foreign && !m.idle();
                 zones.entry(zone).or_default().push(Offer {
-                    doubt: self.blame.doubt(id, spot.name),
+                    doubt: self.blame.suspicion(id, spot.name),
                     dear,
                     foreign,
                     busy,
--- a/src/coordination/failures.rs
+++ b/src/coordination/failures.rs
@@ -4,7 +4,7 @@
 use crate::coordination::{Controller, Micros};
 use crate::protocol::job::Shape;
 use crate::protocol::worker::{Cause, TaskId, TaskState};
-use marblewalk_blame::Standing;
+use marblewalk_fault_attribution::JobHealth;
 
 /// A replica that has run for so long on another machine shows that its service is in order. Of tasks that end by
 /// themselves only the end shows it: a mistake may come out in the last second.
@@ -14,7 +14,7 @@
     /// A task has ended on a machine, as its holder has it from the worker or has told.
     pub(super) fn note_outcome(&mut self, name: &str, task: &TaskId, cause: Cause) {
         match cause {
-            Cause::Done if self.blame.nothing() => {}
+            Cause::Done if self.blame.is_empty() => {}
             Cause::Done => {
                 self.blame.succeeded(&task.job, name);
                 self.judge(name, &task.job);
@@ -45,7 +45,7 @@
         let mut names = self.blame.failed_on(job);
         names.push(name.to_owned());
         for name in names {
-            let faulty = self.blame.faulty(&name);
+            let faulty = self.blame.is_faulty(&name);
             let own = self.machines.get(&name).is_some_and(|m| m.apart != faulty && self.owns(m));
             if let Some(machine) = self.machines.get_mut(&name).filter(|_| own) {
                 machine.apart = faulty;
@@ -65,23 +65,23 @@
 
     /// Own machines whose reports come while nothing that they are told arrives.
     pub fn machines_deaf(&self) -> usize {
-        self.machines.values().filter(|m| m.hearing.deaf() && self.owns(m)).count()
+        self.machines.values().filter(|m| m.hearing.is_unreachable() && self.owns(m)).count()
     }
 
     /// Jobs that fail wherever they go, as far as this controller has heard.
     pub fn jobs_mistaken(&self) -> usize {
-        if self.blame.nothing() { 0 } else { self.jobs.keys().filter(|id| self.mistaken(id)).count() }
+        if self.blame.is_empty() { 0 } else { self.jobs.keys().filter(|id| self.mistaken(id)).count() }
     }
 
     /// A job fails wherever it goes.
     pub(super) fn mistaken(&self, id: &str) -> bool {
-        !self.blame.nothing() && matches!(self.blame.job(id), Standing::Mistaken { .. })
+        !self.blame.is_empty() && matches!(self.blame.job_health(id), JobHealth::Broken { .. })
     }
 
     /// A job that fails wherever it goes waits for its next try: until then it is as if it were not there.
     pub(super) fn held(&self, id: &str) -> bool {
-        !self.blame.nothing()
-            && matches!(self.blame.job(id), Standing::Mistaken { until } if until > self.now)
+        !self.blame.is_empty()
+            && matches!(self.blame.job_health(id), JobHealth::Broken { retry_at } if retry_at > self.now)
     }
 
     /// How many of a job's tasks are worth starting: of one that fails wherever it goes, one shows enough.
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use marblewalk_admission::door::Verdict;
+use marblewalk_admission::submission_limiter::SubmissionDecision;
 use rand::RngExt;
 
 use crate::bookkeeping::budget::Urgency;
@@ -79,8 +79,8 @@
             return self.answer(request, Answer::Impossible("the description is too long to keep"));
         }
         let capacity = self.capacity();
-        let verdict = self.door.offer(self.now, &spec.id, &spec.team, &spec.class, capacity);
-        if let Verdict::Turned(reason, wait) = verdict {
+        let verdict = self.door.decide(self.now, &spec.id, &spec.team, &spec.class, capacity);
+        if let SubmissionDecision::RetryLater(reason, wait) = verdict {
             tracing::debug!(job = spec.id, class = spec.class, ?reason, "turned away");
             let seconds = (wait.as_secs_f64().ceil() as u32).clamp(1, 30);
             return self.answer(request, Answer::Later(seconds));
@@ -180,10 +180,10 @@
     /// Of more questions than can be answered, the one whose user has waited least is turned away.
     fn turn_a_poll_away(&mut self) {
         let newest =
-            (0..self.polls.len()).max_by_key(|i| (self.door.asked(self.now, &self.polls[*i].job), *i));
+            (0..self.polls.len()).max_by_key(|i| (self.door.first_asked(self.now, &self.polls[*i].job), *i));
         if let Some(i) = newest {
             let Question { request, job, .. } = self.polls.swap_remove(i);
-            self.door.unanswered(self.now, &job);
+            self.door.query_rejected(self.now, &job);
             self.answer(request, Answer::Later(1));
         }
     }
@@ -198,7 +198,7 @@
         let most = self.settings.params.state.txn_ops * 4;
         if self.polls.len() > most {
             let (now, door) = (self.now, &self.door);
-            self.polls.sort_by_cached_key(|q| door.asked(now, &q.job));
+            self.polls.sort_by_cached_key(|q| door.first_asked(now, &q.job));
         }
         let mut conditions: BTreeMap<&str, u64> = BTreeMap::new();
         let mut asked = 0;
@@ -221,7 +221,7 @@
         for question in polls {
             match &reply {
                 StoreReply::Committed { .. } => {
-                    self.door.answered(&question.job);
+                    self.door.query_answered(&question.job);
                     self.answer_live(question, sent, None);
                 }
                 StoreReply::Conflict { failed } if failed.contains(&records::live(&question.job)) => {
@@ -230,7 +230,7 @@
                 // Nothing was said of the others: they are asked about again.
                 StoreReply::Conflict { .. } => self.polls.push(question),
                 _ => {
-                    self.door.unanswered(self.now, &question.job);
+                    self.door.query_rejected(self.now, &question.job);
                     self.answer(question.request, Answer::Later(1));
                 }
             }
--- a/src/coordination/lapses.rs
+++ b/src/coordination/lapses.rs
@@ -50,7 +50,7 @@
             tracing::info!(machine = name, "silent beyond its lease: its tasks are gone");
             // A planned start has not been sent and can wait for the next session.
             self.replace_tasks(&name, BTreeMap::new(), Removal::LeaseExpired);
-            self.ledger.told(&name, &self.life(), true);
+            self.ledger.holder_reported(&name, &self.life(), true);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.resolved = true;
                 machine.known = true;
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use marblewalk_admission::plan::Planner;
 use marblewalk_admission::pool::FlowShare;
+use marblewalk_admission::rate_plan::Planner;
 use marblewalk_retry::Backoff;
 
 use crate::bookkeeping::blocks;
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use marblewalk_hearing::Shown;
+use marblewalk_delivery::ReportedState;
 
 use crate::bookkeeping::records;
 use crate::coordination::conclusions::Evidence;
@@ -79,7 +79,7 @@
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.reported = tally;
             machine.heard = Some(self.now);
-            machine.lost = machine.hearing.deaf();
+            machine.lost = machine.hearing.is_unreachable();
         }
         if self.given_up_as_deaf(&name) {
             return self.answer(request, Answer::Later(1));
@@ -101,10 +101,10 @@
     }
 
     /// What a report shows of the answers before it: a start that was ordered then, or its token.
-    fn judge_hearing(&mut self, report: &Report) -> Shown {
+    fn judge_hearing(&mut self, report: &Report) -> ReportedState {
         let (session, tally, token) = (report.session, report.tally, report.token);
         let Some(machine) = self.machines.get_mut(&report.machine) else {
-            return Shown { session, tally, token, start: false };
+            return ReportedState { session, tally, token, lists_start: false };
         };
         let ordered = |id: &TaskId, attempt: u64| {
             let known = machine.tasks.get(id).filter(|t| t.attempt == attempt);
@@ -112,7 +112,7 @@
         };
         let mut tasks = report.tasks.iter().filter_map(|t| Some((TaskId::parse(&t.task)?, t.attempt)));
         let start = tasks.any(|(id, attempt)| ordered(&id, attempt));
-        let shown = Shown { session, tally, token, start };
+        let shown = ReportedState { session, tally, token, lists_start: start };
         machine.hearing.reported(self.now, shown, self.worker_lease.mul_f64(0.8));
         shown
     }
@@ -122,9 +122,11 @@
     /// again, and is returned. Unless so many don't hear that the fault is rather on this side: a controller that is
     /// behind with its answers must not let all its workers go.
     fn given_up_as_deaf(&mut self, name: &str) -> bool {
-        let Some(since) = self.machines.get(name).and_then(|m| m.hearing.deaf_since()) else { return false };
+        let Some(since) = self.machines.get(name).and_then(|m| m.hearing.unreachable_since()) else {
+            return false;
+        };
         let own = || self.machines.values().filter(|m| self.owns(m));
-        if own().filter(|m| m.hearing.deaf()).count() * 4 > own().count().max(8) {
+        if own().filter(|m| m.hearing.is_unreachable()).count() * 4 > own().count().max(8) {
             return false;
         }
         self.soon_status();
@@ -208,7 +210,7 @@
         }
         machine.heard = machine.heard.filter(|_| direct).or(Some(now));
         machine.up = true;
-        machine.lost = machine.hearing.deaf();
+        machine.lost = machine.hearing.is_unreachable();
         machine.notice = noticed;
         machine.silent_since = None;
         if !was_idle || !machine.idle() {
@@ -227,7 +229,7 @@
             self.task_ended(&name, &task, cause);
         }
         if newly {
-            self.ledger.told(&name, &self.life(), true);
+            self.ledger.holder_reported(&name, &self.life(), true);
             self.check_adoption();
         }
         if news || newly {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -49,9 +49,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use indexmap::IndexMap;
-use marblewalk_admission::{door::Door, plan::Held};
-use marblewalk_blame::Blame;
-use marblewalk_recovery::{Announcements, Inquiry, Ledger, Life};
+use marblewalk_admission::{rate_plan::HeldLease, submission_limiter::SubmissionLimiter};
+use marblewalk_fault_attribution::FaultAttribution;
+use marblewalk_recovery::{Announcements, Incarnation, MachineKnowledge, WitnessQueries};
 use marblewalk_retry::Backoff;
 use rand::{SeedableRng, rngs::StdRng};
 use rustc_hash::{FxBuildHasher, FxHashMap};
@@ -136,8 +136,8 @@
     in_flight: HashMap<CallId, (Purpose, Micros)>,
     /// Calls and changes a second that are this controller's without a plan.
     pub(crate) own_rates: (f64, f64),
-    pub(crate) door: Door,
-    pub(crate) held: Held,
+    pub(crate) door: SubmissionLimiter,
+    pub(crate) held: HeldLease,
     pub(crate) word_at: Micros,
     pub(crate) cloud_calls: Budget<(CloudPurpose, CloudCall)>,
     cloud_in_flight: HashMap<CallId, CloudPurpose>,
@@ -204,15 +204,15 @@
     pub(crate) evict_at: Micros,
     /// Starts announced to the others, and what follows from theirs.
     pub(crate) announcements: Announcements,
-    pub(crate) ledger: Ledger,
+    pub(crate) ledger: MachineKnowledge,
     /// The record of controllers that this one does not wait for, its stamp, and whether it is being
     /// written.
     pub(crate) uninformed: (UninformedRecord, u64),
     pub(crate) recording: bool,
     /// What failures say of jobs and machines.
-    pub(crate) blame: Blame,
+    pub(crate) blame: FaultAttribution,
     /// What is asked of the others while jobs are taken over.
-    pub(crate) inquiry: Inquiry,
+    pub(crate) inquiry: WitnessQueries,
     /// Tasks of own jobs on others' machines may have been asked to stop.
     pub(crate) stops_abroad: bool,
     /// Machines not yet accounted for since jobs were taken over.
@@ -276,8 +276,8 @@
             // Each controller keeps to its part of the limits, so that together they stay within.
             calls: Budget::new(state.rps * 0.95 / count, state.write_rps * 0.95 / count, 0.9),
             own_rates: (0.0, 0.0),
-            door: Door::default(),
-            held: Held::default(),
+            door: SubmissionLimiter::default(),
+            held: HeldLease::default(),
             word_at: Micros::ZERO,
             in_flight: HashMap::new(),
             cloud_calls: Budget::new(cloud.rps * 0.8, cloud.rps, 1.0),
@@ -323,11 +323,11 @@
             kept: BTreeMap::new(),
             reserved: Vec::new(),
             announcements: Announcements::new(),
-            ledger: Ledger::new(),
+            ledger: MachineKnowledge::new(),
             uninformed: Default::default(),
             recording: false,
-            blame: Blame::default(),
-            inquiry: Inquiry::default(),
+            blame: FaultAttribution::default(),
+            inquiry: WitnessQueries::default(),
             stops_abroad: false,
             unresolved: BTreeSet::new(),
             polls: Vec::new(),
@@ -369,7 +369,7 @@
         &self.settings.member
     }
 
-    pub(crate) fn life(&self) -> Life {
+    pub(crate) fn life(&self) -> Incarnation {
         (self.settings.member.clone(), self.lease.as_ref().map_or(0, |l| l.stamp))
     }
 
@@ -538,7 +538,7 @@
 
     /// Starts wait for another controller to confirm that it knows of them.
     pub fn confirmations_owed(&self) -> bool {
-        self.announcements.owed()
+        self.announcements.has_unconfirmed()
     }
 
     /// Records that this version cannot read.
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use marblewalk_admission::pool::Turn;
-use marblewalk_hearing::Hearing;
+use marblewalk_delivery::DeliveryMonitor;
 use marblewalk_retry::Backoff;
 
 use crate::bookkeeping::records::{BlockRow, TaskSet};
@@ -256,7 +256,7 @@
     /// Unheard for longer than any report is late, and asked directly it did not answer either.
     pub lost: bool,
     /// Whether what it is told arrives.
-    pub hearing: Hearing,
+    pub hearing: DeliveryMonitor,
     /// It is being asked whether it is there.
     pub asked: bool,
     /// Questions in a row to which it gave no answer since it was granted.
@@ -301,7 +301,7 @@
             reported: 0,
             addr: String::new(),
             lost: false,
-            hearing: Hearing::default(),
+            hearing: DeliveryMonitor::default(),
             asked: false,
             unanswered: 0,
             starting: Vec::new(),
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -237,7 +237,7 @@
             && !machine.row.returning
             && !machine.apart
             && !machine.notice
-            && !machine.hearing.deaf()
+            && !machine.hearing.is_unreachable()
             && machine.heard.is_some_and(|at| self.now.since(at) < recent)
     }
 
@@ -379,7 +379,7 @@
             if allows(spec, m) && only.zone().is_none_or(|z| z == m.row.zone) && !closed.holds(m) {
                 let fetch = self.fetch_time(spec, m);
                 if fetch == Micros::ZERO || !matches!(only, Only::Fetched) {
-                    let doubt = self.blame.doubt(&spec.id, name);
+                    let doubt = self.blame.suspicion(&spec.id, name);
                     let preference = (doubt, keeps_dear(spec, m), fetch, room.cpu - need.cpu);
                     options.push((preference, name, *room, m));
                 }
--- a/src/coordination/purposes.rs
+++ b/src/coordination/purposes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use marblewalk_recovery::Life;
+use marblewalk_recovery::Incarnation;
 
 use crate::coordination::RequestId;
 use crate::protocol::cloud::Rental;
@@ -93,7 +93,7 @@
     Finals,
     Quota,
     Uninformed {
-        record: BTreeSet<Life>,
+        record: BTreeSet<Incarnation>,
     },
 }
 
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -59,7 +59,7 @@
             };
             of.all += 1;
             // Jobs wait only for one of which not all is known.
-            let waited_for = m.lost && !m.resolved && !self.ledger.listed(name, &me);
+            let waited_for = m.lost && !m.resolved && !self.ledger.is_fully_known(name, &me);
             let patience = if waited_for { UNANSWERING } else { limit };
             let unknown = !m.resolved && self.now.since(m.granted) > patience;
             if !m.resolved && !unknown {
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -141,7 +141,7 @@
             CloudReply::NoCapacity => {
                 self.counters.refusals += 1;
                 let (_, times) = lead.fleet.refused.get(&key).copied().unwrap_or((now, 0));
-                let pause = rules::NO_CAPACITY.pause(times + 1);
+                let pause = rules::NO_CAPACITY.delay(times + 1);
                 lead.fleet.refused.insert(key, (now + pause, times + 1));
             }
             CloudReply::Rejected => {
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use marblewalk_recovery::{Announcements, Ledger, Life};
+use marblewalk_recovery::{Announcements, Incarnation, MachineKnowledge};
 
 use crate::bookkeeping::blocks::Changes;
 use crate::bookkeeping::records::{self, LeaderRecord, TaskSet};
@@ -54,7 +54,7 @@
         self.peers.clear();
         self.told.clear();
         self.unreadable.clear();
-        self.ledger = Ledger::new();
+        self.ledger = MachineKnowledge::new();
         self.announcements = Announcements::new();
         self.uninformed = Default::default();
         self.recording = false;
@@ -75,7 +75,7 @@
 
     /// A job is over. Its tasks count against its team's limit until they are seen gone.
     pub(super) fn retire(&mut self, id: &str) -> Option<u32> {
-        self.blame.job_over(id);
+        self.blame.job_ended(id);
         let job = self.jobs.shift_remove(id)?;
         tracing::debug!(job = id, unfinished = job.unfinished(), "over");
         let may_take = job.spec.need().times(u64::from(job.unfinished()));
@@ -101,7 +101,7 @@
     }
 
     pub(super) fn load_all(&mut self, entries: Vec<Entry>) {
-        self.ledger.loaded(self.applied);
+        self.ledger.records_loaded(self.applied);
         // Jobs before their completions, blocks before the view.
         let (last, first): (Vec<_>, Vec<_>) =
             entries.into_iter().partition(|e| e.key.starts_with(records::DONE) || e.key == records::VIEW);
@@ -205,7 +205,7 @@
                 return;
             }
             if let Some(former) = self.nodes.insert(member.to_owned(), stamp).filter(|s| *s != stamp) {
-                self.ledger.ended(&(member.to_owned(), former));
+                self.ledger.incarnation_ended(&(member.to_owned(), former));
             }
             self.soon_round();
         } else if let Some(member) = key.strip_prefix(records::EVICTED) {
@@ -268,7 +268,7 @@
         } else if let Some(member) = key.strip_prefix(records::NODE) {
             if let Some(former) = self.nodes.get(member).copied().filter(|s| *s < stamp) {
                 self.nodes.remove(member);
-                self.ledger.ended(&(member.to_owned(), former));
+                self.ledger.incarnation_ended(&(member.to_owned(), former));
                 if member == self.me() {
                     self.leave("the registration has been removed");
                     return;
@@ -312,8 +312,8 @@
             // Its row goes only after the cloud has confirmed that the machine is gone.
             self.replace_tasks(&gone, BTreeMap::new(), Removal::MachineGone);
             self.machines.shift_remove(&gone);
-            self.ledger.gone(&gone);
-            self.blame.machine_gone(&gone);
+            self.ledger.machine_removed(&gone);
+            self.blame.machine_removed(&gone);
             self.peers.values_mut().for_each(|peer| drop(peer.words.remove(&gone)));
             self.unresolved.remove(&gone);
         }
@@ -336,7 +336,7 @@
                 machine.row = row;
                 continue;
             }
-            self.ledger.granted(&row.machine, holder);
+            self.ledger.machine_granted(&row.machine, holder);
             tracing::debug!(machine = row.machine, owner = row.owner, token = row.token, "granted");
             self.stops_abroad = true;
             // A fresh token for the same holder is no new beginning: a machine that takes none of them would else
@@ -351,7 +351,7 @@
             machine.answered = None;
             machine.former_gone = None;
             machine.lost = false;
-            machine.hearing.granted();
+            machine.hearing.grant_changed();
             machine.asked = false;
             machine.unanswered = 0;
             machine.starting.clear();
@@ -370,9 +370,9 @@
     }
 
     /// A record of this revision names a machine that was in none that this controller has read.
-    fn learnt_of(&mut self, name: &str, holder: Option<Life>, revision: u64) {
-        let Some(holder) = holder else { return self.ledger.granted(name, None) };
-        self.ledger.first_read(name, holder, revision);
+    fn learnt_of(&mut self, name: &str, holder: Option<Incarnation>, revision: u64) {
+        let Some(holder) = holder else { return self.ledger.machine_granted(name, None) };
+        self.ledger.machine_discovered(name, holder, revision);
         // Its record could not be read when the jobs were taken over.
         if self.taking_over {
             self.unresolved.insert(name.to_owned());
@@ -431,10 +431,10 @@
         let was_member = std::mem::replace(&mut self.placing, member);
         self.renew_permits();
         if was_member != member {
-            self.ledger.member_since(self.placing.then_some(self.view_stamp));
+            self.ledger.set_member_since(self.placing.then_some(self.view_stamp));
         }
         let others = self.view.members.iter().filter(|m| m.0 != self.settings.member);
-        self.announcements.members(self.now, self.view_stamp, others.cloned());
+        self.announcements.set_members(self.now, self.view_stamp, others.cloned());
         self.ledger.prune(|life| self.nodes.get(&life.0) == Some(&life.1));
         self.stops_abroad = true;
         self.unresolved.clear();
--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_lives.rs
@@ -92,7 +92,7 @@
         let late =
             PeerMessage::Testimony { stamp: witness.1, asker: former, question: u64::MAX, machines: words };
         // Asked once, so that answers count.
-        world.controllers[back].as_mut().unwrap().inquiry.ask(Micros::ZERO);
+        world.controllers[back].as_mut().unwrap().inquiry.record_query(Micros::ZERO);
         world.tell(back, Event::Peer(witness.0, late));
         let asker = world.controllers[back].as_ref().unwrap();
         assert_eq!(asker.adopting(), open, "seed {seed}: machines were accounted for by it");
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -468,7 +468,8 @@
     let mut world = full(410, 12);
     let known = |c: &Controller| {
         let me = c.life();
-        let listed = |name: &String, m: &Machine| c.holds(m) && !c.owns(m) && c.ledger.listed(name, &me);
+        let listed =
+            |name: &String, m: &Machine| c.holds(m) && !c.owns(m) && c.ledger.is_fully_known(name, &me);
         c.machines.iter().find(|(name, m)| listed(name, m)).map(|(name, m)| (name.clone(), m.row.clone()))
     };
     let found = |w: &World| (0..3).find_map(|n| Some((n, known(w.controllers[n].as_ref()?)?)));
@@ -489,6 +490,6 @@
         vec![put(stamp - 2), Change::Delete { key: records::node(&member), stamp: stamp - 1 }, put(stamp)];
     c.followed(c.now, StoreReply::News(News { revision: c.applied + 1, changes }));
     assert_eq!(c.nodes.get(&member), Some(&stamp));
-    c.ledger.heard(&life, u64::MAX - 1, false, c.applied);
-    assert!(!c.ledger.listed(&name, &me), "nothing can be missed of a life that is taken for ended");
+    c.ledger.message_received(&life, u64::MAX - 1, false, c.applied);
+    assert!(!c.ledger.is_fully_known(&name, &me), "nothing can be missed of a life that is taken for ended");
 }
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -123,7 +123,7 @@
         }
         let known = |w: &World| {
             let Some(c) = w.controllers[newcomer].as_ref() else { return false };
-            c.machines.contains_key(&machine) && c.inquiry.covers(&machine)
+            c.machines.contains_key(&machine) && c.inquiry.is_covered(&machine)
         };
         assert!(until_unreached(&mut world, newcomer, &machine, known), "seed {seed}: nobody witnessed it");
         // The former holder goes on without the newcomer, which hears nothing of it.
@@ -239,7 +239,7 @@
         assert!(all, "seed {seed}: {} begun", begun(&world));
         // It reads of the newcomer, and goes on without that one too.
         world.spells.retain(|(spell, ..)| *spell != Spell::WatchHangs(holder));
-        let alone = |w: &World| w.controllers[holder].as_ref().unwrap().announcements.excused().len() == 2;
+        let alone = |w: &World| w.controllers[holder].as_ref().unwrap().announcements.uninformed().len() == 2;
         assert!(until(&mut world, Micros::from_secs(3), alone), "seed {seed}: it waits for somebody");
         // What it said of these tasks is lost.
         world.run(world.now + Micros::from_millis(1_500));
--- a/src/coordination/simulation/uninformed_orders.rs
+++ b/src/coordination/simulation/uninformed_orders.rs
@@ -11,7 +11,7 @@
 
 /// Whether a controller has recorded others as uninformed, and does not wait for them.
 fn goes_on_alone(world: &World, owner: usize) -> bool {
-    !world.controllers[owner].as_ref().unwrap().announcements.excused().is_empty()
+    !world.controllers[owner].as_ref().unwrap().announcements.uninformed().is_empty()
 }
 
 /// A cluster whose owner of jobs goes on without the heir: nothing that they say to each other arrives.
@@ -74,7 +74,7 @@
         arrives(&mut world, owner, heir, &whole);
         let (life, reader) =
             (world.controllers[owner].as_ref().unwrap().life(), world.controllers[heir].as_ref().unwrap());
-        assert!(reader.ledger.unbroken(&life), "seed {seed}: the whole status was not taken in");
+        assert!(reader.ledger.is_contiguous(&life), "seed {seed}: the whole status was not taken in");
         // The heir reads no changes from here on.
         world.befalls(Spell::WatchHangs(heir), Micros::MAX);
         let begun = fill(&mut world, owner, heir, &machine);
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use marblewalk_recovery::{Life, Question};
+use marblewalk_recovery::{Incarnation, QueryTarget};
 
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, UninformedRecord};
@@ -26,20 +26,20 @@
 impl Controller {
     /// Whether everything that may be on a machine is known, as far as jobs are concerned that have
     /// changed hands in this view.
-    fn accounted(&self, name: &str, machine: &Machine, me: &Life) -> bool {
+    fn accounted(&self, name: &str, machine: &Machine, me: &Incarnation) -> bool {
         // Since this view nobody but this controller starts tasks of its jobs.
-        if self.inquiry.covers(name) {
+        if self.inquiry.is_covered(name) {
             return true;
         }
         if self.owns(machine) {
-            return machine.resolved || self.ledger.listed(name, me);
+            return machine.resolved || self.ledger.is_fully_known(name, me);
         }
         if !self.holds(machine) {
             // Its holder has ended: all that it ordered had been announced, or it is not known.
-            return self.ledger.listed(name, me);
+            return self.ledger.is_fully_known(name, me);
         }
         // Its holder may have been a job's owner until it saw this view.
-        (machine.resolved || self.ledger.listed(name, me)) && self.spoken(machine) >= self.view_stamp
+        (machine.resolved || self.ledger.is_fully_known(name, me)) && self.spoken(machine) >= self.view_stamp
     }
 
     /// Jobs taken over may be started once every machine that could run them is accounted for.
@@ -97,7 +97,7 @@
     /// controller need not have been told: a controller that has just joined learns so what the others
     /// have confirmed before they counted on it, also of its own machines of a life before.
     fn ask_witnesses(&mut self) {
-        let Some(question) = self.inquiry.due(self.now) else { return };
+        let Some(question) = self.inquiry.next_target(self.now) else { return };
         let view = self.view_stamp;
         let status = |member: &String, node: u64| {
             self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.stamp == node)
@@ -107,15 +107,15 @@
             return;
         }
         let witnesses: Vec<Option<String>> = match question {
-            Question::OfAll => vec![None],
+            QueryTarget::All => vec![None],
             // One that takes nothing over has been there before; if all do, any may know something.
-            Question::OfOne => others()
+            QueryTarget::One => others()
                 .max_by_key(|(member, node)| status(member, **node).is_some_and(|s| s.adopted))
                 .map(|(member, _)| Some(member.clone()))
                 .into_iter()
                 .collect(),
         };
-        let question = self.inquiry.ask(self.now);
+        let question = self.inquiry.record_query(self.now);
         let stamp = self.life().1;
         tracing::debug!(question, to = ?witnesses, open = self.unresolved.len(), "asking for testimony");
         for to in witnesses {
@@ -124,7 +124,7 @@
     }
 
     /// Tells one who takes jobs over what is known here of machines that are not known in full there.
-    pub(super) fn testify(&mut self, asker: Life, question: u64) {
+    pub(super) fn testify(&mut self, asker: Incarnation, question: u64) {
         // What the asker itself has ordered it need not be told; a later life of the same controller would.
         if self.nodes.get(&asker.0) != Some(&asker.1) {
             return;
@@ -136,7 +136,7 @@
         let me = self.life();
         // Of others their present holders tell.
         let open = self.machines.iter().filter(|(_, m)| !(m.unused() || m.resolved && self.holds(m)));
-        let known = open.filter(|(name, _)| self.ledger.listed_for(name, &me, &asker));
+        let known = open.filter(|(name, _)| self.ledger.is_fully_known_except_from(name, &me, &asker));
         let machines = known.map(|(_, m)| self.word(m)).collect();
         let testimony = PeerMessage::Testimony { stamp: me.1, asker: asker.1, question, machines };
         self.effects.push(Effect::Send(Some(asker.0), testimony));
@@ -144,7 +144,7 @@
 
     /// Another controller has told all that it knows of machines.
     pub(super) fn testified(&mut self, from: &str, stamp: u64, question: u64, told: &[MachineStatus]) {
-        if self.nodes.get(from) != Some(&stamp) || !self.taking_over || !self.inquiry.counts(question) {
+        if self.nodes.get(from) != Some(&stamp) || !self.taking_over || !self.inquiry.is_current(question) {
             return;
         }
         tracing::debug!(from, question, machines = told.len(), "testimony");
@@ -157,9 +157,9 @@
                 m.addr.clone_from(&word.addr);
             }
             let (nodes, members) = (&self.nodes, &self.view.members);
-            let over = |life: &Life| nodes.get(&life.0) != Some(&life.1) && !members.contains(life);
-            self.ledger.witnessed(&word.machine, over);
-            self.inquiry.cover(&word.machine);
+            let over = |life: &Incarnation| nodes.get(&life.0) != Some(&life.1) && !members.contains(life);
+            self.ledger.witness_reported(&word.machine, over);
+            self.inquiry.mark_covered(&word.machine);
         }
         self.check_adoption();
         self.place_due = true;
@@ -185,25 +185,25 @@
         if self.careless {
             return u64::MAX;
         }
-        self.announcements.settled()
+        self.announcements.confirmed_through()
     }
 
     /// The view before which this controller announced nothing that another which may act does not know of, or does not
     /// know to have missed.
     pub(super) fn cleared(&self) -> u64 {
-        self.announcements.cleared(self.now, self.lease_term)
+        self.announcements.confirmed_before_view(self.now, self.lease_term)
     }
 
     /// Another controller has confirmed what this one has announced.
-    pub(super) fn confirmed(&mut self, by: Life, sequence: u64) {
-        let before = self.announcements.settled();
+    pub(super) fn confirmed(&mut self, by: Incarnation, sequence: u64) {
+        let before = self.announcements.confirmed_through();
         let cleared = self.cleared();
         self.announcements.confirmed(self.now, &by, sequence);
         if self.cleared() != cleared {
             // Whoever takes jobs over waits for this.
             self.status_due = Some(self.now);
         }
-        if self.announcements.settled() != before {
+        if self.announcements.confirmed_through() != before {
             self.speak();
         }
     }
@@ -213,7 +213,7 @@
         let Ok(record) = value.read::<UninformedRecord>() else {
             // What cannot be read may name this controller.
             if let Some(node) = self.nodes.get(member) {
-                self.ledger.uninformed(&(member.to_owned(), *node), true);
+                self.ledger.set_uninformed(&(member.to_owned(), *node), true);
             }
             return;
         };
@@ -221,7 +221,7 @@
             self.uninformed = (record, stamp);
         } else {
             let named = record.peers.contains(&self.life());
-            self.ledger.uninformed(&(member.to_owned(), record.node), named);
+            self.ledger.set_uninformed(&(member.to_owned(), record.node), named);
         }
     }
 
@@ -235,13 +235,13 @@
             return;
         }
         let (me, node) = self.life();
-        let stored: BTreeSet<Life> = match &self.uninformed.0 {
+        let stored: BTreeSet<Incarnation> = match &self.uninformed.0 {
             record if record.node == node => record.peers.iter().cloned().collect(),
             _ => BTreeSet::new(),
         };
-        let wanted = self.announcements.wanted_record(self.now, PATIENCE);
+        let wanted = self.announcements.desired_record(self.now, PATIENCE);
         // A change of which nothing was heard may have been made all the same.
-        let unsure = || (stored != self.announcements.excused()).then(|| self.announcements.excused());
+        let unsure = || (stored != self.announcements.uninformed()).then(|| self.announcements.uninformed());
         let Some(record) = wanted.or_else(unsure) else { return };
         let peers = record.iter().cloned().collect();
         let Ok(value) = serde_json::to_value(UninformedRecord { node, peers }) else { return };
@@ -251,19 +251,19 @@
             writes: vec![Write::put(key, value)],
         };
         self.recording = true;
-        self.announcements.record_sent(&record);
+        self.announcements.record_write_started(&record);
         tracing::debug!(uninformed = ?record, "recording whom starts do not wait for");
         self.store(Urgency::Entitlement, Purpose::Uninformed { record }, StoreCall::Commit(transaction));
     }
 
-    pub(super) fn uninformed_recorded(&mut self, record: BTreeSet<Life>, reply: StoreReply) {
+    pub(super) fn uninformed_recorded(&mut self, record: BTreeSet<Incarnation>, reply: StoreReply) {
         self.recording = false;
         if let StoreReply::Committed { revision } = reply {
             let (node, peers) = (self.life().1, record.iter().cloned().collect());
             if self.uninformed.1 < revision {
                 self.uninformed = (UninformedRecord { node, peers }, revision);
             }
-            self.announcements.record_holds(self.now, &record);
+            self.announcements.record_committed(self.now, &record);
             self.speak();
         }
     }
--- a/src/coordination/volume_plan.rs
+++ b/src/coordination/volume_plan.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use marblewalk_admission::pool::{self, Entitlement, FlowShare, Offer, Turn, Verdict};
+use marblewalk_admission::pool::{self, Entitlement, FlowShare, JobAdmission, JobRequest, Turn};
 
 use crate::coordination::Controller;
 use crate::coordination::eligibility::allows;
@@ -155,21 +155,22 @@
                 (size, size * slots)
             })
         };
-        let offers: Vec<Offer<'_>> =
+        let offers: Vec<JobRequest<'_>> =
             jobs.iter().map(|(_, j)| j).map(self.offers(accelerated, size)).collect();
         let pool = if accelerated { supply.gpu } else { supply.cpu };
         let entitled = |team: &str| self.team_entitlement(team, accelerated);
         let (verdicts, flows) = pool::divide(&offers, pool as f64, entitled);
         let mut admitted = Vec::new();
         for (((id, job), offer), verdict) in jobs.into_iter().zip(&offers).zip(verdicts) {
-            let Verdict::Admitted { most, turn } = verdict else { continue };
+            let JobAdmission::Admitted { max_tasks, turn } = verdict else { continue };
             let weight = match turn {
                 Turn::Usual => self.urgency(job),
                 Turn::First | Turn::Nth(_) => URGENT * (1.0 + SMALL),
                 Turn::Spare(_) | Turn::Backfill => 1.0,
             };
             let priority = job.spec.priority.weight() * weight;
-            let claim = Claim { priority, demand: most, floor: offer.floor(), size: offer.size };
+            let claim =
+                Claim { priority, demand: max_tasks, floor: offer.min_tasks(), size: offer.task_size };
             let (begun, precedence) = (!job.on.is_empty(), self.precedence(job));
             admitted.push(Admitted { id, job, claim, turn, accelerated, begun, precedence });
         }
@@ -181,7 +182,7 @@
         &'a self,
         accelerated: bool,
         mut size: impl FnMut(&JobSpec) -> (f64, f64),
-    ) -> impl FnMut(&&'a Job) -> Offer<'a> {
+    ) -> impl FnMut(&&'a Job) -> JobRequest<'a> {
         let mut aims: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for o in self.settings.params.objectives.iter().filter(|o| o.kind == "finished") {
             if let (Some(class), Some(within)) = (o.class.as_deref(), o.within_s) {
@@ -195,22 +196,22 @@
             let due = spec.deadline_s.into_iter().chain(aims).map(|within| within - age);
             let (size, usable) = size(spec);
             let need = spec.need();
-            Offer {
-                taken: if accelerated { need.gpu } else { need.cpu } as f64,
+            JobRequest {
+                quota_size: if accelerated { need.gpu } else { need.cpu } as f64,
                 team: &spec.team,
                 class: &spec.class,
                 rank: spec.priority as u8,
                 arrival: job.stamp,
-                tasks: self.worth_trying(&spec.id, job),
-                of: spec.tasks,
-                whole: spec.shape != Shape::Array,
-                begun: !job.on.is_empty(),
-                started: job.started(),
-                size,
-                usable,
-                task_s: spec.estimate_s,
-                due_s: pool::nearest(due, spec.estimate_s),
-                starts_missed: self.starts_missed(job).0,
+                unfinished_tasks: self.worth_trying(&spec.id, job),
+                total_tasks: spec.tasks,
+                gang: spec.shape != Shape::Array,
+                running: !job.on.is_empty(),
+                started_tasks: job.started(),
+                task_size: size,
+                usable_supply: usable,
+                estimated_task_s: spec.estimate_s,
+                due_s: pool::nearest_reachable_deadline(due, spec.estimate_s),
+                missed_starts: self.starts_missed(job).0,
             }
         }
     }
--- a/src/coordination/words.rs
+++ b/src/coordination/words.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use marblewalk_recovery::Hearing;
+use marblewalk_recovery::SequenceCheck;
 
 use crate::coordination::conclusions::{Evidence, Sighting};
 use crate::coordination::model::{Machine, TaskOn};
@@ -37,7 +37,7 @@
 
     pub(super) fn status_tick(&mut self) {
         let regular = self.now.since(self.status_sent) >= REGULAR;
-        let repeat = self.announcements.owed() && self.now.since(self.announced_at) >= REPEAT;
+        let repeat = self.announcements.has_unconfirmed() && self.now.since(self.announced_at) >= REPEAT;
         if regular || repeat || self.status_due.is_some_and(|at| at <= self.now) {
             self.send_status(regular);
         }
@@ -54,7 +54,7 @@
         self.statuses_to_single = 0;
         let (machines, tallies) = self.changed_words(regular);
         let over = if whole { self.all_ends() } else { self.ends_to_tell(regular) };
-        let confirm = self.mark_announced() || self.announcements.owed() || self.ends_owed();
+        let confirm = self.mark_announced() || self.announcements.has_unconfirmed() || self.ends_owed();
         let status = Status { whole, confirm, machines, tallies, over, ..self.bare_status() };
         if self.lead.is_some() {
             let own = self.settings.member.clone();
@@ -271,13 +271,13 @@
             };
             peer.words.retain(|_, word| unread(word));
         }
-        let hearing = self.ledger.heard(&life, status.sequence, status.whole, status.applied);
+        let hearing = self.ledger.message_received(&life, status.sequence, status.whole, status.applied);
         let reply = match hearing {
-            Hearing::Complete if status.confirm || status.whole => {
+            SequenceCheck::Contiguous if status.confirm || status.whole => {
                 let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
                 Some(PeerMessage::Seen { stamp, asker: status.stamp, sequence: status.sequence })
             }
-            Hearing::Broken if now.since(peer.asked_again) >= ASK_SPACING => {
+            SequenceCheck::Gap if now.since(peer.asked_again) >= ASK_SPACING => {
                 peer.asked_again = now;
                 Some(PeerMessage::Again)
             }
@@ -311,7 +311,7 @@
     /// The revision as of which a machine's owner has spoken of it under its present grant.
     pub(super) fn spoken(&self, machine: &Machine) -> u64 {
         let holder = (machine.row.owner.clone(), machine.row.node);
-        let Some(peer) = self.peers.get(&holder.0).filter(|_| self.ledger.unbroken(&holder)) else {
+        let Some(peer) = self.peers.get(&holder.0).filter(|_| self.ledger.is_contiguous(&holder)) else {
             return 0;
         };
         let word = peer.words.get(&machine.row.machine).filter(|w| w.token == machine.row.token);
@@ -386,7 +386,7 @@
             machine.idle_since = told.idle_since.unwrap_or(self.now);
         }
         if let Some(node) = node {
-            self.ledger.told(&told.machine, &(from.to_owned(), node), told.resolved);
+            self.ledger.holder_reported(&told.machine, &(from.to_owned(), node), told.resolved);
         }
         for (task, cause, new) in ended {
             if cause == Cause::Done {
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,9 +1,9 @@
 //! What controllers tell each other, as `bitcode` frames.
 
 use bitcode::{Decode, Encode};
-use marblewalk_admission::plan::{Plan, Word};
 use marblewalk_admission::pool::Turn;
-use marblewalk_recovery::Position;
+use marblewalk_admission::rate_plan::{LoadReport, RatePlan};
+use marblewalk_recovery::MessagePosition;
 
 use super::job::Final;
 use super::units::Micros;
@@ -108,8 +108,8 @@
 
 impl Status {
     /// Its place among all statuses that the sender has made under its registration.
-    pub fn position(&self) -> Position {
-        Position { number: self.sequence, single: self.single }
+    pub fn position(&self) -> MessagePosition {
+        MessagePosition { broadcast: self.sequence, unicast: self.single }
     }
 }
 
@@ -163,9 +163,9 @@
         surplus: Vec<(String, u32)>,
     },
     /// What the sender is offered at its door, and what it holds of the store's limits.
-    Door(Word),
+    Door(LoadReport),
     /// The leader's parts of the limits and rates of flows.
-    Plan(Plan),
+    Plan(RatePlan),
     /// Where machines can be reached, as the cloud lists them.
     Addresses(Vec<(String, String)>),
     /// A machine reports to the sender, whose it is not: perhaps it cannot reach its owner.
