--- a/crates/admission/src/pool.rs
+++ b/crates/admission/src/pool.rs
@@ -149,6 +149,7 @@
     pub jobs: usize,
 }
 
+/// Rank, team and class.
 type FlowKey<'a> = (u8, &'a str, &'a str);
 
 /// Divides a pool: returns a decision for each job, in the order of `jobs`, and each flow's share.
@@ -191,7 +192,8 @@
     (admissions, flow_shares)
 }
 
-/// A team's limit in the pool's unit: tasks make more of their machines unusable than counts against the limit.
+/// Converts a team's limit to the pool's unit: with what it makes unusable on its machine, a task takes more of the
+/// pool than counts against the limit.
 fn limit_in_pool_units(jobs: &[JobRequest<'_>], team: &str, entitled: Entitlement) -> Entitlement {
     if entitled.limit <= 0.0 {
         return entitled;
--- a/crates/admission/src/rate_plan.rs
+++ b/crates/admission/src/rate_plan.rs
@@ -86,9 +86,12 @@
     pub rates: Rates,
 }
 
+/// One plan of the leader.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RatePlan {
+    /// The leader's registration.
     pub leader: u64,
+    /// Counts the plans of this leader.
     pub number: u64,
     pub leases: Vec<RateLease>,
     /// The fraction of each flow's new submissions that is admitted, at any controller; above 0 and at most 1. A flow
--- a/crates/admission/src/submission_limiter.rs
+++ b/crates/admission/src/submission_limiter.rs
@@ -30,8 +30,8 @@
 const EARLY_TOLERANCE: Micros = Micros::from_millis(1_200);
 /// How long a retry slot is kept after its time, and a rejected query after it was made.
 const RETENTION: Micros = Micros::from_secs(60);
-/// The most retry slots and rejected queries that are kept, and the most slots sent in one message.
-const MAX_RETRY_SLOTS: usize = 8_192;
+/// The most retry slots and the most rejected queries that are kept, and the most slots sent in one message.
+const MAX_ENTRIES: usize = 8_192;
 const MAX_SLOTS_PER_MESSAGE: usize = 256;
 
 /// Why a submission was turned away.
@@ -45,6 +45,7 @@
     Behind,
 }
 
+/// Decision on a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmissionDecision {
     Admit,
@@ -74,6 +75,7 @@
     pub flows: FlowStats,
     /// The fraction of each flow that the plan in force admits; none without a plan.
     planned_fractions: Option<HashMap<Flow, f64>>,
+    /// When each retry slot is due, by the hash of the job's id.
     slots: HashMap<u64, Micros>,
     /// Slots in the order in which they were made.
     slot_order: VecDeque<(Micros, u64)>,
@@ -154,7 +156,7 @@
                     self.add_slot(id_hash, now + wait);
                     self.unsent_slots.push_back(id_hash);
                     // Without other controllers the queue of unsent slots is never drained.
-                    if self.unsent_slots.len() > MAX_RETRY_SLOTS {
+                    if self.unsent_slots.len() > MAX_ENTRIES {
                         self.unsent_slots.pop_front();
                     }
                 }
@@ -181,7 +183,7 @@
     fn add_slot(&mut self, id_hash: u64, due: Micros) {
         self.slots.insert(id_hash, due);
         self.slot_order.push_back((due, id_hash));
-        if self.slots.len() > MAX_RETRY_SLOTS
+        if self.slots.len() > MAX_ENTRIES
             && let Some((_, oldest)) = self.slot_order.pop_front()
         {
             self.slots.remove(&oldest);
@@ -234,7 +236,7 @@
     pub fn query_rejected(&mut self, now: Micros, id: &str) {
         self.remove_expired(now);
         let id_hash = xxh3_64(id.as_bytes());
-        if self.rejected_queries.len() < MAX_RETRY_SLOTS && !self.rejected_queries.contains_key(&id_hash) {
+        if self.rejected_queries.len() < MAX_ENTRIES && !self.rejected_queries.contains_key(&id_hash) {
             self.rejected_queries.insert(id_hash, now);
             self.query_order.push_back((now, id_hash));
         }
@@ -246,7 +248,7 @@
     }
 
     /// The number of retry slots still to come.
-    pub fn retry_slots(&self) -> usize {
+    pub fn retry_slot_count(&self) -> usize {
         self.slots.len()
     }
 }
@@ -387,13 +389,10 @@
             let now = Micros::from_millis(n);
             limiter.decide(now, &format!("j-{n}"), "red", &format!("c-{}", n % 1_000), full);
             limiter.query_rejected(now, &format!("j-{n}"));
-            assert!(limiter.retry_slots() <= MAX_RETRY_SLOTS);
+            assert!(limiter.retry_slot_count() <= MAX_ENTRIES);
         }
-        assert!(
-            limiter.rejected_queries.len() <= MAX_RETRY_SLOTS
-                && limiter.unsent_slots.len() <= MAX_RETRY_SLOTS
-        );
+        assert!(limiter.rejected_queries.len() <= MAX_ENTRIES && limiter.unsent_slots.len() <= MAX_ENTRIES);
         limiter.decide(Micros::from_secs(400), "j-1", "red", "any", full);
-        assert_eq!((limiter.retry_slots(), limiter.rejected_queries.len()), (1, 0));
+        assert_eq!((limiter.retry_slot_count(), limiter.rejected_queries.len()), (1, 0));
     }
 }
--- a/crates/delivery/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -7,16 +7,16 @@
 //! - it did not if the report has a lower token than the answer, or lacks a start that the answer ordered;
 //! - no answer arrived if the report is of a later session although answers within the lease should have renewed the
 //!   old one;
-//! - it did if the report shows the token or the start. A reply to a direct call shows that the machine is reachable,
-//!   too.
+//! - it did if the report shows the token or the start. A reply to a direct call shows that the machine receives
+//!   messages, too.
 //!
-//! A single answer may get lost; [`UNREACHABLE_AFTER`] in a row show a partition. This is a state machine without I/O
+//! A single answer may get lost; [`NOT_RECEIVING_AFTER`] in a row show a partition. This is a state machine without I/O
 //! or clock, for one machine.
 
 use marblewalk_units::Micros;
 
-/// Answers lost in a row after which a machine counts as unreachable.
-pub const UNREACHABLE_AFTER: u32 = 2;
+/// Answers lost in a row after which a machine counts as not receiving.
+pub const NOT_RECEIVING_AFTER: u32 = 2;
 
 /// A worker that got no answer sends no report for a second. A report that comes sooner was sent before the answer, and
 /// delayed or duplicated on its way.
@@ -40,7 +40,7 @@
 pub struct DeliveryMonitor {
     last_answer: Option<SentAnswer>,
     lost_answers: u32,
-    unreachable_since: Option<Micros>,
+    not_receiving_since: Option<Micros>,
 }
 
 /// What a report shows of the answer before it.
@@ -83,24 +83,24 @@
             // is evidence. A report without the token may have been an old one itself, of a session that had already
             // ended.
             if now.since(answer.at) < lease {
-                self.record_lost(now, if answer.raised_token { 1 } else { UNREACHABLE_AFTER });
+                self.record_lost(now, if answer.raised_token { 1 } else { NOT_RECEIVING_AFTER });
             }
         } else if missing {
             self.record_lost(now, 1);
         } else if answer.raised_token || answer.ordered_starts {
-            self.mark_reachable();
+            self.mark_receiving();
         }
     }
 
     fn record_lost(&mut self, now: Micros, answers: u32) {
         self.lost_answers += answers;
-        if self.lost_answers >= UNREACHABLE_AFTER {
-            self.unreachable_since.get_or_insert(now);
+        if self.lost_answers >= NOT_RECEIVING_AFTER {
+            self.not_receiving_since.get_or_insert(now);
         }
     }
 
     /// Records that the machine has replied to a direct call, or has shown that an answer arrived.
-    pub fn mark_reachable(&mut self) {
+    pub fn mark_receiving(&mut self) {
         *self = DeliveryMonitor::default();
     }
 
@@ -109,13 +109,13 @@
         self.last_answer = None;
     }
 
-    /// Since when answers have not reached the machine, if it counts as unreachable.
-    pub fn unreachable_since(&self) -> Option<Micros> {
-        self.unreachable_since
+    /// Since when answers have not reached the machine, if it counts as not receiving.
+    pub fn not_receiving_since(&self) -> Option<Micros> {
+        self.not_receiving_since
     }
 
-    pub fn is_unreachable(&self) -> bool {
-        self.unreachable_since.is_some()
+    pub fn is_not_receiving(&self) -> bool {
+        self.not_receiving_since.is_some()
     }
 }
 
--- a/crates/recovery/src/announcements.rs
+++ b/crates/recovery/src/announcements.rs
@@ -9,8 +9,10 @@
 /// How long an uninformed controller must have confirmed everything before starts wait for it again.
 const REINSTATE_AFTER: Micros = Micros::from_secs(2);
 
+/// What one controller has confirmed.
 #[derive(Debug, Default)]
 struct PeerConfirmation {
+    /// The number up to which it has confirmed all messages.
     confirmed: u64,
     /// Since when an announcement is unconfirmed.
     unconfirmed_since: Option<Micros>,
--- a/crates/recovery/src/witness_queries.rs
+++ b/crates/recovery/src/witness_queries.rs
@@ -56,6 +56,7 @@
         self.covered_machines.insert(machine.to_owned());
     }
 
+    /// Whether a witness has reported on the machine in the present takeover.
     pub fn is_covered(&self, machine: &str) -> bool {
         self.covered_machines.contains(machine)
     }
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -84,6 +84,7 @@
         Resources { cpu: down(cpus), gpu: down(gpus), memory: down(memory_gb) }
     }
 
+    /// Whether this request fits in `room`.
     pub fn fits(self, room: Resources) -> bool {
         self.cpu <= room.cpu && self.gpu <= room.gpu && self.memory <= room.memory
     }
@@ -92,6 +93,7 @@
         self.combine(o, |a, b| a + b)
     }
 
+    /// The difference of each amount, at least zero.
     pub fn minus(self, o: Resources) -> Resources {
         self.combine(o, u64::saturating_sub)
     }
--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -32,7 +32,7 @@
     /// offered, taken and turned away of each team and class.
     pub fn at_the_door(&self) -> (bool, usize, Vec<(Flow, FlowCounters)>) {
         let rows = self.door.flows.iter().map(|(flow, row)| (flow, row.clone()));
-        (self.held.admitted_fractions(self.now).is_some(), self.door.retry_slots(), rows.collect())
+        (self.held.admitted_fractions(self.now).is_some(), self.door.retry_slot_count(), rows.collect())
     }
 
     /// As the leader has divided the pools: demand and share of the teams and classes that want most, and
--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -36,7 +36,7 @@
             let (session, token) = (m.session.max(1), m.row.token);
             let mut orders = Vec::new();
             let unheard = !m.lost && m.heard.is_some_and(|at| now.since(at) > overdue);
-            if m.resolved && (unheard || m.hearing.is_unreachable()) {
+            if m.resolved && (unheard || m.hearing.is_not_receiving()) {
                 // Without orders: is it there at all?
                 m.asked = true;
                 m.talk_after = now + Micros::from_secs(1);
@@ -97,11 +97,11 @@
         let Some(m) = self.machines.get_mut(name) else { return };
         m.talking = false;
         if !matches!(reply, DirectReply::Unclear | DirectReply::NotSent) {
-            if m.hearing.is_unreachable() {
+            if m.hearing.is_not_receiving() {
                 tracing::info!(machine = name, "hears again");
                 m.apart = false;
             }
-            m.hearing.mark_reachable();
+            m.hearing.mark_receiving();
         }
         let asked = std::mem::take(&mut m.asked);
         let starting = std::mem::take(&mut m.starting);
--- a/src/coordination/failures.rs
+++ b/src/coordination/failures.rs
@@ -65,7 +65,7 @@
 
     /// Own machines whose reports come while nothing that they are told arrives.
     pub fn machines_deaf(&self) -> usize {
-        self.machines.values().filter(|m| m.hearing.is_unreachable() && self.owns(m)).count()
+        self.machines.values().filter(|m| m.hearing.is_not_receiving() && self.owns(m)).count()
     }
 
     /// Jobs that fail wherever they go, as far as this controller has heard.
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -79,7 +79,7 @@
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.reported = tally;
             machine.heard = Some(self.now);
-            machine.lost = machine.hearing.is_unreachable();
+            machine.lost = machine.hearing.is_not_receiving();
         }
         if self.given_up_as_deaf(&name) {
             return self.answer(request, Answer::Later(1));
@@ -122,11 +122,11 @@
     /// again, and is returned. Unless so many don't hear that the fault is rather on this side: a controller that is
     /// behind with its answers must not let all its workers go.
     fn given_up_as_deaf(&mut self, name: &str) -> bool {
-        let Some(since) = self.machines.get(name).and_then(|m| m.hearing.unreachable_since()) else {
+        let Some(since) = self.machines.get(name).and_then(|m| m.hearing.not_receiving_since()) else {
             return false;
         };
         let own = || self.machines.values().filter(|m| self.owns(m));
-        if own().filter(|m| m.hearing.is_unreachable()).count() * 4 > own().count().max(8) {
+        if own().filter(|m| m.hearing.is_not_receiving()).count() * 4 > own().count().max(8) {
             return false;
         }
         self.soon_status();
@@ -210,7 +210,7 @@
         }
         machine.heard = machine.heard.filter(|_| direct).or(Some(now));
         machine.up = true;
-        machine.lost = machine.hearing.is_unreachable();
+        machine.lost = machine.hearing.is_not_receiving();
         machine.notice = noticed;
         machine.silent_since = None;
         if !was_idle || !machine.idle() {
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -237,7 +237,7 @@
             && !machine.row.returning
             && !machine.apart
             && !machine.notice
-            && !machine.hearing.is_unreachable()
+            && !machine.hearing.is_not_receiving()
             && machine.heard.is_some_and(|at| self.now.since(at) < recent)
     }
 
