--- a/crates/admission/src/pool.rs
+++ b/crates/admission/src/pool.rs
@@ -22,7 +22,7 @@
 /// The fraction of a flow's share that goes to first tasks of jobs whose turn has not come, in order of arrival. It
 /// bounds the wait for a job's first task, which starts long before the whole job can be done.
 pub const FIRST_TASKS_FRACTION: f64 = 1.0 / 16.0;
-/// The largest fraction of a share that first tasks get, if they need it to start within [`FIRST_TASK_TARGET_S`].
+/// The largest fraction of a share that first tasks get, if they need it to start within `FIRST_TASK_TARGET_S`.
 pub const FIRST_TASKS_MAX_FRACTION: f64 = 0.15;
 const FIRST_TASK_TARGET_S: f64 = 200.0;
 /// The largest jobs of a flow get a fraction of its share: their fraction of the flow's work times this, and at most
