--- a/src/coordination/backfill.rs
+++ b/src/coordination/backfill.rs
@@ -130,7 +130,7 @@
         let Some(lead) = &self.lead else { return };
         let holds = self.now.since(lead.since).0 % CYCLE.0 < HOLD.0;
         let mut idle = self.idle(volumes);
-        let cards = self.cards(self.machines.values().filter(|m| self.serving(m)));
+        let cards = self.cards(self.machines.values().filter(|m| self.is_schedulable(m)));
         let mut line = self.part_for_overdue(backfill);
         let mut beside_gangs = self.backfilled_beside_gangs(backfill);
         let mut held_teams = BTreeSet::new();
@@ -262,9 +262,9 @@
             let expected = if self.is_stalled(id) { 0 } else { volume.saturating_sub(job.placed()) };
             idle.take(&job.spec, job.spec.need().times(u64::from(expected)));
         }
-        let left = self.lead.iter().flat_map(|lead| &lead.left_by_plan);
+        let left = self.lead.iter().flat_map(|lead| &lead.free_after_plan);
         let free = left.filter_map(|(name, left)| {
-            let machine = self.machines.get(name).filter(|m| self.serving(m))?;
+            let machine = self.machines.get(name).filter(|m| self.is_schedulable(m))?;
             Some((name.clone(), left.min(machine.free())))
         });
         idle.machines = free.collect();
--- a/src/coordination/blocks.rs
+++ b/src/coordination/blocks.rs
@@ -71,7 +71,7 @@
         let mut moves: BTreeMap<String, String> = BTreeMap::new();
         let mut unplaced = Vec::new();
         let mut promised = BTreeSet::new();
-        let cards = self.cards(self.machines.values().filter(|m| self.serving(m)));
+        let cards = self.cards(self.machines.values().filter(|m| self.is_schedulable(m)));
         // Gangs come together whole or not at all: a part that waits for the rest would only idle.
         let mut reserved: Vec<(String, String)> = Vec::new();
         let whole = |j: &Job| j.is_gang() && j.on.is_empty() && !j.spec.spread;
@@ -120,33 +120,34 @@
         let with_room = spots.iter().filter(|spot| !spot.fresh && spot.room.cpu > 0);
         let left_by_plan = with_room.map(|spot| (spot.name.to_owned(), spot.room)).collect();
         self.rescue(&mut moves);
-        self.regrant(&mut moves);
-        for (name, m) in self.machines.iter().filter(|(_, m)| m.renew && self.holds(m)) {
+        self.reassign_orphaned_machines(&mut moves);
+        for (name, m) in self.machines.iter().filter(|(_, m)| m.renew && self.owner_is_registered(m)) {
             moves.entry(name.clone()).or_insert_with(|| m.row.owner.clone());
         }
         self.reserved = reserved;
         let Some(lead) = &mut self.lead else { return Default::default() };
-        lead.left_by_plan = left_by_plan;
+        lead.free_after_plan = left_by_plan;
         lead.unplaced = unplaced;
-        lead.promised = promised;
-        let strays = lead.strays.iter().filter(|(n, _)| !self.machines.contains_key(*n));
+        lead.reserved_by_plan = promised;
+        let strays = lead.unrecorded_machines.iter().filter(|(n, _)| !self.machines.contains_key(*n));
         (moves, strays.map(|(_, s)| s.0.clone()).collect())
     }
 
     /// The machines that work can be planned on, by name.
     fn spots(&self) -> Vec<Spot<'_>> {
         let Some(lead) = &self.lead else { return Vec::new() };
-        let settling = |name: &String| lead.moved.get(name).is_some_and(|at| self.now.since(*at) < SETTLE);
+        let settling = |name: &String| lead.moved_at.get(name).is_some_and(|at| self.now.since(*at) < SETTLE);
         let mut spots = Vec::new();
         for (name, machine) in &self.machines {
             let moved = settling(name);
             let fresh = machine.unused()
                 && !machine.row.returning
-                && lead.strays.contains_key(name)
-                && self.everyone_applied(machine.stamp);
+                && lead.unrecorded_machines.contains_key(name)
+                && self.all_controllers_applied(machine.stamp);
             // One on its way to a new owner will be there shortly.
-            let comes = || moved && !machine.unused() && self.holds(machine) && !machine.row.returning;
-            if fresh || self.serving(machine) || comes() {
+            let comes =
+                || moved && !machine.unused() && self.owner_is_registered(machine) && !machine.row.returning;
+            if fresh || self.is_schedulable(machine) || comes() {
                 let room = if fresh { machine.supply } else { machine.free() };
                 let (displaced, held) = (Resources::default(), machine.row.owner.as_str());
                 spots.push(Spot { name, machine, room, held, fresh, moved, displaced });
@@ -181,7 +182,7 @@
         let spec = &short.job.spec;
         let need = spec.need();
         // What its owner can make room for counts as room.
-        let displaces = self.may_displace(spec);
+        let displaces = self.may_preempt(spec);
         let closed = HeldBack::from(self, reserved, spec);
         let mut options = Vec::new();
         for (i, spot) in spots.iter().enumerate() {
@@ -209,7 +210,8 @@
                 break;
             }
             let spot = &mut spots[i];
-            let yields = if displaces { self.displaceable(spec, spot.machine) } else { Resources::default() };
+            let yields =
+                if displaces { self.preemptible_resources(spec, spot.machine) } else { Resources::default() };
             let room = spot.room.plus(yields.minus(spot.displaced));
             let here = short.zones.as_mut().map(|z| z.entry(spot.machine.row.zone.clone()).or_default());
             let n = self
@@ -302,7 +304,7 @@
         let spec = &job.spec;
         let there =
             |m: &Machine| allows(spec, m) && (!spec.one_zone || zone.is_none_or(|zone| zone == m.row.zone));
-        if !self.machines.values().any(|m| self.coming(m) && there(m)) {
+        if !self.machines.values().any(|m| self.is_incoming(m) && there(m)) {
             return Vec::new();
         }
         let mut missing = u64::from(spec.tasks);
@@ -331,7 +333,7 @@
     pub(super) fn heard_elsewhere(&mut self, machine: String, by: String) {
         let now = self.now;
         if let Some(lead) = &mut self.lead {
-            lead.heard.insert(machine, (by, now));
+            lead.misdirected_reports.insert(machine, (by, now));
         }
     }
 
@@ -341,18 +343,18 @@
     /// One that is heard now here, now there, and never takes what any of them says, hears none: moved from one to
     /// the next it was never resolved, nor returned, and held its tasks for ever.
     fn rescue(&mut self, moves: &mut BTreeMap<String, String>) {
-        let mut rescued = self.lead.as_mut().map(|l| std::mem::take(&mut l.rescued)).unwrap_or_default();
+        let mut rescued = self.lead.as_mut().map(|l| std::mem::take(&mut l.rescue_moves)).unwrap_or_default();
         rescued.retain(|name, _| self.machines.get(name).is_some_and(|m| !m.resolved || m.lost));
         self.rescue_cut_off(&mut rescued, moves);
         if let Some(lead) = &mut self.lead {
-            lead.rescued = rescued;
+            lead.rescue_moves = rescued;
         }
     }
 
     fn rescue_cut_off(&self, rescued: &mut BTreeMap<String, u32>, moves: &mut BTreeMap<String, String>) {
         let Some(lead) = &self.lead else { return };
         let silent = (self.report_every.as_secs_f64() * 2.0 + 1.0) as u32;
-        for (name, (by, at)) in &lead.heard {
+        for (name, (by, at)) in &lead.misdirected_reports {
             let recent = self.now.since(*at) < Micros::from_secs(6) && self.nodes.contains_key(by);
             let Some(m) = self.machines.get(name).filter(|m| !m.unused() && !m.row.returning) else {
                 continue;
@@ -360,7 +362,7 @@
             let word = self.peers.get(&m.row.owner).map_or(Micros::MAX, |p| self.now.since(p.heard));
             let unheard = self.dark(m) >= silent || word > Micros::from_secs(u64::from(silent));
             let times = rescued.get(name).copied().unwrap_or(0);
-            let another = m.row.owner != *by && !lead.moved.contains_key(name);
+            let another = m.row.owner != *by && !lead.moved_at.contains_key(name);
             if recent && unheard && another && times < DEAF {
                 rescued.insert(name.clone(), times + 1);
                 moves.insert(name.clone(), by.clone());
--- a/src/coordination/displacement.rs
+++ b/src/coordination/displacement.rs
@@ -1,4 +1,5 @@
-//! Arrays of lower rank give way at once to a service that must start sooner than a machine boots.
+//! Preemption: tasks of lower-priority arrays are stopped at once for a service that must start sooner than a machine
+//! boots.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +12,14 @@
 use crate::protocol::worker::TaskId;
 
 impl Controller {
-    /// Whether tasks of lower rank are stopped for a job at once: a service, which starts replica by
-    /// replica, of a class that must start sooner than a machine boots.
-    pub(super) fn may_displace(&self, spec: &JobSpec) -> bool {
+    /// Whether a job may preempt tasks of lower priority: only a service may, as its replicas start one by one, if its
+    /// class must start sooner than a machine boots.
+    pub(super) fn may_preempt(&self, spec: &JobSpec) -> bool {
         spec.shape == Shape::Service && !spec.one_zone && self.is_quick(&spec.class)
     }
 
-    /// Tasks on a machine that would give way to a job: of arrays of lower rank.
-    fn yielding<'a>(
+    /// Tasks on a machine that a job may preempt: those of arrays of lower priority.
+    fn preemptible_tasks<'a>(
         &'a self,
         spec: &'a JobSpec,
         machine: &'a Machine,
@@ -30,38 +31,39 @@
         })
     }
 
-    /// What a machine's tasks take that would give way to a job.
-    pub(super) fn displaceable(&self, spec: &JobSpec, machine: &Machine) -> Resources {
-        self.yielding(spec, machine).fold(Resources::default(), |sum, (_, t)| sum.plus(t.need))
+    /// Resources of the tasks on a machine that a job may preempt.
+    pub(super) fn preemptible_resources(&self, spec: &JobSpec, machine: &Machine) -> Resources {
+        self.preemptible_tasks(spec, machine).fold(Resources::default(), |sum, (_, t)| sum.plus(t.need))
     }
 
-    /// Stops tasks of lower rank for `short` tasks of a job, the latest begun, of arrays, on own machines;
-    /// if `fetched`, only where the job's image is. Returns for how many there will be room, with what
-    /// is being stopped already, and adds these to the job's tasks by zone.
-    pub(super) fn make_room(
+    /// Preempts tasks of lower-priority arrays, the latest started first, on own machines to make room for `missing`
+    /// tasks of a job; if `cached_only`, only on machines that have the job's image. Returns for how many of them there
+    /// will be room, including room that tasks being stopped leave, and adds these to `zones`, the job's number of
+    /// tasks by zone.
+    pub(super) fn preempt_for(
         &mut self,
         spec: &JobSpec,
-        mut short: u64,
+        mut missing: u64,
         zones: &mut BTreeMap<String, u32>,
         rooms: &mut Rooms,
-        fetched: bool,
+        cached_only: bool,
     ) -> u64 {
-        let before = short;
-        if short == 0 {
+        let requested = missing;
+        if missing == 0 {
             return 0;
         }
         let need = spec.need();
-        let most = spec.tasks.div_ceil(2);
+        let max_per_zone = spec.tasks.div_ceil(2);
         let mut options: Vec<(Micros, u64, String)> = Vec::new();
         for name in rooms.soon.keys() {
             let Some(m) = self.machines.get(name).filter(|m| allows(spec, m)) else { continue };
             let fetch = self.fetch_time(spec, m);
-            if fetched && fetch > Micros::ZERO {
+            if cached_only && fetch > Micros::ZERO {
                 continue;
             }
-            let lower = self.yielding(spec, m).count();
-            if lower > 0 || need.fits(rooms.soon[name]) {
-                options.push((fetch, lower as u64, name.clone()));
+            let preemptible = self.preemptible_tasks(spec, m).count();
+            if preemptible > 0 || need.fits(rooms.soon[name]) {
+                options.push((fetch, preemptible as u64, name.clone()));
             }
         }
         options.sort();
@@ -69,27 +71,27 @@
         for (_, _, name) in options {
             let m = &self.machines[&name];
             let here = zones.entry(m.row.zone.clone()).or_default();
-            let mut lower: Vec<(&TaskId, &TaskOn)> = self.yielding(spec, m).collect();
-            lower.sort_by_key(|(task, t)| (t.since, *task));
+            let mut preemptible: Vec<(&TaskId, &TaskOn)> = self.preemptible_tasks(spec, m).collect();
+            preemptible.sort_by_key(|(task, t)| (t.since, *task));
             let mut room = rooms.soon[&name];
-            while short > 0 && (!spec.spread || *here < most) {
-                let mut taken = Vec::new();
-                let mut with = room;
-                while !need.fits(with)
-                    && let Some((task, t)) = lower.pop()
+            while missing > 0 && (!spec.spread || *here < max_per_zone) {
+                let mut preempted = Vec::new();
+                let mut room_after = room;
+                while !need.fits(room_after)
+                    && let Some((task, t)) = preemptible.pop()
                 {
-                    with = with.plus(t.need);
-                    taken.push(task.clone());
+                    room_after = room_after.plus(t.need);
+                    preempted.push(task.clone());
                 }
-                if !need.fits(with) {
+                if !need.fits(room_after) {
                     break;
                 }
-                room = with.minus(need);
-                (*here, short) = (*here + 1, short - 1);
-                stops.extend(taken.into_iter().map(|t| (name.clone(), t)));
+                room = room_after.minus(need);
+                (*here, missing) = (*here + 1, missing - 1);
+                stops.extend(preempted.into_iter().map(|t| (name.clone(), t)));
             }
             rooms.soon.insert(name, room);
-            if short == 0 {
+            if missing == 0 {
                 break;
             }
         }
@@ -101,6 +103,6 @@
             }
             self.drop_planned(&name, |t| *t == task);
         }
-        before - short
+        requested - missing
     }
 }
--- a/src/coordination/failures.rs
+++ b/src/coordination/failures.rs
@@ -53,7 +53,7 @@
                     tracing::warn!(machine = name, "set apart: tasks of jobs that run elsewhere fail there");
                 }
                 self.soon_status();
-                self.soon_round();
+                self.schedule_round();
             }
         }
     }
--- a/src/coordination/finals.rs
+++ b/src/coordination/finals.rs
@@ -132,7 +132,7 @@
             && self.applied >= revision
             && !self.evicted_may_act()
             && others.all(|(member, node)| {
-                heard(member, *node) || self.word_of(member, *node).is_some_and(|s| s.applied >= revision)
+                heard(member, *node) || self.status_of(member, *node).is_some_and(|s| s.applied >= revision)
             })
     }
 
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -89,7 +89,7 @@
             conditions: vec![
                 Condition::new(records::live(&spec.id), 0),
                 Condition::new(records::finished(&spec.id), 0),
-                self.entitlement(),
+                self.registration_condition(),
             ],
             writes: vec![Write::put(records::live(&spec.id), value)],
         };
@@ -287,7 +287,7 @@
             conditions: vec![
                 Condition::new(records::live(&question.job), stamp),
                 Condition::new(records::finished(&question.job), 0),
-                self.entitlement(),
+                self.registration_condition(),
             ],
             writes: vec![
                 Write::delete(records::live(&question.job)),
--- a/src/coordination/lapses.rs
+++ b/src/coordination/lapses.rs
@@ -1,4 +1,5 @@
-//! Machines that have been silent for so long that their workers' leases have certainly expired, and their tasks with them.
+//! Expiry of workers' leases: machines that have been silent for so long that their leases have certainly expired and
+//! their tasks have therefore ended.
 
 use std::collections::BTreeMap;
 
@@ -7,38 +8,39 @@
 use crate::protocol::units::Micros;
 
 impl Controller {
-    /// Notices machines that have been silent for so long that their tasks are certainly gone.
+    /// Removes the tasks of own machines whose workers' leases have certainly expired.
     pub(super) fn machines_tick(&mut self) {
         self.stop_gangs();
         self.retired.retain(|_, job| !job.on.is_empty());
-        // By then a cancelled job's tasks must be gone.
-        let over = Micros::from_secs_f64(self.settings.params.workers.cancel_s);
-        while self.removed.front().is_some_and(|(at, ..)| self.now.since(*at) > over) {
+        // All tasks of a withdrawn job must have ended `cancel_s` after its withdrawal.
+        let cancel_period = Micros::from_secs_f64(self.settings.params.workers.cancel_s);
+        while self.removed.front().is_some_and(|(at, ..)| self.now.since(*at) > cancel_period) {
             self.removed.pop_front();
         }
         let silence = self.worker_lease + self.worker_lease.mul_f64(DRIFT) + SLACK + SLACK;
-        let others = self.others_applied();
+        let min_applied = self.min_revision_of_others();
         let (now, followed) = (self.now, self.followed_at);
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
         let mut lapsed = Vec::new();
         for (name, machine) in &mut self.machines {
-            let own = machine.row.node == stamp && machine.row.owner == self.settings.member;
-            if !own || machine.resolved && machine.tasks.is_empty() {
+            let is_own = machine.row.node == stamp && machine.row.owner == self.settings.member;
+            if !is_own || machine.resolved && machine.tasks.is_empty() {
                 continue;
             }
-            // No other controller can answer a machine under a grant older than what all have seen.
-            let nobody_else = others.is_some_and(|revision| revision >= machine.stamp);
-            machine.former_gone = machine.former_gone.or(nobody_else.then_some(now));
-            let Some(former) = machine.former_gone else { continue };
-            // Under a resolved grant nobody else's answer counts. A session lasts a lease from its
-            // beginning even if no report of it is ever answered.
-            let mut last = machine.answered.unwrap_or(former).max(machine.session_at.unwrap_or_default());
+            // Once all other controllers have applied the grant, none of them answers the machine any more.
+            let applied_by_others = min_applied.is_some_and(|revision| revision >= machine.stamp);
+            machine.former_gone = machine.former_gone.or(applied_by_others.then_some(now));
+            let Some(sole_owner_since) = machine.former_gone else { continue };
+            // If the machine is resolved, a former owner's answer does not renew its lease. A session lasts for a
+            // lease from its beginning, even if none of its reports is answered.
+            let mut last_renewal =
+                machine.answered.unwrap_or(sole_owner_since).max(machine.session_at.unwrap_or_default());
             if !machine.resolved {
-                last = last.max(former);
+                last_renewal = last_renewal.max(sole_owner_since);
             }
-            // Another may have been granted the machine, and answer it, since this controller last heard
-            // from the store: only as of then is its own silence the worker's.
-            if followed.since(last) > silence {
+            // Another controller may have been granted the machine, and have answered it, after the state that this
+            // controller last read from the store. So the silence is counted only up to that read.
+            if followed.since(last_renewal) > silence {
                 lapsed.push(name.clone());
             }
         }
@@ -47,14 +49,14 @@
         }
         for name in lapsed {
             self.counters.lapses += 1;
-            tracing::info!(machine = name, "silent beyond its lease: its tasks are gone");
-            // A planned start has not been sent and can wait for the next session.
+            tracing::info!(machine = name, "worker lease expired, removing its tasks");
+            // Planned starts have not been sent, so they can be planned again in the next session.
             self.replace_tasks(&name, BTreeMap::new(), Removal::LeaseExpired);
             self.ledger.told(&name, &self.life(), true);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.resolved = true;
                 machine.known = true;
-                // Whatever the ended session still has to say comes too late.
+                // Late reports of the ended session are ignored.
                 if machine.heard.is_some() {
                     machine.session += 1;
                     machine.session_at = None;
@@ -62,15 +64,15 @@
                 }
             }
         }
-        self.check_adoption();
+        self.check_takeover();
         self.soon_status();
-        self.soon_round();
+        self.schedule_round();
         self.place_due = true;
     }
 
-    /// Up to which revision all other controllers that may act have followed the store: those that are
-    /// registered have said so, and the leases of the rest have ended. None while one may be behind.
-    fn others_applied(&self) -> Option<u64> {
+    /// Lowest revision that all other controllers that may act are known to have applied: the registered ones have
+    /// reported theirs, and the leases of all others have ended. None if one of them may be behind.
+    fn min_revision_of_others(&self) -> Option<u64> {
         if self.phase != Phase::Active || self.evicted_may_act() {
             return None;
         }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -1,4 +1,5 @@
-//! The leader's rounds: who is a member, what volume each job has, who holds which machine.
+//! The leader's periodic rounds: they maintain the view of members, divide capacity into a volume for each job,
+//! and assign machines to controllers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +13,7 @@
 use crate::coordination::backfill::Backfill;
 use crate::coordination::blocks::{SETTLE, ZonesLeft};
 use crate::coordination::eligibility::allows;
-use crate::coordination::fleet::Fleet;
+use crate::coordination::fleet::FleetState;
 use crate::coordination::model::{Job, Machine};
 use crate::coordination::stalls::Stalls;
 use crate::coordination::{Controller, Effect, Purpose, rules};
@@ -21,82 +22,98 @@
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::{Micros, Resources};
 
-/// The shortest time between two rounds that something has called for.
-const SPACING: Micros = Micros::from_millis(250);
+/// Minimum time between the end of a round and a round that an event has requested.
+const MIN_ROUND_INTERVAL: Micros = Micros::from_millis(250);
 
-/// How often the leader says how the deployment stands.
-const DESCRIBE_EVERY: Micros = Micros::from_secs(10);
-/// The most that the blocks of one grant may take of a transaction's 64 KiB.
-const MOST_BYTES: usize = 60 << 10;
+/// How often the leader logs a summary of the deployment.
+const SUMMARY_INTERVAL: Micros = Micros::from_secs(10);
 
-/// Completion records of jobs that are over that are removed at a time, the part of the leader's changes that this may
-/// take, and how long it waits for the next ones at most.
-const CLEANED: usize = 6;
-const CLEANUP_SHARE: f64 = 0.3;
-const CLEANUP_SPACING: Micros = Micros::from_secs(2);
+/// Maximum size of all blocks in one grant, out of a transaction's 64 KiB.
+const MAX_GRANT_BYTES: usize = 60 << 10;
 
-/// How long after a grant the next round is: by then the watch has shown it.
-const AFTER_GRANT: Micros = Micros::from_millis(120);
+/// Completion records of ended jobs that one transaction deletes.
+const CLEANUP_BATCH: usize = 6;
+/// Share of the leader's write rate that deleting completion records may use.
+const CLEANUP_WRITE_SHARE: f64 = 0.3;
+/// Upper bound of the time between two such transactions.
+const MAX_CLEANUP_INTERVAL: Micros = Micros::from_secs(2);
 
-/// What only the leader keeps. A new leader starts with nothing but the records.
+/// Delay from a committed grant to the next round: by then the watch has delivered the grant's changes.
+const ROUND_DELAY_AFTER_GRANT: Micros = Micros::from_millis(120);
+
+/// State that only the leader keeps. It is not stored: a new leader rebuilds it from the records.
 #[derive(Debug, Default)]
-pub(crate) struct Leading {
+pub(crate) struct LeaderState {
+    /// When this controller became the leader.
     pub since: Micros,
+    /// Number of the next round.
     pub round: u64,
+    /// When the next round is due.
     pub round_at: Micros,
+    /// When the last round took place.
     pub round_done: Micros,
-    pub described: Micros,
-    /// A grant is on its way: the next one builds on what it leaves.
-    pub granting: bool,
-    pub regranting: Backoff,
-    /// The last round could not divide the limits, for not all were known to have taken in the record in force.
-    pub awaits_words: bool,
-    pub moved: BTreeMap<String, Micros>,
-    /// Machines that turned to a controller that is not their owner.
-    pub heard: BTreeMap<String, (String, Micros)>,
-    /// Machines that were given to whoever heard them, and how often without the new holder learning what is there.
-    pub rescued: BTreeMap<String, u32>,
-    /// Machines that reported without being in any block.
-    pub strays: BTreeMap<String, (BlockRow, Micros)>,
-    pub fleet: Fleet,
-    /// Machines that the last round's plan counts on.
-    pub promised: BTreeSet<String>,
-    /// Room that the last round's plan left on each machine that has any.
-    pub left_by_plan: BTreeMap<String, Resources>,
-    /// Work that found no machine in the last round.
+    /// When the summary was last logged.
+    pub summarized_at: Micros,
+    /// A grant has been sent and not answered. The next one must be computed from its result.
+    pub grant_in_flight: bool,
+    /// Delays the next round after failed grants.
+    pub grant_backoff: Backoff,
+    /// The last round could not divide the teams' limits, because not every controller was known to have applied
+    /// the quota record in force.
+    pub awaiting_quota_acks: bool,
+    /// When machines were last moved to another controller.
+    pub moved_at: BTreeMap<String, Micros>,
+    /// Machines that reported to a controller that is not their owner: the controller, and when.
+    pub misdirected_reports: BTreeMap<String, (String, Micros)>,
+    /// Machines that were reassigned to the controller that received their reports, and how often in a row this
+    /// happened without the new owner learning which tasks are there.
+    pub rescue_moves: BTreeMap<String, u32>,
+    /// Machines that reported although no block contains them: the row to record, and when they last reported.
+    pub unrecorded_machines: BTreeMap<String, (BlockRow, Micros)>,
+    /// State of renting and returning machines.
+    pub fleet: FleetState,
+    /// Machines that the last round's plan uses. They are not returned as idle.
+    pub reserved_by_plan: BTreeSet<String>,
+    /// Resources that the last round's plan left free, for each machine with any.
+    pub free_after_plan: BTreeMap<String, Resources>,
+    /// Tasks that found no machine in the last round.
     pub unplaced: Vec<Unplaced>,
-    /// Since when jobs have been below their volume for want of a machine.
+    /// Since when each job has been below its volume because machines are lacking. Starts again each time surplus
+    /// tasks are looked for on its behalf.
     pub starved: BTreeMap<String, Micros>,
-    /// Jobs that are given what the volumes leave idle.
+    /// Jobs that run on capacity that the volumes leave idle.
     pub backfill: Backfill,
-    /// Jobs that make no use of their volumes.
+    /// Jobs that do not use their volumes.
     pub stalls: Stalls,
-    /// Divides what is leased of the store's limits.
+    /// Divides the leased part of the state service's rate limits among the controllers.
     pub planner: Option<Planner>,
+    /// When the planner is to make the next rate plan.
     pub plan_at: Micros,
-    /// What each team and class had of the pools in the last round.
+    /// Each team's and class's share of the resource pools in the last round.
     pub shares: Vec<FlowShare>,
-    /// Allotments of controllers that have left, until their tasks are accounted for.
-    pub cleaned: Micros,
+    /// When completion records were last deleted.
+    pub cleaned_up_at: Micros,
 }
 
-/// Tasks of a job for which no machine is there.
+/// Tasks of a job for which there is no machine.
 #[derive(Clone, Debug)]
 pub(crate) struct Unplaced {
     pub job: String,
     pub count: u64,
+    /// How many of them each zone may take, if the job restricts zones.
     pub zones: ZonesLeft,
 }
 
 impl Controller {
+    /// Starts or ends this controller's leadership after a change of the leader record.
     pub(super) fn leadership_changed(&mut self) {
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
         let mine = self.leader.as_ref().is_some_and(|l| l.0 == self.me() && l.1 == stamp && stamp != 0);
         if mine && self.lead.is_none() {
-            tracing::info!("leading");
+            tracing::info!("became leader");
             let stamp = self.leader.as_ref().map_or(0, |l| l.2);
             let planner = Some(Planner::new(self.now, stamp, self.leased_rates()));
-            self.lead = Some(Leading { since: self.now, planner, ..Default::default() });
+            self.lead = Some(LeaderState { since: self.now, planner, ..Default::default() });
             self.volumes_heard = self.now;
             self.resume_rentals();
         } else if !mine {
@@ -105,85 +122,91 @@
         self.set_rates();
     }
 
-    /// Calls for a round soon: something has changed. On a large deployment something always has,
-    /// so rounds keep a distance.
-    pub(super) fn soon_round(&mut self) {
+    /// Schedules a round soon, because something has changed. On a large deployment this is always the case, so
+    /// rounds are spaced by [`MIN_ROUND_INTERVAL`].
+    pub(super) fn schedule_round(&mut self) {
         let now = self.now;
         if let Some(lead) = &mut self.lead {
-            let soon = (now + Micros::from_millis(50)).max(lead.round_done + SPACING);
+            let soon = (now + Micros::from_millis(50)).max(lead.round_done + MIN_ROUND_INTERVAL);
             lead.round_at = lead.round_at.min(soon);
         }
     }
 
+    /// Runs a round if one is due and this controller may act as leader. If the view is stale, it is updated instead.
     pub(super) fn leader_tick(&mut self) {
         if self.lead.is_none() || !self.entitled() {
             return;
         }
         self.fleet_tick();
-        if self.lead.as_ref().is_some_and(|l| l.awaits_words) && self.may_divide() {
-            self.soon_round();
+        if self.lead.as_ref().is_some_and(|l| l.awaiting_quota_acks) && self.may_divide() {
+            self.schedule_round();
         }
         if self.lead.as_ref().is_none_or(|l| self.now < l.round_at) {
             return;
         }
-        if self.view_is_old() {
-            self.renew_view();
+        if self.view_is_stale() {
+            self.update_view();
             if let Some(lead) = &mut self.lead {
-                lead.round_at = self.now + SPACING;
+                lead.round_at = self.now + MIN_ROUND_INTERVAL;
             }
             return;
         }
         let regular = Micros::from_secs_f64(self.tuning.round_s);
         let now = self.now;
-        self.round();
+        self.run_round();
         if let Some(lead) = &mut self.lead {
             lead.round += 1;
             lead.round_done = now;
-            // `soon_round` may bring this forward, but not below the spacing.
+            // `schedule_round` may bring this forward, but not below the minimum interval.
             lead.round_at = now + regular;
         }
     }
 
-    fn view_is_old(&self) -> bool {
+    /// Whether the registered controllers differ from the members of the view.
+    fn view_is_stale(&self) -> bool {
         let members: Vec<(String, u64)> = self.nodes.iter().map(|(m, s)| (m.clone(), *s)).collect();
         self.view.members != members
     }
 
-    pub(super) fn holds(&self, machine: &Machine) -> bool {
+    /// Whether the registration that a machine was granted to still exists.
+    pub(super) fn owner_is_registered(&self, machine: &Machine) -> bool {
         self.nodes.get(&machine.row.owner) == Some(&machine.row.node)
     }
 
-    /// Names the registered controllers as members and grants them the machines of those that left.
-    fn renew_view(&mut self) {
+    /// Makes the registered controllers the members of the view, and grants them the machines of those that left.
+    fn update_view(&mut self) {
         let members: Vec<(String, u64)> = self.nodes.iter().map(|(m, s)| (m.clone(), *s)).collect();
         let mut moves = BTreeMap::new();
-        self.regrant(&mut moves);
+        self.reassign_orphaned_machines(&mut moves);
         self.grant(moves, Vec::new(), BTreeSet::new(), Some(ViewRecord { members }));
     }
 
-    /// Machines of controllers that have left go to those that are there. A grant may not have room
-    /// for all of them, so that some are still to be granted after the view has changed.
-    pub(super) fn regrant(&self, moves: &mut BTreeMap<String, String>) {
-        let left = |m: &Machine| !m.unused() && !self.holds(m);
-        if !self.machines.values().any(left) {
+    /// Adds moves that give the machines of controllers that have left to registered ones. One grant may be too
+    /// small for all of them, so some may remain to be granted after the view has changed.
+    pub(super) fn reassign_orphaned_machines(&self, moves: &mut BTreeMap<String, String>) {
+        let orphaned = |m: &Machine| !m.unused() && !self.owner_is_registered(m);
+        if !self.machines.values().any(orphaned) {
             return;
         }
         let mut counts: BTreeMap<&str, usize> = self.nodes.keys().map(|m| (m.as_str(), 0)).collect();
-        for machine in self.machines.values().filter(|m| self.holds(m)) {
+        for machine in self.machines.values().filter(|m| self.owner_is_registered(m)) {
             *counts.entry(&machine.row.owner).or_default() += 1;
         }
-        for (name, machine) in self.machines.iter().filter(|(_, m)| left(m)) {
-            // A controller that is back gets its own machines: its workers know it.
-            let back = counts.contains_key(machine.row.owner.as_str()).then_some(machine.row.owner.as_str());
-            let least = counts.iter().min_by_key(|(_, n)| **n).map(|(m, _)| *m);
-            if let Some(to) = back.or(least) {
+        for (name, machine) in self.machines.iter().filter(|(_, m)| orphaned(m)) {
+            // A controller that has registered again gets its former machines: their workers know it already.
+            let former_owner =
+                counts.contains_key(machine.row.owner.as_str()).then_some(machine.row.owner.as_str());
+            let least_loaded = counts.iter().min_by_key(|(_, n)| **n).map(|(m, _)| *m);
+            if let Some(to) = former_owner.or(least_loaded) {
                 *counts.entry(to).or_default() += 1;
                 moves.insert(name.clone(), to.to_owned());
             }
         }
     }
 
-    /// Writes moves, new machines and removals, all or none, under fresh tokens.
+    /// Writes moves, new machines, removals and possibly a view in one transaction, under fresh tokens. A move to
+    /// the empty name marks a machine as being returned. Moves and additions that do not fit are left out. Returns
+    /// whether a transaction was sent.
     pub(super) fn grant(
         &mut self,
         moves: BTreeMap<String, String>,
@@ -191,36 +214,36 @@
         removed: BTreeSet<String>,
         view: Option<ViewRecord>,
     ) -> bool {
-        let most = self.settings.params.state.txn_ops;
-        let value_limit = ((self.settings.params.state.value_kb * 1024.0) as usize - 64).min(MOST_BYTES);
+        let max_ops = self.settings.params.state.txn_ops;
+        let value_limit = ((self.settings.params.state.value_kb * 1024.0) as usize - 64).min(MAX_GRANT_BYTES);
         let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
-        // One grant at a time, and a new view before all else: on a large fleet there is always a machine to
-        // be returned, and a controller that was back waited 1.4 s for its view behind them.
-        if self.lead.as_ref().is_none_or(|l| l.granting) || view.is_none() && self.view_is_old() {
+        // One grant at a time, and an update of the view takes precedence: on a large fleet there is always a
+        // machine to return, and a controller that had registered again waited 1.4 s for its view behind such grants.
+        if self.lead.as_ref().is_none_or(|l| l.grant_in_flight) || view.is_none() && self.view_is_stale() {
             return false;
         }
         let mut token = self.counter.0;
-        // A row grows when its machine is granted, and a value that has become too long could never be
-        // written again: each row is given the room that it may come to need.
-        let names = self.names_bytes(&added) + blocks::FRAME_BYTES;
+        // A row grows when its machine is granted, and a block that has become too long could never be written
+        // again. So each row counts with the largest size that it may reach.
+        let names_bytes = self.max_names_bytes(&added) + blocks::FRAME_BYTES;
         let written = self.shards.iter().filter(|(_, (block, _))| !block.is_empty());
-        let mut lengths: BTreeMap<usize, usize> =
-            written.clone().map(|(n, (block, _))| (*n, names + block.bytes())).collect();
+        let mut block_bytes: BTreeMap<usize, usize> =
+            written.clone().map(|(n, (block, _))| (*n, names_bytes + block.bytes())).collect();
         let rows_of = |n: usize| -> Vec<BlockRow> {
             let names = self.shards.get(&n).into_iter().flat_map(|s| s.0.machines());
             names.filter_map(|name| self.machines.get(name)).map(|m| m.row.clone()).collect()
         };
         let mut shards: BTreeMap<usize, Vec<BlockRow>> = BTreeMap::new();
         let mut changed = BTreeSet::new();
-        let mut room = MOST_BYTES;
-        let budget = most.saturating_sub(2);
+        let mut bytes_left = MAX_GRANT_BYTES;
+        let max_blocks = max_ops.saturating_sub(2);
         for (n, (block, _)) in written {
             let touched = block.machines().any(|name| removed.contains(name) || moves.contains_key(name));
-            // What does not fit goes with a later grant.
-            if !touched || changed.len() >= budget || lengths[n] > room {
+            // A block that does not fit is left to a later grant.
+            if !touched || changed.len() >= max_blocks || block_bytes[n] > bytes_left {
                 continue;
             }
-            room -= lengths[n];
+            bytes_left -= block_bytes[n];
             changed.insert(*n);
             let rows = shards.entry(*n).or_insert_with(|| rows_of(*n));
             rows.retain(|r| !removed.contains(&r.machine));
@@ -237,7 +260,8 @@
                 }
             }
         }
-        // One that is carried out late must find that the machines are not in another block by then.
+        // Adding machines also writes the token counter, with its revision as a condition, even if no token is
+        // used: a delayed grant then fails if another one has added the same machines to another block meanwhile.
         let mut new = BTreeSet::new();
         for mut row in added {
             if self.machines.contains_key(&row.machine) || new.contains(&row.machine) {
@@ -247,29 +271,29 @@
                 token += 1;
                 row.token = token;
             }
-            let text = blocks::row_bytes(&row.machine);
-            let open = lengths.iter().find(|(n, used)| {
-                let more = if changed.contains(*n) { text } else { **used + text };
-                **used + text <= value_limit
-                    && more <= room
-                    && (changed.contains(*n) || changed.len() < budget)
+            let row_bytes = blocks::row_bytes(&row.machine);
+            let open = block_bytes.iter().find(|(n, used)| {
+                let extra = if changed.contains(*n) { row_bytes } else { **used + row_bytes };
+                **used + row_bytes <= value_limit
+                    && extra <= bytes_left
+                    && (changed.contains(*n) || changed.len() < max_blocks)
             });
-            let unused =
-                |n: &usize| !lengths.contains_key(n) && !self.unreadable.contains(&records::blocks(*n));
-            let n = open.map(|(n, _)| *n).unwrap_or_else(|| (0..).find(unused).unwrap_or(0));
-            let used = lengths.entry(n).or_insert(names);
-            let more = if changed.contains(&n) { text } else { *used + text };
-            if more > room || !changed.contains(&n) && changed.len() >= budget {
+            let is_free =
+                |n: &usize| !block_bytes.contains_key(n) && !self.unreadable.contains(&records::blocks(*n));
+            let n = open.map(|(n, _)| *n).unwrap_or_else(|| (0..).find(is_free).unwrap_or(0));
+            let used = block_bytes.entry(n).or_insert(names_bytes);
+            let extra = if changed.contains(&n) { row_bytes } else { *used + row_bytes };
+            if extra > bytes_left || !changed.contains(&n) && changed.len() >= max_blocks {
                 break;
             }
-            room -= more;
-            *used += text;
+            bytes_left -= extra;
+            *used += row_bytes;
             changed.insert(n);
             new.insert(row.machine.clone());
             shards.entry(n).or_insert_with(|| rows_of(n)).push(row);
         }
         let mut transaction = Transaction {
-            conditions: vec![Condition::new(records::LEADER, leader_stamp), self.entitlement()],
+            conditions: vec![Condition::new(records::LEADER, leader_stamp), self.registration_condition()],
             writes: Vec::new(),
         };
         for n in changed {
@@ -293,15 +317,15 @@
             transaction.writes.push(Write::put(records::COUNTER, token.into()));
         }
         if let Some(lead) = &mut self.lead {
-            lead.granting = true;
+            lead.grant_in_flight = true;
         }
         self.counters.grants += 1;
         self.store(Urgency::Entitlement, Purpose::Grant, StoreCall::Commit(transaction));
         true
     }
 
-    /// What the names in a block may take at most: all controllers', and all types' and zones'.
-    fn names_bytes(&self, added: &[BlockRow]) -> usize {
+    /// Upper bound for the size of the names in a block: those of all controllers, machine types and zones.
+    fn max_names_bytes(&self, added: &[BlockRow]) -> usize {
         let others = self.settings.members.iter().map(|m| m.member.as_str());
         let rows = self.machines.values().map(|m| &m.row).chain(added);
         let used = rows.flat_map(|r| [r.kind.as_str(), r.zone.as_str()]);
@@ -309,35 +333,36 @@
         names.into_iter().map(blocks::name_bytes).sum()
     }
 
-    pub(super) fn granted(&mut self, reply: StoreReply) {
+    /// Handles the reply to a grant or to a write of the quota record.
+    pub(super) fn handle_grant_reply(&mut self, reply: StoreReply) {
         let granted = matches!(reply, StoreReply::Committed { .. });
         self.counters.grant_conflicts += u64::from(!granted);
-        // The next grant is worked out from what the watch shows, so it asks at once.
+        // The next grant is computed from the replica, so the store's changes are requested at once.
         self.follow_at = self.follow_at.map(|_| self.now);
         if let Some(lead) = &mut self.lead {
-            lead.granting = false;
+            lead.grant_in_flight = false;
             lead.round_at = if granted {
-                lead.regranting.succeeded();
-                self.now + AFTER_GRANT
+                lead.grant_backoff.succeeded();
+                self.now + ROUND_DELAY_AFTER_GRANT
             } else {
-                lead.regranting.failed(self.now, &rules::GRANT, &mut self.rng)
+                lead.grant_backoff.failed(self.now, &rules::GRANT, &mut self.rng)
             };
         }
     }
 
-    /// Machines that work can be planned on, as their owners last said.
-    pub(super) fn serving(&self, machine: &Machine) -> bool {
+    /// Whether tasks can be planned on a machine, according to its owner's last status.
+    pub(super) fn is_schedulable(&self, machine: &Machine) -> bool {
         !machine.row.returning
             && !machine.apart
             && !machine.notice
-            && self.holds(machine)
+            && self.owner_is_registered(machine)
             && machine.up
             && !machine.lost
             && self.dark(machine) < 10
     }
 
-    /// How the whole deployment stands, for the operators' log.
-    fn describe_round(&self, volumes: &[Volume]) {
+    /// Logs a summary of the deployment for operators.
+    fn log_summary(&self, volumes: &[Volume]) {
         let Some(lead) = &self.lead else { return };
         let count = |f: &dyn Fn(&Machine) -> bool| self.machines.values().filter(|m| f(m)).count();
         let tasks = |f: &dyn Fn(&Job) -> u32| self.jobs.values().map(f).sum::<u32>();
@@ -348,27 +373,29 @@
             volume = volumes.iter().map(|v| v.tasks).sum::<u32>(),
             placed = tasks(&Job::placed),
             unplaced = lead.unplaced.iter().map(|u| u.count).sum::<u64>(),
-            serving = count(&|m| self.serving(m)),
-            idle = count(&|m| self.serving(m) && m.idle()),
-            coming = count(&|m| self.coming(m)),
-            strays = lead.strays.len(),
+            serving = count(&|m| self.is_schedulable(m)),
+            idle = count(&|m| self.is_schedulable(m) && m.idle()),
+            coming = count(&|m| self.is_incoming(m)),
+            strays = lead.unrecorded_machines.len(),
             returning = count(&|m| m.row.returning),
             grants = self.counters.grants,
-            "how it stands"
+            "deployment summary"
         );
     }
 
-    fn round(&mut self) {
+    /// Computes and broadcasts the volumes. Unless a grant is in flight, it then changes at most one of the quota,
+    /// the machines' owners and the completion records, and rents machines unless the quota has changed.
+    fn run_round(&mut self) {
         let (mut volumes, shares) = self.volumes();
         self.note_stalls();
         self.backfill(&mut volumes);
         if let Some(lead) = &mut self.lead {
             lead.shares = shares;
         }
-        if self.lead.as_ref().is_some_and(|l| self.now >= l.described + DESCRIBE_EVERY) {
-            self.describe_round(&volumes);
+        if self.lead.as_ref().is_some_and(|l| self.now >= l.summarized_at + SUMMARY_INTERVAL) {
+            self.log_summary(&volumes);
             if let Some(lead) = &mut self.lead {
-                lead.described = self.now;
+                lead.summarized_at = self.now;
             }
         }
         let leader = self.leader.as_ref().map_or(0, |l| l.2);
@@ -381,7 +408,7 @@
             PeerMessage::Volumes { leader, round, volumes, kept, reserved, surplus: surplus.clone() };
         self.effects.push(Effect::Send(None, message));
         self.stop_surplus(&surplus);
-        if self.lead.as_ref().is_some_and(|l| l.granting) {
+        if self.lead.as_ref().is_some_and(|l| l.grant_in_flight) {
             return;
         }
         self.check_usage();
@@ -390,22 +417,23 @@
         }
         let (moves, added) = self.plan_blocks();
         if !moves.is_empty() || !added.is_empty() {
-            let settled = self.now;
+            let moved_at = self.now;
             if let Some(lead) = &mut self.lead {
                 for name in moves.keys() {
-                    lead.moved.insert(name.clone(), settled);
+                    lead.moved_at.insert(name.clone(), moved_at);
                 }
-                lead.moved.retain(|_, at| settled.since(*at) < SETTLE);
+                lead.moved_at.retain(|_, at| moved_at.since(*at) < SETTLE);
             }
             self.grant(moves, added, BTreeSet::new(), None);
         } else {
-            self.cleanup();
+            self.delete_completion_records();
         }
-        self.size_fleet();
+        self.scale_up();
     }
 
-    /// Surplus tasks to stop: of arrays above their volume, for jobs of higher priority that have sat
-    /// below theirs for the set wait. Attrition serves all others.
+    /// How many surplus tasks to stop of which jobs: of arrays above their volume, in favour of jobs of higher
+    /// priority that have been below theirs for `surplus_wait_s`. All other jobs wait until surplus tasks end by
+    /// themselves.
     fn find_surplus(&mut self, volumes: &[Volume]) -> Vec<(String, u32)> {
         let now = self.now;
         let wait = Micros::from_secs_f64(self.tuning.surplus_wait_s);
@@ -431,13 +459,13 @@
                 if !same_pool || !lower || lacking == 0 {
                     continue;
                 }
-                let over = j
+                let excess = j
                     .placed()
                     .saturating_sub(*volume)
                     .saturating_sub(surplus.get(other).copied().unwrap_or(0));
-                let each = j.spec.need().cpu.max(1);
-                let n = over.min(lacking.div_ceil(each) as u32);
-                lacking = lacking.saturating_sub(u64::from(n) * each);
+                let cpu_per_task = j.spec.need().cpu.max(1);
+                let n = excess.min(lacking.div_ceil(cpu_per_task) as u32);
+                lacking = lacking.saturating_sub(u64::from(n) * cpu_per_task);
                 if n > 0 {
                     *surplus.entry(other.clone()).or_default() += n;
                 }
@@ -446,73 +474,78 @@
         surplus.into_iter().collect()
     }
 
-    /// Machines on which room is kept for classes that must start sooner than a machine boots: those
-    /// that fetch images fastest, whose room is free or will be as less urgent tasks end.
+    /// Chooses the machines on which room is kept for classes that must start sooner than a machine boots, as pairs
+    /// of machine and class: those that fetch images fastest, of which enough is free or held by tasks of lower
+    /// priority.
     fn choose_kept(&self) -> Vec<(String, String)> {
         let mut kept: Vec<(String, String)> = Vec::new();
         for (class, spec) in &self.quick {
             let need = spec.need();
             let mut options: Vec<(bool, u64, u64, &String)> = Vec::new();
             let fits = |m: &Machine| (spec.gpus > 0.0 || m.supply.gpu == 0) && allows(spec, m);
-            for (name, m) in self.machines.iter().filter(|(_, m)| fits(m) && self.serving(m)) {
-                let urgent = |j: &Job| j.spec.priority >= spec.priority;
-                let stays =
-                    m.tasks.iter().filter(|(id, t)| !t.ended() && self.jobs.get(&id.job).is_none_or(urgent));
-                let room = stays.fold(m.supply, |room, (_, t)| room.minus(t.need));
+            for (name, m) in self.machines.iter().filter(|(_, m)| fits(m) && self.is_schedulable(m)) {
+                let not_lower = |j: &Job| j.spec.priority >= spec.priority;
+                let staying = m
+                    .tasks
+                    .iter()
+                    .filter(|(id, t)| !t.ended() && self.jobs.get(&id.job).is_none_or(not_lower));
+                let room = staying.fold(m.supply, |room, (_, t)| room.minus(t.need));
                 let Some(kind) = self.types.get(&m.row.kind) else { continue };
                 if need.fits(room) {
-                    let was = self.kept.get(name) == Some(class);
+                    let already_kept = self.kept.get(name) == Some(class);
                     options.push((
-                        !was,
+                        !already_kept,
                         (1e6 / kind.fetch_gb_per_s.max(1e-3)) as u64,
                         (kind.price * 1e3) as u64,
                         name,
                     ));
                 }
             }
-            options.sort_by_key(|(was, slow, price, name)| (*slow, *was, *price, *name));
-            let most = self.slots_kept(spec);
-            kept.extend(options.into_iter().take(most).map(|(.., name)| (name.clone(), class.clone())));
+            options.sort_by_key(|(newly_kept, fetch_time, price, name)| {
+                (*fetch_time, *newly_kept, *price, *name)
+            });
+            let slots = self.slots_kept(spec);
+            kept.extend(options.into_iter().take(slots).map(|(.., name)| (name.clone(), class.clone())));
         }
         kept
     }
 
-    /// Tasks of a class for which room is kept.
+    /// Number of tasks of a class for which room is kept.
     pub(super) fn slots_kept(&self, spec: &JobSpec) -> usize {
         2 * spec.floor() as usize
     }
 
-    /// The last word of a member's present life.
-    pub(super) fn word_of(&self, member: &str, node: u64) -> Option<&crate::protocol::peer::Status> {
+    /// The last status that a member sent under its present registration, if any.
+    pub(super) fn status_of(&self, member: &str, node: u64) -> Option<&crate::protocol::peer::Status> {
         self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.stamp == node)
     }
 
-    /// Every registered controller has said that it has seen this revision.
-    pub(super) fn everyone_applied(&self, revision: u64) -> bool {
-        let seen = |m: &str, node| self.word_of(m, node).is_some_and(|s| s.applied >= revision);
-        self.nodes.iter().all(|(m, node)| (m == self.me() && self.applied >= revision) || seen(m, *node))
+    /// Whether every registered controller is known to have applied the store's changes up to this revision.
+    pub(super) fn all_controllers_applied(&self, revision: u64) -> bool {
+        let applied = |m: &str, node| self.status_of(m, node).is_some_and(|s| s.applied >= revision);
+        self.nodes.iter().all(|(m, node)| (m == self.me() && self.applied >= revision) || applied(m, *node))
     }
 
-    /// Removes completion records whose job is over.
-    fn cleanup(&mut self) {
+    /// Deletes a batch of completion records whose jobs have ended.
+    fn delete_completion_records(&mut self) {
         let Some(lead) = &mut self.lead else { return };
-        // At a fixed rate they piled up where more jobs end a second than that.
-        let each = CLEANED as f64 / (self.calls.writes_per_s() * CLEANUP_SHARE);
-        let spacing = Micros::from_secs_f64(each).min(CLEANUP_SPACING);
-        if self.now.since(lead.cleaned) < spacing || self.calls.waiting(Urgency::Rest) > 4 {
+        // With a fixed interval the records accumulated when jobs ended faster than they were deleted.
+        let batch_s = CLEANUP_BATCH as f64 / (self.calls.writes_per_s() * CLEANUP_WRITE_SHARE);
+        let spacing = Micros::from_secs_f64(batch_s).min(MAX_CLEANUP_INTERVAL);
+        if self.now.since(lead.cleaned_up_at) < spacing || self.calls.waiting(Urgency::Rest) > 4 {
             return;
         }
         let orphans = self.done_keys.iter().filter(|(job, _)| !self.jobs.contains_key(*job));
         let keys: Vec<String> = orphans
             .flat_map(|(job, chunks)| chunks.keys().map(|c| records::done_chunk(job, *c)))
-            .take(CLEANED)
+            .take(CLEANUP_BATCH)
             .collect();
         if keys.is_empty() {
             return;
         }
-        lead.cleaned = self.now;
+        lead.cleaned_up_at = self.now;
         let transaction = Transaction {
-            conditions: vec![self.entitlement()],
+            conditions: vec![self.registration_condition()],
             writes: keys.into_iter().map(Write::delete).collect(),
         };
         self.store(Urgency::Rest, Purpose::Cleanup, StoreCall::Commit(transaction));
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -56,7 +56,7 @@
             // One that its owner has had for a while knows whose it is.
             let settled = machine.resolved && self.now.since(machine.granted) > SETTLED;
             self.check_report(&report, Evidence::AnotherController);
-            self.turned_here(&owner, &report.machine, settled);
+            self.note_worker_failover(&owner, &report.machine, settled);
             self.report_heard(&report.machine);
             return self.answer(request, Answer::Elsewhere(there.then_some(owner)));
         }
@@ -135,7 +135,7 @@
                 machine = name,
                 "set apart: its reports come, and nothing that it is told arrives"
             );
-            self.soon_round();
+            self.schedule_round();
         }
         true
     }
@@ -228,11 +228,11 @@
         }
         if newly {
             self.ledger.told(&name, &self.life(), true);
-            self.check_adoption();
+            self.check_takeover();
         }
         if news || newly {
             self.soon_status();
-            self.soon_round();
+            self.schedule_round();
             self.place_due = true;
         }
     }
@@ -295,7 +295,7 @@
             })
             .unwrap_or_default();
         let now = self.now;
-        let gate = StartGate::new(self.settled(), self.permits_in_force(), &self.jobs);
+        let gate = StartGate::new(self.confirmed_up_to(), self.permits_in_force(), &self.jobs);
         let Some(machine) = self.machines.get_mut(name) else {
             return proof.answer(0, orders);
         };
@@ -451,7 +451,7 @@
             spot: report.spot,
         };
         if self.lead.is_some() {
-            self.stray(report.machine, report.kind, report.zone, report.spot);
+            self.note_unrecorded_machine(report.machine, report.kind, report.zone, report.spot);
         } else if let Some((leader, ..)) = &self.leader {
             self.effects.push(Effect::Send(Some(leader.clone()), stray));
         }
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,8 +1,9 @@
-//! A controller's own life: registration under a lease, loading the records, leadership.
+//! Membership of a controller: registration under a lease, loading of the records, leader election and eviction of
+//! failed controllers.
 //!
-//! One lease of the state service carries both the registration and, for the leader, the leadership.
-//! A block is good for as long as the registration it was granted to, so the lease is also the
-//! blocks' lease, and renewing it costs no change of the store.
+//! One lease of the state service carries both the registration and, for the leader, the leadership. A machine's
+//! grant is valid for as long as the registration that it was made to, so the lease covers the grants as well, and
+//! renewing it takes no write to the store.
 
 use std::collections::BTreeMap;
 
@@ -12,20 +13,23 @@
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
 
-/// How long it counts that a worker has turned from its owner to another controller.
-const TURNED: Micros = Micros::from_secs(5);
-/// How long a worker may take to come again that was sent back to an owner that does not answer it.
-const SENT_BACK: Micros = Micros::from_secs(10);
-/// How long a controller that refuses nobody may say nothing.
-const SPEECHLESS: Micros = Micros::from_secs(4);
-/// Between two of a controller's ticks there is never so much, unless it has stood still.
-const STOOD_STILL: Micros = Micros::from_millis(1_500);
-const RETRY: Micros = Micros::from_millis(400);
-/// How long a request for changes waits for one. What is known is as old as the request that brought it, so a quiet
-/// store must not make it look older than the renewals do.
-const HOLD: Micros = Micros::from_secs(1);
+/// How long a worker's failover from its owner to another controller counts as evidence against the owner.
+const FAILOVER_WINDOW: Micros = Micros::from_secs(5);
+/// How long a worker that was redirected to an unresponsive owner may take to report here again.
+const REDIRECT_RETURN_WINDOW: Micros = Micros::from_secs(10);
+/// How long a controller that does not refuse connections may be silent before it is suspected.
+const SILENCE_TIMEOUT: Micros = Micros::from_secs(4);
+/// A longer time between two ticks means that this process was paused.
+const PAUSE_THRESHOLD: Micros = Micros::from_millis(1_500);
+/// Delay before a failed renewal of the lease is repeated.
+const RENEW_RETRY_DELAY: Micros = Micros::from_millis(400);
+/// How long the store holds a request for changes open if there are none. The replica's age is counted from the last
+/// answered request, so the hold must be short enough that a store without changes does not make the replica seem
+/// older than the last renewal.
+const WATCH_HOLD: Micros = Micros::from_secs(1);
 
 impl Controller {
+    /// Registers if necessary, renews the lease, follows the store's changes, and elects or evicts controllers.
     pub(super) fn membership_tick(&mut self) {
         match self.phase {
             Phase::Outside if self.joining.ready(self.now) => {
@@ -42,15 +46,16 @@
                 let call = StoreCall::Follow {
                     prefix: records::FOLLOWED.to_owned(),
                     after: self.applied,
-                    hold_ms: HOLD.as_millis(),
+                    hold_ms: WATCH_HOLD.as_millis(),
                 };
                 self.store(Urgency::Entitlement, Purpose::Follow, call);
             }
-            self.seek_leadership();
+            self.try_become_leader();
             self.evict_suspects();
         }
     }
 
+    /// Renews the lease when a sixth of its term has passed.
     fn renew_when_due(&mut self) {
         let every = Micros(self.lease_term.0 / 6);
         let now = self.now;
@@ -64,8 +69,8 @@
         }
     }
 
-    /// Takes the leadership when nobody has it; the members' order spreads the attempts.
-    fn seek_leadership(&mut self) {
+    /// Tries to become the leader if there is none. The attempts of the members are staggered by their order.
+    fn try_become_leader(&mut self) {
         if self.leader.is_some() {
             self.lead_at = Micros::ZERO;
             return;
@@ -82,45 +87,48 @@
         let record = LeaderRecord { member: self.me().to_owned(), node: lease.stamp };
         let Ok(value) = serde_json::to_value(record) else { return };
         let transaction = Transaction {
-            conditions: vec![Condition::new(records::LEADER, 0), self.entitlement()],
+            conditions: vec![Condition::new(records::LEADER, 0), self.registration_condition()],
             writes: vec![Write::leased(records::LEADER, value, lease.id)],
         };
         self.store(Urgency::Entitlement, Purpose::Lead, StoreCall::Commit(transaction));
     }
 
-    pub(super) fn refused_by(&mut self, member: String) {
+    /// Counts that a controller has refused a connection.
+    pub(super) fn handle_connection_refused(&mut self, member: String) {
         let now = self.now;
         let (_, times) = self.refusals.entry(member).or_insert((now, 0));
         *times += 1;
     }
 
-    /// Notes whether this controller has stood still: then it has heard nobody, and has itself to doubt first.
-    pub(super) fn notice_standstill(&mut self) {
-        if self.now.since(self.ticked) > STOOD_STILL {
+    /// Detects whether this process was paused. If so, it has received no messages meanwhile, and the others' silence
+    /// proves nothing until they have had time to send some.
+    pub(super) fn detect_process_pause(&mut self) {
+        if self.now.since(self.ticked) > PAUSE_THRESHOLD {
             self.awake_since = self.now;
         }
         self.ticked = self.now;
     }
 
-    /// Registered controllers that have said nothing for a while: a short one if they refuse connections, and a
-    /// longer one if they do not, for one that stands still or is cut off refuses nobody.
+    /// Registered controllers that have been silent for too long: for a short time if they refuse connections, or for
+    /// a longer one otherwise, as a paused or partitioned controller does not refuse any.
     pub(super) fn suspects(&self) -> Vec<String> {
-        let quiet = Micros::from_millis(1_200);
-        let silent = |m: &String| self.peers.get(m).is_none_or(|p| self.now.since(p.heard) > quiet);
+        let short_silence = Micros::from_millis(1_200);
+        let silent = |m: &String| self.peers.get(m).is_none_or(|p| self.now.since(p.heard) > short_silence);
         let refused = self
             .refusals
             .iter()
             .filter(|(_, (at, n))| *n >= 3 && self.now.since(*at) > Micros::from_millis(700));
         let mut suspects: Vec<String> =
             refused.map(|(m, _)| m.clone()).filter(|m| self.nodes.contains_key(m) && silent(m)).collect();
-        let speechless = self.nodes.iter().filter(|(member, node)| {
-            // One that has just begun has much to load before its first word.
+        let timed_out = self.nodes.iter().filter(|(member, node)| {
+            // A controller that has just registered may take long to load the records before its first status.
             let heard =
                 self.peers.get(*member).filter(|p| p.status.as_ref().is_some_and(|s| s.stamp == **node));
-            let since = heard.map(|p| p.heard.max(self.awake_since));
-            **member != self.settings.member && since.is_some_and(|at| self.now.since(at) > SPEECHLESS)
+            let heard_at = heard.map(|p| p.heard.max(self.awake_since));
+            **member != self.settings.member
+                && heard_at.is_some_and(|at| self.now.since(at) > SILENCE_TIMEOUT)
         });
-        for (member, _) in speechless {
+        for (member, _) in timed_out {
             if !suspects.contains(member) {
                 suspects.push(member.clone());
             }
@@ -128,32 +136,33 @@
         suspects
     }
 
-    /// Whether a suspect may be taken for ended: a refusal tells a little, and silence alone only what more than
-    /// half of the registered controllers agree on.
-    fn enough_to_judge(&self, member: &str, suspects: &[String]) -> bool {
+    /// Whether the agreement of all other non-suspects is enough to treat a suspect as failed. It is if the suspect has
+    /// refused connections; if it is only silent, the non-suspects must be a majority of the registered controllers.
+    fn has_eviction_quorum(&self, member: &str, suspects: &[String]) -> bool {
         self.refusals.contains_key(member) || (self.nodes.len() - suspects.len()) * 2 > self.nodes.len()
     }
 
-    /// Controllers whose workers have turned to this one, though they knew whose they were. Where a
-    /// packet filter stands between the controllers alone, all refuse each other though none has
-    /// ended: its workers still have it.
-    pub(super) fn deserted(&self) -> Vec<String> {
+    /// Controllers whose workers have failed over to this one although they knew their owner. A packet filter between
+    /// the controllers can make them all refuse each other's connections while none has failed; their workers then
+    /// still reach them.
+    pub(super) fn deserted_controllers(&self) -> Vec<String> {
         let mut counts: BTreeMap<&String, usize> = BTreeMap::new();
         for ((owner, _), (_, again)) in &self.turned {
-            let lately = *again > Micros::ZERO && self.now.since(*again) < TURNED;
-            *counts.entry(owner).or_default() += usize::from(lately);
+            let recent = *again > Micros::ZERO && self.now.since(*again) < FAILOVER_WINDOW;
+            *counts.entry(owner).or_default() += usize::from(recent);
         }
-        // Two are enough to know, and every status asks.
-        let held = |owner: &String| self.machines.values().filter(|m| m.row.owner == *owner).take(2).count();
-        let enough = |owner: &String, n: usize| n >= 1 && n >= held(owner).max(1);
+        // Counting up to two machines is sufficient. The result is needed for every status.
+        let machines_of =
+            |owner: &String| self.machines.values().filter(|m| m.row.owner == *owner).take(2).count();
+        let enough = |owner: &String, n: usize| n >= 1 && n >= machines_of(owner).max(1);
         counts.into_iter().filter(|(o, n)| enough(o, *n)).map(|(owner, _)| owner.clone()).collect()
     }
 
-    /// Notes that a worker has come here instead of to its owner. One that has not settled may only
-    /// not have known whose it is, until it is sent back and comes again.
-    pub(super) fn turned_here(&mut self, owner: &str, machine: &str, settled: bool) {
+    /// Notes that a worker has reported here instead of to its owner. Unless `settled`, it may not have known its
+    /// owner, so it counts only if it reports here again after it was redirected to the owner.
+    pub(super) fn note_worker_failover(&mut self, owner: &str, machine: &str, settled: bool) {
         let now = self.now;
-        self.turned.retain(|_, (first, again)| now.since((*first).max(*again)) < SENT_BACK);
+        self.turned.retain(|_, (first, again)| now.since((*first).max(*again)) < REDIRECT_RETURN_WINDOW);
         let key = (owner.to_owned(), machine.to_owned());
         self.turned
             .entry(key)
@@ -165,11 +174,12 @@
             .or_insert((now, if settled { now } else { Micros::ZERO }));
     }
 
-    /// Ends the registration of a controller that, as far as all others can tell, has ended or stands still.
+    /// Ends the registration of a controller that, according to all others, has failed or is paused.
     ///
-    /// Neither a refusal nor silence proves anything, so its workers must have turned away as well. Even then
-    /// nothing relies on it: the evicted one's transactions fail, its machines are fenced by new tokens, and
-    /// unreachable ones wait out its lease. Not twice in half a minute, so that a mistake does not repeat itself.
+    /// Neither refused connections nor silence prove a failure, so its workers must have failed over as well. Safety
+    /// does not depend on this being right: the evicted controller's transactions fail, its machines are fenced by
+    /// new tokens, and tasks on unreachable ones wait until its lease has expired. A controller is not evicted twice
+    /// within 30 s, so that a wrong decision is not repeated at once.
     fn evict_suspects(&mut self) {
         let suspects = self.suspects();
         if suspects.is_empty() || !self.entitled() || self.now < self.evict_at {
@@ -177,34 +187,41 @@
         }
         let me = self.settings.member.clone();
         let others = || self.nodes.keys().filter(|m| !suspects.contains(*m));
-        let words = || {
+        let other_statuses = || {
             others().filter(|m| **m != me).map(|m| {
                 let peer = self.peers.get(m).filter(|p| self.now.since(p.heard) < Micros::from_secs(3));
                 peer.and_then(|p| p.status.as_ref())
             })
         };
         let agreed = |member: &String| {
-            words().all(|s| s.is_some_and(|s| s.unheard.contains(member)))
-                && self.enough_to_judge(member, &suspects)
-                && (self.deserted().contains(member)
-                    || words().flatten().any(|s| s.deserted.contains(member)))
+            other_statuses().all(|s| s.is_some_and(|s| s.unheard.contains(member)))
+                && self.has_eviction_quorum(member, &suspects)
+                && (self.deserted_controllers().contains(member)
+                    || other_statuses().flatten().any(|s| s.deserted.contains(member)))
         };
-        let pause = Micros::from_secs(30);
-        let fresh = |m: &String| self.evicted.get(m).is_none_or(|(at, _)| self.now.since(*at) > pause);
+        let min_interval = Micros::from_secs(30);
+        let not_recently_evicted =
+            |m: &String| self.evicted.get(m).is_none_or(|(at, _)| self.now.since(*at) > min_interval);
         let Some((leader, _, leader_stamp)) = self.leader.clone() else { return };
-        // The leader evicts; if it is the one to go, the first of the others does and takes over.
+        // The leader evicts. If it is a suspect itself, the first of the other members evicts it and takes over.
         let takes_over = suspects.contains(&leader);
         if if takes_over { others().next() != Some(&me) } else { leader != me } {
             return;
         }
-        let first = if takes_over { Some(&leader) } else { suspects.iter().find(|m| fresh(m) && agreed(m)) };
-        let Some(member) = first.filter(|m| fresh(m) && agreed(m)).cloned() else { return };
+        let candidate = if takes_over {
+            Some(&leader)
+        } else {
+            suspects.iter().find(|m| not_recently_evicted(m) && agreed(m))
+        };
+        let Some(member) = candidate.filter(|m| not_recently_evicted(m) && agreed(m)).cloned() else {
+            return;
+        };
         let (Some(node), Some(lease)) = (self.nodes.get(&member), &self.lease) else { return };
         let mut transaction = Transaction {
             conditions: vec![
                 Condition::new(records::LEADER, leader_stamp),
                 Condition::new(records::node(&member), *node),
-                self.entitlement(),
+                self.registration_condition(),
             ],
             writes: vec![
                 Write::delete(records::node(&member)),
@@ -216,22 +233,23 @@
             let Ok(value) = serde_json::to_value(record) else { return };
             transaction.writes.push(Write::leased(records::LEADER, value, lease.id));
         }
-        tracing::warn!(member, "nobody hears it, and its workers have turned away: evicted");
+        tracing::warn!(member, "evicting controller: it is silent and its workers have failed over");
         self.evict_at = self.now + Micros::from_millis(800);
         self.store(Urgency::Entitlement, Purpose::Evict, StoreCall::Commit(transaction));
     }
 
-    /// The condition that every transaction of this controller carries.
-    pub(super) fn entitlement(&self) -> Condition {
-        // No registration has this stamp, so without one every transaction fails.
+    /// The condition that every transaction of this controller carries: its registration is still in force.
+    pub(super) fn registration_condition(&self) -> Condition {
+        // No registration has this stamp. Without a registration every transaction fails.
         let stamp = self.lease.as_ref().map_or(u64::MAX >> 1, |l| l.stamp);
         Condition::new(records::node(self.me()), stamp)
     }
 
-    pub(super) fn membership_replied(&mut self, purpose: Purpose, sent: Micros, reply: StoreReply) {
+    /// Handles replies to the calls of registration, loading, renewal, election and eviction.
+    pub(super) fn handle_membership_reply(&mut self, purpose: Purpose, sent: Micros, reply: StoreReply) {
         match (purpose, reply) {
             (Purpose::FormerLife, StoreReply::Found { value, .. }) => {
-                // One process per controller: whoever holds this registration is no more.
+                // There is one process per controller, so the one that made this registration has ended.
                 let lease = serde_json::from_value(value).map_or(0, |r: NodeRecord| r.lease);
                 self.store(Urgency::Entitlement, Purpose::ReleaseFormer, StoreCall::Release { lease });
             }
@@ -265,25 +283,29 @@
                     l.stamp = revision;
                 }
                 self.phase = Phase::Loading;
-                self.load(String::new());
+                self.load_page(String::new());
             }
             (Purpose::Load, StoreReply::Page(page)) if self.phase == Phase::Loading => {
                 if self.loading.is_empty() {
                     self.applied = page.revision;
-                    // What is read of later pages is newer.
+                    // Later pages show a newer state.
                     self.followed_at = sent;
                 }
                 let last = page.entries.last().map(|e| e.key.clone());
                 self.loading.extend(page.entries);
                 match last {
-                    Some(after) if page.more => self.load(after),
+                    Some(after) if page.more => self.load_page(after),
                     _ => {
                         let entries = std::mem::take(&mut self.loading);
                         self.load_all(entries);
                         self.phase = Phase::Active;
                         self.follow_at = Some(self.now);
                         self.joining.succeeded();
-                        tracing::info!(jobs = self.jobs.len(), machines = self.machines.len(), "joined");
+                        tracing::info!(
+                            jobs = self.jobs.len(),
+                            machines = self.machines.len(),
+                            "registered, records loaded"
+                        );
                     }
                 }
             }
@@ -300,27 +322,28 @@
             (Purpose::Renew, _) => {
                 if let Some(lease) = &mut self.lease {
                     lease.renewing = false;
-                    lease.renewed = self.now.since(Micros(self.lease_term.0 / 6)) + RETRY;
+                    lease.renewed = self.now.since(Micros(self.lease_term.0 / 6)) + RENEW_RETRY_DELAY;
                 }
             }
             (Purpose::Lead | Purpose::Evict, _) => {}
             (Purpose::Load, _) if self.phase != Phase::Loading => {}
             (_, reply) => {
-                tracing::debug!(?reply, "joining put off");
+                tracing::debug!(?reply, "registration or loading failed");
                 self.leave("joining failed");
             }
         }
     }
 
-    pub(super) fn load(&mut self, after: String) {
+    /// Requests the page of followed records that begins after this key.
+    pub(super) fn load_page(&mut self, after: String) {
         let prefix = records::FOLLOWED.to_owned();
         self.store(Urgency::Entitlement, Purpose::Load, StoreCall::List { prefix, after });
     }
 
-    /// Gives everything up and starts again as a new member.
+    /// Drops all state that depends on the registration, and registers again after a delay.
     pub(super) fn leave(&mut self, why: &str) {
         if self.phase == Phase::Active {
-            tracing::warn!(why, "left, joining again");
+            tracing::warn!(why, "left the cluster, registering again");
             self.counters.rejoins += 1;
         }
         self.phase = Phase::Outside;
@@ -331,30 +354,31 @@
         self.loading.clear();
         self.forget_replica();
         let polls = std::mem::take(&mut self.polls);
-        self.turn_polls_away(polls);
+        self.defer_polls(polls);
         for (purpose, _) in self.calls.clear() {
-            self.turn_away(purpose);
+            self.defer_request(purpose);
         }
-        // Replies of calls made in the former life must not be taken for the new life's.
+        // Replies to calls made under the former registration must not be taken for replies under the next one.
         let calls: Vec<_> = self.in_flight.drain().collect();
         for (_, (purpose, _)) in calls {
-            self.turn_away(purpose);
+            self.defer_request(purpose);
         }
     }
 
-    /// Answers the request behind a call that will not be made, or whose reply will not be read.
-    fn turn_away(&mut self, purpose: Purpose) {
+    /// Tells the user whose request needed a call to retry later. The call will not be made, or its reply not be read.
+    fn defer_request(&mut self, purpose: Purpose) {
         match purpose {
             Purpose::Accept { request, .. } => self.answer(request, super::Answer::Later(1)),
             Purpose::LookLive { question, .. }
             | Purpose::LookFinal { question, .. }
             | Purpose::Withdraw { question, .. } => self.answer(question.request, super::Answer::Later(1)),
-            Purpose::CheckLive { polls } => self.turn_polls_away(polls),
+            Purpose::CheckLive { polls } => self.defer_polls(polls),
             _ => {}
         }
     }
 
-    fn turn_polls_away(&mut self, polls: Vec<super::Question>) {
+    /// Tells users who asked about live jobs to retry later.
+    fn defer_polls(&mut self, polls: Vec<super::Question>) {
         for question in polls {
             self.answer(question.request, super::Answer::Later(1));
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -229,7 +229,7 @@
     /// Users who wait until all know of a withdrawal.
     pub(crate) awaiting: Vec<finals::Awaiting>,
     pub(crate) awaiting_at: Micros,
-    pub(crate) lead: Option<leader::Leading>,
+    pub(crate) lead: Option<leader::LeaderState>,
     pub(crate) lead_at: Micros,
     pub(crate) volumes_heard: Micros,
     pub(crate) waits: waiting::Waits,
@@ -385,11 +385,11 @@
             }
             Event::Cloud(call, reply) => {
                 if let Some(purpose) = self.cloud_in_flight.remove(&call) {
-                    self.cloud_replied(purpose, reply);
+                    self.handle_cloud_reply(purpose, reply);
                 }
             }
             Event::Peer(from, message) => self.peer_said(from, message),
-            Event::Refused(member) => self.refused_by(member),
+            Event::Refused(member) => self.handle_connection_refused(member),
             Event::Report(request, report) => self.reported(request, report),
             Event::Worker { machine, token, reply } => self.worker_replied(&machine, token, reply),
             Event::Submit(request, spec) => self.submitted(request, spec),
@@ -419,7 +419,7 @@
     }
 
     fn tick(&mut self) {
-        self.notice_standstill();
+        self.detect_process_pause();
         self.membership_tick();
         self.note_silence();
         for (purpose, _) in self.calls.expire(self.now, Micros::from_millis(1_500)) {
@@ -484,9 +484,9 @@
             | Purpose::Load
             | Purpose::Renew
             | Purpose::Evict
-            | Purpose::Lead => self.membership_replied(purpose, sent, reply),
+            | Purpose::Lead => self.handle_membership_reply(purpose, sent, reply),
             Purpose::Follow => self.followed(sent, reply),
-            Purpose::Grant | Purpose::Quota => self.granted(reply),
+            Purpose::Grant | Purpose::Quota => self.handle_grant_reply(reply),
             Purpose::Accept { request, spec } => self.accept_replied(request, *spec, reply),
             Purpose::LookLive { question, wanted } => self.looked_live(question, wanted, sent, reply),
             Purpose::CheckLive { polls } => self.checked_live(polls, sent, reply),
@@ -494,9 +494,9 @@
             Purpose::Withdraw { question, tasks } => self.withdraw_replied(question, tasks, reply),
             Purpose::Complete { job, tasks } => self.complete_replied(job, tasks, reply),
             Purpose::Progress { job, chunk } => self.progress_replied(job, chunk, reply),
-            Purpose::RentalStored { rental } => self.rental_stored(rental, reply),
-            Purpose::RentalClosed { request } => self.rental_closed(request, reply),
-            Purpose::Uninformed { record } => self.uninformed_recorded(record, reply),
+            Purpose::RentalStored { rental } => self.handle_rental_stored(rental, reply),
+            Purpose::RentalClosed { request } => self.handle_rental_closed(request, reply),
+            Purpose::Uninformed { record } => self.handle_uninformed_reply(record, reply),
             Purpose::Finals => self.finals_read(reply),
             Purpose::Cleanup => {}
         }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -118,7 +118,7 @@
         let usable = || self.machines.iter().filter(|(_, m)| self.usable(m));
         let free = usable().map(|(name, m)| (name.clone(), m.free())).collect();
         // Only services in a hurry ask for what is being made room of.
-        let displaces = |id: &String| self.jobs.get(id).is_some_and(|j| self.may_displace(&j.spec));
+        let displaces = |id: &String| self.jobs.get(id).is_some_and(|j| self.may_preempt(&j.spec));
         let soon = if order.iter().any(|(_, _, id)| displaces(id)) {
             usable().map(|(name, m)| (name.clone(), m.free_soon())).collect()
         } else {
@@ -252,7 +252,7 @@
         }
         let short = u64::from(short).min(spec.need().times_in(allowance.room()));
         let zones = self.zone_counts(id);
-        let names = if self.may_displace(&spec) {
+        let names = if self.may_preempt(&spec) {
             // First where the image is, then where it would be if work of lower rank gave way, then
             // wherever there is room: a class in a hurry has hardly time to fetch it.
             let mut names = self.choose(&spec, short as usize, rooms, zones.clone(), &Only::Fetched);
@@ -260,12 +260,12 @@
             let mut taken = zones;
             self.count_zones(&names, &mut taken);
             let mut left = short - names.len() as u64;
-            left -= self.make_room(&spec, left, &mut taken, rooms, true);
+            left -= self.preempt_for(&spec, left, &mut taken, rooms, true);
             let others = self.choose(&spec, left as usize, rooms, taken.clone(), &Only::All);
             rooms.take(&others, spec.need());
             self.count_zones(&others, &mut taken);
             left -= others.len() as u64;
-            self.make_room(&spec, left, &mut taken, rooms, false);
+            self.preempt_for(&spec, left, &mut taken, rooms, false);
             names.extend(others);
             names
         } else {
--- a/src/coordination/progress.rs
+++ b/src/coordination/progress.rs
@@ -51,7 +51,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in mine {
-            let entitlement = self.entitlement();
+            let entitlement = self.registration_condition();
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let live = Condition::new(records::live(&id), job.stamp);
             if job.unfinished() == 0 && job.spec.shape != Shape::Service {
@@ -98,7 +98,7 @@
                 // Its change may have been followed before.
                 self.retire(&id);
                 tracing::debug!(job = id, "done");
-                self.soon_round();
+                self.schedule_round();
             }
             // Withdrawn in the meantime, or this controller's word no longer counts: the watch tells.
             _ => {
--- a/src/coordination/quota/grants.rs
+++ b/src/coordination/quota/grants.rs
@@ -33,7 +33,7 @@
         let opens = !teams.iter().all(named);
         let waits = !opens && !self.may_divide();
         if let Some(lead) = &mut self.lead {
-            lead.awaits_words = waits;
+            lead.awaiting_quota_acks = waits;
         }
         if waits {
             return false;
@@ -69,12 +69,12 @@
                 Condition::new(records::LEADER, leader_stamp),
                 Condition::new(records::QUOTA, self.quota.1),
                 Condition::new(records::VIEW, self.view_stamp),
-                self.entitlement(),
+                self.registration_condition(),
             ],
             writes: vec![Write::put(records::QUOTA, value)],
         };
         if let Some(lead) = &mut self.lead {
-            lead.granting = true;
+            lead.grant_in_flight = true;
         }
         self.store(Urgency::Entitlement, Purpose::Quota, StoreCall::Commit(transaction));
         true
@@ -82,14 +82,15 @@
 
     /// Every member has accounted for what it took over in the present view.
     fn all_adopted(&self) -> bool {
-        let done =
-            |m: &str, node| self.word_of(m, node).is_some_and(|s| s.adopted && s.applied >= self.view_stamp);
+        let done = |m: &str, node| {
+            self.status_of(m, node).is_some_and(|s| s.adopted && s.applied >= self.view_stamp)
+        };
         self.view.members.iter().all(|(m, node)| done(m, *node))
     }
 
     /// Everyone knows the record in force, and has accounted for what it took over.
     pub(in crate::coordination) fn may_divide(&self) -> bool {
-        self.all_adopted() && self.everyone_applied(self.quota.1)
+        self.all_adopted() && self.all_controllers_applied(self.quota.1)
     }
 
     /// What a member may use of a team's limit by the record in force: processors and accelerators.
@@ -121,7 +122,7 @@
 
     /// What a member last said that its jobs of a team use.
     fn used_by(&self, member: &str, node: u64, team: &Team) -> Resources {
-        let told = self.word_of(member, node).and_then(|s| s.usage.iter().find(|u| u.0 == team.name));
+        let told = self.status_of(member, node).and_then(|s| s.usage.iter().find(|u| u.0 == team.name));
         told.map_or(Resources::default(), |u| Resources { cpu: u.1, gpu: u.2, memory: 0 })
     }
 
--- a/src/coordination/quota/guard.rs
+++ b/src/coordination/quota/guard.rs
@@ -164,7 +164,7 @@
         }
         let now = self.now;
         let exact =
-            |(member, node): &(String, u64)| self.word_of(member, *node).is_some_and(|s| s.usage_exact);
+            |(member, node): &(String, u64)| self.status_of(member, *node).is_some_and(|s| s.usage_exact);
         let unexplained = self.usage_is_exact() && self.view.members.iter().all(exact);
         let (made, left_out) = &mut self.quota_guard.compared;
         *(if unexplained { made } else { left_out }) += 1;
@@ -185,7 +185,7 @@
 
     /// What all members say that their jobs of a team use.
     fn usage_told(&self, team: &str) -> (u64, u64) {
-        let words = self.view.members.iter().filter_map(|(member, node)| self.word_of(member, *node));
+        let words = self.view.members.iter().filter_map(|(member, node)| self.status_of(member, *node));
         let rows = words.flat_map(|status| &status.usage).filter(|row| row.0 == team);
         rows.fold((0, 0), |(cpu, gpu), row| (cpu + row.1, gpu + row.2))
     }
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -42,9 +42,10 @@
         let mut found = BTreeSet::new();
         let me = self.life();
         let Some(lead) = &self.lead else { return found };
-        let mut silences = lead.fleet.silent.clone();
+        let mut silences = lead.fleet.last_unreachable.clone();
         silences.retain(|_, at| self.now.since(*at) < self.worker_lease);
-        let heard = |name: &str| lead.heard.get(name).is_some_and(|h| self.now.since(h.1) < limit);
+        let heard =
+            |name: &str| lead.misdirected_reports.get(name).is_some_and(|h| self.now.since(h.1) < limit);
         let speaks = |member: &str| {
             let word = self.peers.get(member).map_or(Micros::MAX, |p| self.now.since(p.heard));
             member == self.me() || word <= Micros::from_secs(3)
@@ -70,14 +71,14 @@
             zone.settled += 1;
             zone.fine += usize::from(m.resolved && dark <= late);
             // One that is heard elsewhere and takes no token for longer than its lease does not hear.
-            let deaf = lead.rescued.get(name).is_some_and(|times| *times >= DEAF)
+            let deaf = lead.rescue_moves.get(name).is_some_and(|times| *times >= DEAF)
                 || self.now.since(m.granted) > self.worker_lease;
             if unknown && (deaf || !heard(name)) {
                 of.unheard.push((&m.row.zone, name));
             }
             // A replica that cannot be reached is of no use to anyone, so one on a machine that neither
             // reports nor answers is not waited for until its lease ends.
-            let replicas = || m.tasks.iter().any(|(id, t)| !t.ended() && self.serves(id));
+            let replicas = || m.tasks.iter().any(|(id, t)| !t.ended() && self.is_service_task(id));
             if m.resolved && m.lost && dark >= late * 2.0 + 2.0 && !heard(name) && replicas() {
                 zone.lost.push(name);
             }
@@ -101,7 +102,7 @@
             found.extend(gone.map(|name| (*name).clone()));
         }
         if let Some(lead) = &mut self.lead {
-            lead.fleet.silent = silences;
+            lead.fleet.last_unreachable = silences;
         }
         found
     }
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -1,4 +1,4 @@
-//! Rentals: how they are stored, asked for and repeated, and what the cloud answers and lists.
+//! Rentals of machines: storing, requesting and repeating them, and handling the cloud's replies and lists.
 
 use std::collections::BTreeSet;
 
@@ -14,35 +14,38 @@
 use crate::protocol::units::Micros;
 
 impl Controller {
-    /// Repeats rentals that a former leader stored: the same name rents nothing twice.
+    /// Repeats the rentals that a former leader stored. Requests are idempotent: the cloud does not rent twice under
+    /// the same name.
     pub(super) fn resume_rentals(&mut self) {
         let open: Vec<Rental> = self.rentals.values().map(|r| r.0.clone()).collect();
         for rental in open {
-            self.call_rental(rental);
+            self.send_rental(rental);
         }
     }
 
-    pub(super) fn call_rental(&mut self, rental: Rental) {
+    /// Requests a stored rental from the cloud.
+    pub(super) fn send_rental(&mut self, rental: Rental) {
         if let Some(lead) = &mut self.lead {
-            lead.fleet.open.insert(rental.request.clone(), rental.clone());
+            lead.fleet.pending_rentals.insert(rental.request.clone(), rental.clone());
         }
         self.cloud(Urgency::Acceptance, CloudPurpose::Rent(rental.clone()), CloudCall::Rent(rental));
     }
 
-    /// Stores the rental, then asks for it: a leader that follows can tell what is on its way.
+    /// Stores a rental. It is requested once it is stored, so that a later leader knows which rentals may be pending.
+    /// Returns whether the write was sent.
     pub(super) fn rent(&mut self, kind: String, zone: String, spot: bool, count: u32) -> bool {
         let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
         let Some(lead) = &mut self.lead else { return false };
-        lead.fleet.named += 1;
-        let request = format!("r-{leader_stamp}-{}", lead.fleet.named);
+        lead.fleet.requests_named += 1;
+        let request = format!("r-{leader_stamp}-{}", lead.fleet.requests_named);
         let rental = Rental { request: request.clone(), kind, zone, spot, count };
-        lead.fleet.open.insert(request.clone(), rental.clone());
+        lead.fleet.pending_rentals.insert(request.clone(), rental.clone());
         let Ok(value) = serde_json::to_value(&rental) else { return false };
         let transaction = Transaction {
             conditions: vec![
                 Condition::new(records::LEADER, leader_stamp),
                 Condition::new(records::rental(&request), 0),
-                self.entitlement(),
+                self.registration_condition(),
             ],
             writes: vec![Write::put(records::rental(&request), value)],
         };
@@ -50,28 +53,31 @@
         true
     }
 
-    pub(super) fn rental_stored(&mut self, rental: Rental, reply: StoreReply) {
+    /// Requests a rental whose record was written, or abandons it if the write was not confirmed.
+    pub(super) fn handle_rental_stored(&mut self, rental: Rental, reply: StoreReply) {
         match reply {
-            StoreReply::Committed { .. } => self.call_rental(rental),
+            StoreReply::Committed { .. } => self.send_rental(rental),
             _ => {
-                // The name is used up; if the record is there after all, the next leader repeats it.
+                // The name is not used again. If the record was written after all, the next leader repeats the rental.
                 if let Some(lead) = &mut self.lead {
-                    lead.fleet.open.remove(&rental.request);
-                    lead.fleet.closing.insert(rental.request);
+                    lead.fleet.pending_rentals.remove(&rental.request);
+                    lead.fleet.rentals_to_delete.insert(rental.request);
                 }
             }
         }
     }
 
-    pub(super) fn rental_closed(&mut self, request: String, reply: StoreReply) {
-        // Where the watch has shown meanwhile that it is gone, only the answer was lost.
-        let gone = matches!(reply, StoreReply::Committed { .. }) || !self.rentals.contains_key(&request);
-        if let (Some(lead), false) = (&mut self.lead, gone) {
-            lead.fleet.closing.insert(request);
+    /// Handles the reply to the deletion of a rental's record, which is repeated if it failed.
+    pub(super) fn handle_rental_closed(&mut self, request: String, reply: StoreReply) {
+        // If the watch has shown that the record is gone, only the reply was lost.
+        let deleted = matches!(reply, StoreReply::Committed { .. }) || !self.rentals.contains_key(&request);
+        if let (Some(lead), false) = (&mut self.lead, deleted) {
+            lead.fleet.rentals_to_delete.insert(request);
         }
     }
 
-    pub(super) fn cloud_replied(&mut self, purpose: CloudPurpose, reply: CloudReply) {
+    /// Handles the reply to a call to the cloud.
+    pub(super) fn handle_cloud_reply(&mut self, purpose: CloudPurpose, reply: CloudReply) {
         if matches!(reply, CloudReply::Unclear) {
             self.counters.cloud_failures += 1;
         }
@@ -86,30 +92,31 @@
                 self.place_due = true;
             }
             (CloudPurpose::Types, _) => {}
-            (CloudPurpose::Rent(rental), reply) => self.rent_replied(rental, reply),
+            (CloudPurpose::Rent(rental), reply) => self.handle_rent_reply(rental, reply),
             (CloudPurpose::Return(names), reply) => {
                 let now = self.now;
                 let Some(lead) = &mut self.lead else { return };
                 for name in names {
-                    lead.fleet.returning.remove(&name);
+                    lead.fleet.returns_in_flight.remove(&name);
                     if matches!(reply, CloudReply::Returned) {
-                        lead.fleet.returned.insert(name, now);
+                        lead.fleet.returned_at.insert(name, now);
                     }
                 }
             }
-            (CloudPurpose::List, CloudReply::List(list)) => self.listed(list),
+            (CloudPurpose::List, CloudReply::List(list)) => self.handle_machine_list(list),
             (CloudPurpose::List, _) => {
                 if let Some(lead) = &mut self.lead {
-                    lead.fleet.listing = false;
+                    lead.fleet.list_in_flight = false;
                 }
             }
         }
     }
 
-    pub(super) fn rent_replied(&mut self, rental: Rental, reply: CloudReply) {
+    /// Handles the reply to a rental: records its machines, delays further ones of the kind, or repeats it.
+    pub(super) fn handle_rent_reply(&mut self, rental: Rental, reply: CloudReply) {
         let now = self.now;
         let Some(lead) = &mut self.lead else { return };
-        lead.fleet.asking.remove(&rental.request);
+        lead.fleet.retries_in_flight.remove(&rental.request);
         let key = (rental.kind.clone(), rental.zone.clone(), rental.spot);
         match reply {
             CloudReply::Rented(names) => {
@@ -122,9 +129,9 @@
                 );
                 self.counters.rentals += names.len() as u64;
                 if (names.len() as u32) < rental.count {
-                    lead.fleet.refused.insert(key, (now + Micros::from_secs(15), 1));
+                    lead.fleet.refusals.insert(key, (now + Micros::from_secs(15), 1));
                 } else {
-                    lead.fleet.refused.remove(&key);
+                    lead.fleet.refusals.remove(&key);
                 }
                 let rows = names.into_iter().map(|machine| BlockRow {
                     machine,
@@ -136,23 +143,23 @@
                     returning: false,
                     token: 0,
                 });
-                lead.fleet.arrived.extend(rows);
+                lead.fleet.machines_to_record.extend(rows);
             }
             CloudReply::NoCapacity => {
                 self.counters.refusals += 1;
-                let (_, times) = lead.fleet.refused.get(&key).copied().unwrap_or((now, 0));
+                let (_, times) = lead.fleet.refusals.get(&key).copied().unwrap_or((now, 0));
                 let pause = rules::NO_CAPACITY.pause(times + 1);
-                lead.fleet.refused.insert(key, (now + pause, times + 1));
+                lead.fleet.refusals.insert(key, (now + pause, times + 1));
             }
             CloudReply::Rejected => {
-                lead.fleet.refused.insert(key, (now + Micros::from_secs(300), 1));
+                lead.fleet.refusals.insert(key, (now + Micros::from_secs(300), 1));
             }
             _ => {
-                // It may have been carried out: the same name tells.
-                if lead.fleet.open.contains_key(&rental.request) {
+                // The rental may have taken effect. Repeating it under the same name shows that.
+                if lead.fleet.pending_rentals.contains_key(&rental.request) {
                     let (_, backoff) = lead
                         .fleet
-                        .unclear
+                        .unconfirmed_rentals
                         .entry(rental.request.clone())
                         .or_insert((rental, Backoff::default()));
                     backoff.failed(now, &rules::RENT, &mut self.rng);
@@ -160,55 +167,64 @@
                 return;
             }
         }
-        lead.fleet.open.remove(&rental.request);
-        lead.fleet.unclear.remove(&rental.request);
-        lead.fleet.closing.insert(rental.request);
+        lead.fleet.pending_rentals.remove(&rental.request);
+        lead.fleet.unconfirmed_rentals.remove(&rental.request);
+        lead.fleet.rentals_to_delete.insert(rental.request);
     }
 
-    /// Asks again for rentals whose fate is not known.
-    pub(super) fn repeat_rentals(&mut self) {
+    /// Repeats rentals without a conclusive answer, when due.
+    pub(super) fn retry_rentals(&mut self) {
         let now = self.now;
         let Some(lead) = &mut self.lead else { return };
         let due: Vec<Rental> = lead
             .fleet
-            .unclear
+            .unconfirmed_rentals
             .values_mut()
-            .filter(|(rental, backoff)| backoff.ready(now) && !lead.fleet.asking.contains(&rental.request))
+            .filter(|(rental, backoff)| {
+                backoff.ready(now) && !lead.fleet.retries_in_flight.contains(&rental.request)
+            })
             .map(|(rental, _)| rental.clone())
             .collect();
-        lead.fleet.asking.extend(due.iter().map(|r| r.request.clone()));
+        lead.fleet.retries_in_flight.extend(due.iter().map(|r| r.request.clone()));
         for rental in due {
             self.cloud(Urgency::Rest, CloudPurpose::Rent(rental.clone()), CloudCall::Rent(rental));
         }
     }
 
-    /// The list lags, so it proves only what it shows: machines to record, and failures. And this: names come
-    /// in the order of creation, so a machine whose name a page passes over, from its first to its last, had
-    /// been created by the time that the page describes, and was no more. After an end of all controllers
-    /// such machines could be asked by nobody, for their addresses were lost, and held all jobs back.
-    pub(super) fn listed(&mut self, list: MachineList) {
+    /// Handles a page of the cloud's list of machines.
+    ///
+    /// The list lags behind, so a missing machine may be too new to be listed. Only machines that it contains, to be
+    /// recorded or marked as failed, are certain, with one exception: names are listed in the order of creation. If the
+    /// name of a recorded machine lies in a page's range, after the last name of the page before and before its own
+    /// last name, but the page does not contain it, then the machine had been created by the time of the page and no
+    /// longer existed.
+    ///
+    /// After a failure of all controllers, no controller could query such machines because their addresses were lost,
+    /// and they blocked all jobs.
+    pub(super) fn handle_machine_list(&mut self, list: MachineList) {
         let lag = Micros::from_secs_f64(self.settings.params.cloud.list_lag_s * 2.0 + 5.0);
         let last = list.machines.last().map(|m| m.id.clone());
         let blind = self.blind();
-        let unreached = list.machines.iter().filter(|l| {
-            let unknown = |m: &Machine| m.addr.is_empty() && !m.unused();
-            !l.addr.is_empty() && self.machines.get(&l.id).is_some_and(unknown)
+        let without_address = list.machines.iter().filter(|l| {
+            let lacks_address = |m: &Machine| m.addr.is_empty() && !m.unused();
+            !l.addr.is_empty() && self.machines.get(&l.id).is_some_and(lacks_address)
         });
-        let addresses: Vec<(String, String)> = unreached.map(|l| (l.id.clone(), l.addr.clone())).collect();
+        let addresses: Vec<(String, String)> =
+            without_address.map(|l| (l.id.clone(), l.addr.clone())).collect();
         if !addresses.is_empty() {
             self.take_addresses(&addresses);
             self.effects.push(Effect::Send(None, PeerMessage::Addresses(addresses)));
         }
         let Some(lead) = &mut self.lead else { return };
         if let Some(last) = &last {
-            let first = std::mem::replace(&mut lead.fleet.listed_to, last.clone());
-            let there: BTreeSet<&String> = list.machines.iter().map(|m| &m.id).collect();
-            let within = |name: &&String| **name > first && *name < last;
-            for name in self.machines.keys().filter(within) {
-                if there.contains(name) {
-                    lead.fleet.gone.remove(name);
+            let first = std::mem::replace(&mut lead.fleet.list_cursor, last.clone());
+            let listed: BTreeSet<&String> = list.machines.iter().map(|m| &m.id).collect();
+            let in_page_range = |name: &&String| **name > first && *name < last;
+            for name in self.machines.keys().filter(in_page_range) {
+                if listed.contains(name) {
+                    lead.fleet.unlisted.remove(name);
                 } else {
-                    lead.fleet.gone.insert(name.clone());
+                    lead.fleet.unlisted.insert(name.clone());
                 }
             }
         }
@@ -216,11 +232,16 @@
             if m.state == ListedState::Failed {
                 lead.fleet.failed.insert(m.id.clone());
             }
-            let known = self.machines.contains_key(&m.id) || lead.fleet.returned.contains_key(&m.id);
-            // One just rented is recorded when its rental is answered; others turned up late.
-            let settled = Micros::from_secs_f64(m.age_s) > lag || lead.fleet.open.is_empty();
-            if !known && !blind && settled && !lead.fleet.arrived.iter().any(|r| r.machine == m.id) {
-                lead.fleet.arrived.push(BlockRow {
+            let known = self.machines.contains_key(&m.id) || lead.fleet.returned_at.contains_key(&m.id);
+            // A machine that was just rented is recorded when its rental is answered. Others are recorded from the
+            // list: those older than its lag, or any machine if no rental is pending.
+            let may_record = Micros::from_secs_f64(m.age_s) > lag || lead.fleet.pending_rentals.is_empty();
+            if !known
+                && !blind
+                && may_record
+                && !lead.fleet.machines_to_record.iter().any(|r| r.machine == m.id)
+            {
+                lead.fleet.machines_to_record.push(BlockRow {
                     machine: m.id,
                     kind: m.kind,
                     zone: m.zone,
@@ -236,7 +257,7 @@
             Some(after) if list.more => {
                 self.cloud(Urgency::Rest, CloudPurpose::List, CloudCall::List { after })
             }
-            _ => lead.fleet.listing = false,
+            _ => lead.fleet.list_in_flight = false,
         }
     }
 }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -170,11 +170,11 @@
                     Err(problem) => return self.not_understood(key, &problem),
                 };
                 // One that may displace others needs no room kept for it.
-                if self.is_quick(&spec.class) && !self.may_displace(&spec) {
+                if self.is_quick(&spec.class) && !self.may_preempt(&spec) {
                     self.quick.insert(spec.class.clone(), spec.clone());
                 }
                 if self.phase == Phase::Active {
-                    self.note_arrival(&spec);
+                    self.record_arrival(&spec);
                 }
                 let mut job_state = Job::new(spec, stamp, self.now);
                 job_state.owner = self.owner_of(job);
@@ -190,7 +190,7 @@
                     }
                 }
                 self.jobs.insert_sorted(job.to_owned(), job_state);
-                self.soon_round();
+                self.schedule_round();
             }
         } else if let Some(rest) = key.strip_prefix(records::DONE) {
             let Some((job, chunk)) = rest.rsplit_once('/') else { return };
@@ -207,7 +207,7 @@
             if let Some(former) = self.nodes.insert(member.to_owned(), stamp).filter(|s| *s != stamp) {
                 self.ledger.ended(&(member.to_owned(), former));
             }
-            self.soon_round();
+            self.schedule_round();
         } else if let Some(member) = key.strip_prefix(records::EVICTED) {
             // It may not know yet, and may go on answering until its lease runs out.
             self.evicted.insert(member.to_owned(), (self.now, stamp));
@@ -223,12 +223,12 @@
             // Its record had no answer and was given up, and has been carried out after all: each next leader would
             // rent it again.
             if let Some(lead) = &mut self.lead
-                && !lead.fleet.open.contains_key(request)
+                && !lead.fleet.pending_rentals.contains_key(request)
             {
-                lead.fleet.closing.insert(request.to_owned());
+                lead.fleet.rentals_to_delete.insert(request.to_owned());
             }
         } else if let Some(member) = key.strip_prefix(records::UNINFORMED) {
-            self.uninformed_by(member, value, stamp);
+            self.apply_uninformed_record(member, value, stamp);
         } else if key == records::LEADER {
             if let Ok(l) = value.read::<LeaderRecord>() {
                 self.leader = Some((l.member, l.node, stamp));
@@ -255,7 +255,7 @@
         if let Some(job) = key.strip_prefix(records::LIVE) {
             // A key accepted, removed and seen again cannot be: ids are never accepted twice.
             self.retire(job);
-            self.soon_round();
+            self.schedule_round();
         } else if let Some(rest) = key.strip_prefix(records::DONE) {
             if let Some((job, chunk)) = rest.rsplit_once('/')
                 && let (Some(keys), Ok(chunk)) = (self.done_keys.get_mut(job), chunk.parse::<usize>())
@@ -274,7 +274,7 @@
                     return;
                 }
             }
-            self.soon_round();
+            self.schedule_round();
         } else if let Some(shard) = key.strip_prefix(records::BLOCKS) {
             if let Ok(shard) = shard.parse()
                 && let Some(block) = self.shards.get_mut(&shard)
@@ -318,7 +318,7 @@
             self.unresolved.remove(&gone);
         }
         if any_gone {
-            self.check_adoption();
+            self.check_takeover();
         }
         for row in changes.rows {
             let supply = self.types.get(&row.kind).map(|t| t.supply()).unwrap_or_default();
@@ -449,7 +449,7 @@
             self.unresolved = used.map(|(name, _)| name.clone()).collect();
         }
         tracing::info!(members = ?self.view.members, unresolved = self.unresolved.len(), "new view");
-        self.check_adoption();
+        self.check_takeover();
         // Who takes jobs over waits until all others have taken the view on.
         self.status_due = Some(self.now);
         self.place_due = true;
--- a/src/coordination/simulation/meetings_jobs.rs
+++ b/src/coordination/simulation/meetings_jobs.rs
@@ -48,10 +48,19 @@
         most("inquiry", length(&c.inquiry));
         if let Some(lead) = &c.lead {
             let fleet = &lead.fleet;
-            most("rentals of the leader", fleet.open.len() + fleet.unclear.len() + fleet.closing.len());
-            most("machines of the leader", fleet.arrived.len() + fleet.returning.len() + fleet.failed.len());
-            most("heard elsewhere", lead.heard.len() + lead.rescued.len() + lead.moved.len());
-            let noted = lead.heard.keys().chain(lead.rescued.keys()).chain(&fleet.failed);
+            most(
+                "rentals of the leader",
+                fleet.pending_rentals.len() + fleet.unconfirmed_rentals.len() + fleet.rentals_to_delete.len(),
+            );
+            most(
+                "machines of the leader",
+                fleet.machines_to_record.len() + fleet.returns_in_flight.len() + fleet.failed.len(),
+            );
+            most(
+                "heard elsewhere",
+                lead.misdirected_reports.len() + lead.rescue_moves.len() + lead.moved_at.len(),
+            );
+            let noted = lead.misdirected_reports.keys().chain(lead.rescue_moves.keys()).chain(&fleet.failed);
             most("notes on machines that are gone", noted.filter(gone).count());
             most("starved", lead.starved.len() + lead.unplaced.len());
         }
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -468,7 +468,8 @@
     let mut world = full(410, 12);
     let known = |c: &Controller| {
         let me = c.life();
-        let listed = |name: &String, m: &Machine| c.holds(m) && !c.owns(m) && c.ledger.listed(name, &me);
+        let listed =
+            |name: &String, m: &Machine| c.owner_is_registered(m) && !c.owns(m) && c.ledger.listed(name, &me);
         c.machines.iter().find(|(name, m)| listed(name, m)).map(|(name, m)| (name.clone(), m.row.clone()))
     };
     let found = |w: &World| (0..3).find_map(|n| Some((n, known(w.controllers[n].as_ref()?)?)));
--- a/src/coordination/simulation/returns.rs
+++ b/src/coordination/simulation/returns.rs
@@ -62,7 +62,7 @@
         ("leading", |w, n| w.controllers[n].as_ref().is_some_and(Controller::leading)),
         ("granting", |w, n| {
             let lead = w.controllers[n].as_ref().and_then(|c| c.lead.as_ref());
-            lead.is_some_and(|lead| lead.granting)
+            lead.is_some_and(|lead| lead.grant_in_flight)
         }),
         ("within a second", |w, n| {
             w.controllers[n].is_some() && w.booted[n] + Micros::from_millis(400) < w.now
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -1,4 +1,4 @@
-//! Jobs taken over: when what their former owners may have started is accounted for.
+//! Takeover of jobs: determines when all tasks that their former owners may have started are known.
 
 use std::collections::BTreeSet;
 
@@ -15,88 +15,91 @@
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::{Cause, TaskId};
 
-/// How long starts wait for a controller that does not confirm them before it is recorded as uninformed.
-const PATIENCE: Micros = Micros::from_millis(300);
+/// How long starts wait for a controller's confirmation before the controller is recorded as uninformed.
+const CONFIRMATION_TIMEOUT: Micros = Micros::from_millis(300);
 
-/// Whether tasks of a job may ever have been started on a machine: what is not known of it allows it.
-fn may_be_on(spec: &JobSpec, machine: &Machine) -> bool {
+/// Whether tasks of a job may ever have been started on a machine. One of unknown type counts as suitable.
+fn may_have_run_on(spec: &JobSpec, machine: &Machine) -> bool {
     machine.supply == Resources::default() || allows(spec, machine)
 }
 
 impl Controller {
-    /// Whether everything that may be on a machine is known, as far as jobs are concerned that have
-    /// changed hands in this view.
-    fn accounted(&self, name: &str, machine: &Machine, me: &Life) -> bool {
-        // Since this view nobody but this controller starts tasks of its jobs.
+    /// Whether all tasks that may be on a machine are known, as far as they belong to jobs that have changed their
+    /// owner in this view.
+    fn is_accounted_for(&self, name: &str, machine: &Machine, me: &Life) -> bool {
+        // A witness has listed the tasks, and since this view only this controller starts tasks of its jobs.
         if self.inquiry.covers(name) {
             return true;
         }
         if self.owns(machine) {
             return machine.resolved || self.ledger.listed(name, me);
         }
-        if !self.holds(machine) {
-            // Its holder has ended: all that it ordered had been announced, or it is not known.
+        if !self.owner_is_registered(machine) {
+            // Its owner has ended. The tasks are known only if it announced everything that it ordered.
             return self.ledger.listed(name, me);
         }
-        // Its holder may have been a job's owner until it saw this view.
+        // Its owner may have started tasks of its former jobs until it applied this view.
         (machine.resolved || self.ledger.listed(name, me)) && self.spoken(machine) >= self.view_stamp
     }
 
-    /// Jobs taken over may be started once every machine that could run them is accounted for.
-    pub(super) fn check_adoption(&mut self) {
+    /// Finishes the takeover of the jobs of which every machine that could run them is accounted for, so that their
+    /// tasks may be started.
+    pub(super) fn check_takeover(&mut self) {
         if !self.taking_over || self.blind() {
             return;
         }
         let me = self.life();
         let mut open = std::mem::take(&mut self.unresolved);
-        open.retain(|name| self.machines.get(name).is_some_and(|m| !self.accounted(name, m, &me)));
+        open.retain(|name| self.machines.get(name).is_some_and(|m| !self.is_accounted_for(name, m, &me)));
         self.unresolved = open;
         let open = || self.unresolved.iter().filter_map(|name| self.machines.get(name));
-        // One of each sort stands for all.
-        let mut sorts: Vec<&Machine> = Vec::new();
+        // Machines of the same type, zone and pricing are equivalent here, so one of each is checked.
+        let mut representatives: Vec<&Machine> = Vec::new();
         for m in open() {
-            let alike = |o: &&Machine| {
+            let equivalent = |o: &&Machine| {
                 o.row.kind == m.row.kind
                     && o.row.zone == m.row.zone
                     && o.row.spot == m.row.spot
                     && o.supply == m.supply
             };
-            if !sorts.iter().any(alike) {
-                sorts.push(m);
+            if !representatives.iter().any(equivalent) {
+                representatives.push(m);
             }
         }
-        let free = self.jobs.iter().filter(|(_, j)| {
+        let finished = self.jobs.iter().filter(|(_, j)| {
             j.adopting
                 && j.owner.as_deref() == Some(self.me())
-                && !sorts.iter().any(|m| may_be_on(&j.spec, m))
+                && !representatives.iter().any(|m| may_have_run_on(&j.spec, m))
         });
-        let free: Vec<String> = free.map(|(id, _)| id.clone()).collect();
-        let all = self.unresolved.is_empty();
-        if all {
+        let finished: Vec<String> = finished.map(|(id, _)| id.clone()).collect();
+        let all_accounted = self.unresolved.is_empty();
+        if all_accounted {
             self.taking_over = false;
-            let held = self.machines.values().filter(|m| !m.unused() && !m.resolved).count();
+            let unresolved_count = self.machines.values().filter(|m| !m.unused() && !m.resolved).count();
             self.counters.takeovers += 1;
-            self.counters.takeovers_listed += u64::from(held > 0);
-            tracing::info!(jobs = free.len(), listed = held, "took over");
-        } else if !free.is_empty() {
-            tracing::info!(jobs = free.len(), open = self.unresolved.len(), "took over in part");
+            self.counters.takeovers_listed += u64::from(unresolved_count > 0);
+            tracing::info!(jobs = finished.len(), listed = unresolved_count, "takeover finished");
+        } else if !finished.is_empty() {
+            tracing::info!(jobs = finished.len(), open = self.unresolved.len(), "takeover partly finished");
         }
-        for id in &free {
-            self.take_up(id);
+        for id in &finished {
+            self.finish_takeover(id);
         }
-        if !all {
-            self.ask_witnesses();
+        if !all_accounted {
+            self.query_witnesses();
         }
-        if all || !free.is_empty() {
+        if all_accounted || !finished.is_empty() {
             self.soon_status();
             self.place_due = true;
         }
     }
 
-    /// Asks others for what they know of open machines, once nothing is on its way any more that this
-    /// controller need not have been told: a controller that has just joined learns so what the others
-    /// have confirmed before they counted on it, also of its own machines of a life before.
-    fn ask_witnesses(&mut self) {
+    /// Asks other controllers as witnesses for what they know of machines that are not accounted for.
+    ///
+    /// A controller that has just registered thus learns which starts the others confirmed before its confirmation
+    /// was required, also on the machines of its own former registration. It asks only when no start is in flight
+    /// that it need not have been told of.
+    fn query_witnesses(&mut self) {
         let Some(question) = self.inquiry.due(self.now) else { return };
         let view = self.view_stamp;
         let status = |member: &String, node: u64| {
@@ -108,7 +111,7 @@
         }
         let witnesses: Vec<Option<String>> = match question {
             Question::OfAll => vec![None],
-            // One that takes nothing over has been there before; if all do, any may know something.
+            // A controller that takes no jobs over has been a member before. If there is none, any may know something.
             Question::OfOne => others()
                 .max_by_key(|(member, node)| status(member, **node).is_some_and(|s| s.adopted))
                 .map(|(member, _)| Some(member.clone()))
@@ -117,70 +120,75 @@
         };
         let question = self.inquiry.ask(self.now);
         let stamp = self.life().1;
-        tracing::debug!(question, to = ?witnesses, open = self.unresolved.len(), "asking for testimony");
+        tracing::debug!(question, to = ?witnesses, open = self.unresolved.len(), "querying witnesses");
         for to in witnesses {
             self.effects.push(Effect::Send(to, PeerMessage::Witness { stamp, question }));
         }
     }
 
-    /// Tells one who takes jobs over what is known here of machines that are not known in full there.
-    pub(super) fn testify(&mut self, asker: Life, question: u64) {
-        // What the asker itself has ordered it need not be told; a later life of the same controller would.
+    /// Answers a witness query: tells a controller that takes jobs over what is known here about machines whose owners
+    /// cannot tell it everything yet.
+    pub(super) fn answer_witness_query(&mut self, asker: Life, question: u64) {
+        // The asker knows what it has ordered itself. Under a later registration it would not, so the query must come
+        // from its present one.
         if self.nodes.get(&asker.0) != Some(&asker.1) {
             return;
         }
-        // Others may have gone on without a controller that has not read the changes for so long.
+        // This controller may not have read the changes for so long that the others no longer wait for its
+        // confirmation.
         if !self.entitled() {
             return;
         }
         let me = self.life();
-        // Of others their present holders tell.
-        let open = self.machines.iter().filter(|(_, m)| !(m.unused() || m.resolved && self.holds(m)));
-        let known = open.filter(|(name, _)| self.ledger.listed_for(name, &me, &asker));
-        let machines = known.map(|(_, m)| self.word(m)).collect();
+        // The other machines' tasks are known to their present owners, who send them in their statuses.
+        let open =
+            self.machines.iter().filter(|(_, m)| !(m.unused() || m.resolved && self.owner_is_registered(m)));
+        let fully_known = open.filter(|(name, _)| self.ledger.listed_for(name, &me, &asker));
+        let machines = fully_known.map(|(_, m)| self.word(m)).collect();
         let testimony = PeerMessage::Testimony { stamp: me.1, asker: asker.1, question, machines };
         self.effects.push(Effect::Send(Some(asker.0), testimony));
     }
 
-    /// Another controller has told all that it knows of machines.
-    pub(super) fn testified(&mut self, from: &str, stamp: u64, question: u64, told: &[MachineStatus]) {
+    /// Handles a witness's answer: lists of all tasks that may be on machines.
+    pub(super) fn handle_testimony(&mut self, from: &str, stamp: u64, question: u64, told: &[MachineStatus]) {
         if self.nodes.get(from) != Some(&stamp) || !self.taking_over || !self.inquiry.counts(question) {
             return;
         }
-        tracing::debug!(from, question, machines = told.len(), "testimony");
-        for word in told {
-            if self.machines.get(&word.machine).is_none_or(|m| m.resolved) {
+        tracing::debug!(from, question, machines = told.len(), "witness answer received");
+        for status in told {
+            if self.machines.get(&status.machine).is_none_or(|m| m.resolved) {
                 continue;
             }
-            self.may_be_there(word);
-            if let Some(m) = self.machines.get_mut(&word.machine).filter(|m| m.addr.is_empty()) {
-                m.addr.clone_from(&word.addr);
+            self.may_be_there(status);
+            if let Some(m) = self.machines.get_mut(&status.machine).filter(|m| m.addr.is_empty()) {
+                m.addr.clone_from(&status.addr);
             }
             let (nodes, members) = (&self.nodes, &self.view.members);
-            let over = |life: &Life| nodes.get(&life.0) != Some(&life.1) && !members.contains(life);
-            self.ledger.witnessed(&word.machine, over);
-            self.inquiry.cover(&word.machine);
+            let has_ended = |life: &Life| nodes.get(&life.0) != Some(&life.1) && !members.contains(life);
+            self.ledger.witnessed(&status.machine, has_ended);
+            self.inquiry.cover(&status.machine);
         }
-        self.check_adoption();
+        self.check_takeover();
         self.place_due = true;
     }
 
-    /// A job is fully taken over: from here on this controller places it.
-    fn take_up(&mut self, id: &str) {
+    /// Finishes the takeover of a job: from now on this controller places its tasks. Completions that machines have
+    /// reported meanwhile are recorded.
+    fn finish_takeover(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.adopting = false;
         let places = job.on.iter().flat_map(|(index, on)| on.iter().map(move |name| (*index, name)));
-        let ended = places.filter_map(|(index, name)| {
+        let completed = places.filter_map(|(index, name)| {
             let task = TaskId::new(id, index);
             let on = self.machines.get(name)?.tasks.get(&task)?;
             (on.ended() && on.cause == Some(Cause::Done)).then_some(task)
         });
-        let ended: Vec<TaskId> = ended.collect();
-        ended.iter().for_each(|task| self.completed(task));
+        let completed: Vec<TaskId> = completed.collect();
+        completed.iter().for_each(|task| self.completed(task));
     }
 
-    /// Starts announced by statuses up to this one may be ordered.
-    pub(super) fn settled(&self) -> u64 {
+    /// Sequence number of the last status whose announced starts, and those of all before it, may be ordered.
+    pub(super) fn confirmed_up_to(&self) -> u64 {
         #[cfg(test)]
         if self.careless {
             return u64::MAX;
@@ -188,30 +196,30 @@
         self.announcements.settled()
     }
 
-    /// The view before which this controller announced nothing that another which may act does not know of, or does not
-    /// know to have missed.
-    pub(super) fn cleared(&self) -> u64 {
+    /// Revision of the view such that each other controller that may act knows everything that this controller
+    /// announced before that view, or knows that it has missed something.
+    pub(super) fn confirmed_before_view(&self) -> u64 {
         self.announcements.cleared(self.now, self.lease_term)
     }
 
-    /// Another controller has confirmed what this one has announced.
-    pub(super) fn confirmed(&mut self, by: Life, sequence: u64) {
-        let before = self.announcements.settled();
-        let cleared = self.cleared();
+    /// Handles another controller's confirmation of announced starts.
+    pub(super) fn handle_confirmation(&mut self, by: Life, sequence: u64) {
+        let confirmed_before = self.announcements.settled();
+        let view_before = self.confirmed_before_view();
         self.announcements.confirmed(self.now, &by, sequence);
-        if self.cleared() != cleared {
-            // Whoever takes jobs over waits for this.
+        if self.confirmed_before_view() != view_before {
+            // Controllers that take jobs over wait for this.
             self.status_due = Some(self.now);
         }
-        if self.announcements.settled() != before {
+        if self.announcements.settled() != confirmed_before {
             self.speak();
         }
     }
 
-    /// A controller says in the records whom it does not wait for.
-    pub(super) fn uninformed_by(&mut self, member: &str, value: &Json, stamp: u64) {
+    /// Applies a controller's record of the uninformed controllers, whose confirmations it does not wait for.
+    pub(super) fn apply_uninformed_record(&mut self, member: &str, value: &Json, stamp: u64) {
         let Ok(record) = value.read::<UninformedRecord>() else {
-            // What cannot be read may name this controller.
+            // A record that cannot be read may name this controller.
             if let Some(node) = self.nodes.get(member) {
                 self.ledger.uninformed(&(member.to_owned(), *node), true);
             }
@@ -225,7 +233,8 @@
         }
     }
 
-    /// Keeps the record of the controllers that this one does not wait for as it should be.
+    /// Writes the record of the uninformed controllers, whose confirmations this one does not wait for, if it must
+    /// change.
     pub(super) fn record_uninformed(&mut self) {
         #[cfg(test)]
         if self.careless {
@@ -239,24 +248,26 @@
             record if record.node == node => record.peers.iter().cloned().collect(),
             _ => BTreeSet::new(),
         };
-        let wanted = self.announcements.wanted_record(self.now, PATIENCE);
-        // A change of which nothing was heard may have been made all the same.
-        let unsure = || (stored != self.announcements.excused()).then(|| self.announcements.excused());
-        let Some(record) = wanted.or_else(unsure) else { return };
+        let desired = self.announcements.wanted_record(self.now, CONFIRMATION_TIMEOUT);
+        // A write without an answer may have been committed all the same.
+        let unconfirmed_write =
+            || (stored != self.announcements.excused()).then(|| self.announcements.excused());
+        let Some(record) = desired.or_else(unconfirmed_write) else { return };
         let peers = record.iter().cloned().collect();
         let Ok(value) = serde_json::to_value(UninformedRecord { node, peers }) else { return };
         let key = records::uninformed(&me);
         let transaction = Transaction {
-            conditions: vec![Condition::new(key.clone(), self.uninformed.1), self.entitlement()],
+            conditions: vec![Condition::new(key.clone(), self.uninformed.1), self.registration_condition()],
             writes: vec![Write::put(key, value)],
         };
         self.recording = true;
         self.announcements.record_sent(&record);
-        tracing::debug!(uninformed = ?record, "recording whom starts do not wait for");
+        tracing::debug!(uninformed = ?record, "recording uninformed controllers");
         self.store(Urgency::Entitlement, Purpose::Uninformed { record }, StoreCall::Commit(transaction));
     }
 
-    pub(super) fn uninformed_recorded(&mut self, record: BTreeSet<Life>, reply: StoreReply) {
+    /// Handles the reply to the write of the record of uninformed controllers.
+    pub(super) fn handle_uninformed_reply(&mut self, record: BTreeSet<Life>, reply: StoreReply) {
         self.recording = false;
         if let StoreReply::Committed { revision } = reply {
             let (node, peers) = (self.life().1, record.iter().cloned().collect());
--- a/src/coordination/volume_plan.rs
+++ b/src/coordination/volume_plan.rs
@@ -107,7 +107,7 @@
 
     /// What there is to be divided.
     fn supply(&self) -> Supply<'_> {
-        let there = self.machines.values().filter(|m| self.serving(m) || self.coming(m));
+        let there = self.machines.values().filter(|m| self.is_schedulable(m) || self.is_incoming(m));
         let there: Vec<&Machine> = there.collect();
         let total = there.iter().fold(Resources::default(), |sum, m| sum.plus(m.supply));
         // What accelerators' work takes of their machines' processors is not there for other work.
--- a/src/coordination/words.rs
+++ b/src/coordination/words.rs
@@ -182,7 +182,7 @@
             single: self.statuses_to_single,
             whole: false,
             confirm: false,
-            cleared: self.cleared(),
+            cleared: self.confirmed_before_view(),
             clock: self.now,
             applied: self.applied,
             stamp: self.lease.as_ref().map_or(0, |l| l.stamp),
@@ -195,7 +195,7 @@
             stops: self.foreign_stops(),
             over: Vec::new(),
             unheard: self.suspects(),
-            deserted: self.deserted(),
+            deserted: self.deserted_controllers(),
         }
     }
 
@@ -210,13 +210,13 @@
         match message {
             PeerMessage::Status(status) => self.peer_status(from, status),
             PeerMessage::Again => self.tell_all(from),
-            PeerMessage::Witness { stamp, question } => self.testify((from, stamp), question),
+            PeerMessage::Witness { stamp, question } => self.answer_witness_query((from, stamp), question),
             PeerMessage::Testimony { stamp, question, machines, .. } => {
-                self.testified(&from, stamp, question, &machines);
+                self.handle_testimony(&from, stamp, question, &machines);
             }
             PeerMessage::Seen { stamp, sequence, .. } => {
                 self.status_heard((from.clone(), stamp), sequence);
-                self.confirmed((from, stamp), sequence);
+                self.handle_confirmation((from, stamp), sequence);
             }
             PeerMessage::Door(word) => self.door_said(&from, word),
             PeerMessage::Plan(plan) => self.plan_said(&plan),
@@ -228,7 +228,9 @@
             }
             PeerMessage::Addresses(list) => self.take_addresses(&list),
             PeerMessage::Heard { machine } => self.heard_elsewhere(machine, from),
-            PeerMessage::Stray { machine, kind, zone, spot } => self.stray(machine, kind, zone, spot),
+            PeerMessage::Stray { machine, kind, zone, spot } => {
+                self.note_unrecorded_machine(machine, kind, zone, spot)
+            }
         }
     }
 
@@ -304,7 +306,7 @@
             self.effects.push(Effect::Send(Some(from.clone()), reply));
         }
         self.refusals.remove(&from);
-        self.check_adoption();
+        self.check_takeover();
         self.place_due |= told;
     }
 
