--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -25,7 +25,7 @@
         let recent = Micros(self.report_every.0 * 2);
         let overdue = self.latest_report() + OVERDUE;
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
-        let gate = StartGate::new(self.confirmed_up_to(), self.permits_in_force(), &self.jobs);
+        let gate = StartGate::new(self.confirmed_through(), self.permits_in_force(), &self.jobs);
         for (name, m) in &mut self.machines {
             let mine = m.row.node == stamp && m.row.owner == self.settings.member;
             let known = m.session != 0 || !m.resolved;
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -401,7 +401,7 @@
         // Room to keep free for classes that must start sooner than a machine boots.
         for (class, spec) in &self.quick {
             let kept_machines = self.kept.values().filter(|c| *c == class).count();
-            let lacking = self.slots_kept(spec).saturating_sub(kept_machines) as u64;
+            let lacking = self.fast_start_slots(spec).saturating_sub(kept_machines) as u64;
             self.add_wanted(
                 spec,
                 lacking,
@@ -445,9 +445,9 @@
     /// Places `count` tasks on incoming machines and into slots that running tasks will free, and adds the machines to
     /// rent for the remaining tasks to `wanted`.
     ///
-    /// Each zone takes at most as many tasks as `zones` allows, or any number if `zones` is none. `incoming` holds type,
-    /// zone, pricing and free resources of machines; `freed_slots` is by whether the tasks need accelerators; `wanted`
-    /// holds the number of machines by type, zone and pricing.
+    /// Each zone takes at most as many tasks as `zones` allows, or any number if `zones` is none. `incoming` holds
+    /// type, zone, pricing and free resources of machines; `freed_slots` is by whether the tasks need accelerators;
+    /// `wanted` holds the number of machines by type, zone and pricing.
     fn add_wanted(
         &self,
         spec: &JobSpec,
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -400,7 +400,7 @@
         }
         let leader = self.leader.as_ref().map_or(0, |l| l.2);
         let round = self.lead.as_ref().map_or(0, |l| l.round);
-        let kept = self.choose_kept();
+        let kept = self.choose_fast_start_machines();
         let surplus = self.find_surplus(&volumes);
         let reserved = self.reserved.clone();
         self.take_volumes(&volumes, kept.clone(), reserved.clone());
@@ -477,7 +477,7 @@
     /// Chooses the machines on which room is kept for classes that must start sooner than a machine boots, as pairs
     /// of machine and class: those that fetch images fastest, of which enough is free or held by tasks of lower
     /// priority.
-    fn choose_kept(&self) -> Vec<(String, String)> {
+    fn choose_fast_start_machines(&self) -> Vec<(String, String)> {
         let mut kept: Vec<(String, String)> = Vec::new();
         for (class, spec) in &self.quick {
             let need = spec.need();
@@ -504,14 +504,14 @@
             options.sort_by_key(|(newly_kept, fetch_time, price, name)| {
                 (*fetch_time, *newly_kept, *price, *name)
             });
-            let slots = self.slots_kept(spec);
+            let slots = self.fast_start_slots(spec);
             kept.extend(options.into_iter().take(slots).map(|(.., name)| (name.clone(), class.clone())));
         }
         kept
     }
 
     /// Number of tasks of a class for which room is kept.
-    pub(super) fn slots_kept(&self, spec: &JobSpec) -> usize {
+    pub(super) fn fast_start_slots(&self, spec: &JobSpec) -> usize {
         2 * spec.floor() as usize
     }
 
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -295,7 +295,7 @@
             })
             .unwrap_or_default();
         let now = self.now;
-        let gate = StartGate::new(self.confirmed_up_to(), self.permits_in_force(), &self.jobs);
+        let gate = StartGate::new(self.confirmed_through(), self.permits_in_force(), &self.jobs);
         let Some(machine) = self.machines.get_mut(name) else {
             return proof.answer(0, orders);
         };
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -133,7 +133,7 @@
     };
     let mut grant = |moves: BTreeMap<String, String>| {
         // What was on its way before has been answered.
-        c.lead.as_mut().unwrap().granting = false;
+        c.lead.as_mut().unwrap().grant_in_flight = false;
         assert!(c.grant(moves, vec![row.clone(), row.clone()], BTreeSet::new(), None));
         let calls = c.handle(clock, Event::Peer(String::new(), PeerMessage::Again));
         let mut commits = calls.into_iter().filter_map(|e| match e {
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -188,7 +188,7 @@
     }
 
     /// Sequence number of the last status whose announced starts, and those of all before it, may be ordered.
-    pub(super) fn confirmed_up_to(&self) -> u64 {
+    pub(super) fn confirmed_through(&self) -> u64 {
         #[cfg(test)]
         if self.careless {
             return u64::MAX;
