--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -59,7 +59,7 @@
     /// Delays the next round after failed grants.
     pub grant_backoff: Backoff,
     /// The last round could not divide the teams' limits, because not every controller was known to have applied
-    /// the quota record in force.
+    /// the quota record in force and to have finished its takeover.
     pub awaiting_quota_acks: bool,
     /// When machines were last moved to another controller.
     pub moved_at: BTreeMap<String, Micros>,
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -322,6 +322,7 @@
             (Purpose::Renew, _) => {
                 if let Some(lease) = &mut self.lease {
                     lease.renewing = false;
+                    // Makes the next attempt due after the retry delay.
                     lease.renewed = self.now.since(Micros(self.lease_term.0 / 6)) + RENEW_RETRY_DELAY;
                 }
             }
