--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -133,7 +133,7 @@
     };
     let mut grant = |moves: BTreeMap<String, String>| {
         // What was on its way before has been answered.
-        c.lead.as_mut().unwrap().granting = false;
+        c.lead.as_mut().unwrap().grant_in_flight = false;
         assert!(c.grant(moves, vec![row.clone(), row.clone()], BTreeSet::new(), None));
         let calls = c.handle(clock, Event::Peer(String::new(), PeerMessage::Again));
         let mut commits = calls.into_iter().filter_map(|e| match e {
@@ -468,8 +468,9 @@
     let mut world = full(410, 12);
     let known = |c: &Controller| {
         let me = c.life();
-        let listed =
-            |name: &String, m: &Machine| c.holds(m) && !c.owns(m) && c.ledger.is_fully_known(name, &me);
+        let listed = |name: &String, m: &Machine| {
+            c.owner_is_registered(m) && !c.owns(m) && c.ledger.is_fully_known(name, &me)
+        };
         c.machines.iter().find(|(name, m)| listed(name, m)).map(|(name, m)| (name.clone(), m.row.clone()))
     };
     let found = |w: &World| (0..3).find_map(|n| Some((n, known(w.controllers[n].as_ref()?)?)));
