--- a/src/coordination/blocks.rs
+++ b/src/coordination/blocks.rs
@@ -358,7 +358,7 @@
                 continue;
             };
             let word = self.peers.get(&m.row.owner).map_or(Micros::MAX, |p| self.now.since(p.heard));
-            let unheard = self.dark(m) >= silent || word > Micros::from_secs(u64::from(silent));
+            let unheard = self.seconds_unheard(m) >= silent || word > Micros::from_secs(u64::from(silent));
             let times = rescued.get(name).copied().unwrap_or(0);
             let another = m.row.owner != *by && !lead.moved.contains_key(name);
             if recent && unheard && another && times < DEAF {
--- a/src/coordination/conclusions.rs
+++ b/src/coordination/conclusions.rs
@@ -1,14 +1,18 @@
-//! Recent conclusions that a task is not on a machine, and what contradicts them.
+//! Retains recent conclusions that a task is not on a machine, and detects messages that contradict them.
 //!
-//! A task runs twice only after such a conclusion was wrong, and only if its second start comes in time; that the conclusion was
-//! wrong shows far more often. So each is kept for a while ([`Conclusions`]). When a machine's own words, or its holder's, show
-//! the very start that was taken for gone, that is counted by the conclusion's ground and logged with what both rested on.
+//! A task can run twice only if such a conclusion was wrong and the task's second start came in time. Wrong conclusions
+//! are visible far more often than that, so each conclusion is retained for a while ([`Conclusions`]). When a message
+//! from the machine or its holder shows the start that was taken to be gone, this is counted by the conclusion's ground
+//! and logged with the evidence of both sides.
 //!
-//! A message that was under way while the conclusion was drawn proves nothing: a former holder's words, those of a new holder
-//! that only repeats them, a report that was sent under an older token, or that is out of date or came to another controller
-//! than the holder. Those are counted apart ([`Evidence::unordered`]). A start that is taken back and planned anew has another attempt and contradicts nothing, but for
-//! two: a gang's lost member is started anew under the gang's attempt, and a job's new owner may use an attempt again if it had
-//! not heard of the former owner's plan. So a start that is sent takes back the conclusion on the same attempt there.
+//! A message that may have been in transit when the conclusion was drawn proves nothing: a status of a former holder, a
+//! status of a new holder that only repeats it, a report under an older token, and a report that is out of date or was
+//! sent to a controller other than the holder. These are counted separately ([`Evidence::may_predate_conclusion`]).
+//!
+//! A start that is dropped and planned again has another attempt number and contradicts nothing, with two exceptions: a
+//! lost member of a gang is restarted under the gang's attempt, and a job's new owner may reuse an attempt number if it
+//! did not know of the former owner's plan. So sending a start removes the conclusion on the same attempt on that
+//! machine.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,118 +20,126 @@
 
 use crate::coordination::Controller;
 use crate::coordination::model::Job;
-use crate::coordination::removal::{Removal, Removed};
+use crate::coordination::removal::{RemovalGround, RemovedTask};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::{Report, TaskId, TaskState};
 
-/// How long a conclusion is kept. Orders, reports and handovers of a machine are over within a lease of its worker.
-const KEPT_FOR: Micros = Micros::from_secs(120);
+/// How long a conclusion is retained. Orders and reports in transit and handovers of a machine are finished within one
+/// worker lease.
+const RETENTION: Micros = Micros::from_secs(120);
 
-/// How many conclusions are kept; beyond that the oldest are forgotten early.
-const MOST_KEPT: usize = 4_096;
+/// Maximum number of retained conclusions. Beyond it the oldest are removed early.
+const MAX_RETAINED: usize = 4_096;
 
-/// One conclusion that a task which had not ended is not on a machine.
+/// A conclusion that a task which had not ended is not on a machine.
 #[derive(Clone, Debug)]
 struct Conclusion {
     machine: String,
-    removed: Removed,
-    ground: Removal,
+    removed: RemovedTask,
+    ground: RemovalGround,
     at: Micros,
-    /// A message whose order is unknown has shown it: the next such message is not counted again.
-    questioned: bool,
+    /// A message that may predate the conclusion has shown the task. Further such messages are not counted.
+    counted_as_questioned: bool,
 }
 
-/// Who shows a task that was taken for gone.
+/// The kind of message that shows a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Evidence {
-    /// A report to the holder, under the present token.
+    /// A report to the holder, under the current token.
     Report,
-    /// A worker's reply to a direct call, under the present token.
+    /// A worker's reply to a direct call, under the current token.
     Reply,
-    /// The holder's word, after the machine has answered to its present token.
-    Holder,
-    /// The holder's word on a gang's task: a member that was lost is started anew under the gang's attempt.
-    HolderOfGang,
-    /// The word of a holder that has not heard the machine under its grant yet: it repeats what a former holder told.
-    UnresolvedHolder,
-    /// A report or reply under an older token than the present one.
+    /// The holder's status of the machine, after the machine has shown the current token.
+    HolderStatus,
+    /// The holder's status of a gang's task: a lost member is restarted under the gang's attempt.
+    HolderStatusOfGang,
+    /// The status of a holder that has not heard from the machine under its grant yet: it repeats a former holder's
+    /// status.
+    UnresolvedHolderStatus,
+    /// A report or reply under an older token than the current one.
     OlderToken,
-    /// A report that is out of date, or of a machine that is in no record.
+    /// A report that is out of date, or from a machine that no record names.
     OutOfDate,
-    /// A report that came to another controller than the holder.
+    /// A report to a controller other than the holder.
     AnotherController,
-    /// A controller's word under another grant than the present one.
-    OtherGrant,
+    /// A controller's status of the machine under another grant than the current one.
+    StatusOfOtherGrant,
 }
 
 impl Evidence {
+    /// The name in the log.
     fn name(self) -> &'static str {
         match self {
             Evidence::Report => "report",
             Evidence::Reply => "reply",
-            Evidence::Holder => "holder",
-            Evidence::HolderOfGang => "holder, a gang's task",
-            Evidence::UnresolvedHolder => "holder that has not heard it yet",
+            Evidence::HolderStatus => "holder",
+            Evidence::HolderStatusOfGang => "holder, a gang's task",
+            Evidence::UnresolvedHolderStatus => "holder that has not heard it yet",
             Evidence::OlderToken => "report under an older token",
             Evidence::OutOfDate => "report out of date",
             Evidence::AnotherController => "report to another controller",
-            Evidence::OtherGrant => "word under another grant",
+            Evidence::StatusOfOtherGrant => "word under another grant",
         }
     }
 
     /// Whether the message may have been sent before the conclusion was drawn.
-    fn unordered(self) -> bool {
-        !matches!(self, Evidence::Report | Evidence::Reply | Evidence::Holder)
+    fn may_predate_conclusion(self) -> bool {
+        !matches!(self, Evidence::Report | Evidence::Reply | Evidence::HolderStatus)
     }
 
-    /// Whether it may only be what another controller had told before, or a start that was made anew.
-    fn repeated(self) -> bool {
-        matches!(self, Evidence::HolderOfGang | Evidence::UnresolvedHolder | Evidence::OtherGrant)
+    /// Whether the message may only repeat another controller's status, or show a task that was started again.
+    fn may_be_repetition(self) -> bool {
+        matches!(
+            self,
+            Evidence::HolderStatusOfGang | Evidence::UnresolvedHolderStatus | Evidence::StatusOfOtherGrant
+        )
     }
 }
 
-/// What a message shows on a machine: a task, and under which token it was said.
-pub(super) struct Sighting<'a> {
+/// A task that a message shows on a machine, and the token that the message was sent under.
+pub(super) struct ObservedTask<'a> {
     pub(super) task: &'a TaskId,
     pub(super) attempt: u64,
     pub(super) state: TaskState,
     pub(super) token: u64,
 }
 
-/// The conclusions of the last while, bounded in number and age. Part of the replica, and forgotten with it.
+/// Recent conclusions, bounded in number and age. Cleared together with the replica; the counts remain.
 #[derive(Debug, Default)]
 pub(crate) struct Conclusions {
     by_task: BTreeMap<TaskId, Vec<Conclusion>>,
-    /// When each was drawn, of which task and machine, the oldest first.
-    oldest: VecDeque<(Micros, TaskId, String)>,
-    /// How many of these each machine has: most machines' words need no look.
+    /// Time, task and machine of each conclusion, the oldest first.
+    by_age: VecDeque<(Micros, TaskId, String)>,
+    /// Number of entries in `by_age` per machine. Messages about other machines, which are most, need no check.
     by_machine: FxHashMap<String, u32>,
-    contradicted: BTreeMap<Removal, u64>,
-    unordered: BTreeMap<Removal, u64>,
+    contradicted: BTreeMap<RemovalGround, u64>,
+    /// Conclusions that were contradicted by a message that may predate them.
+    questioned: BTreeMap<RemovalGround, u64>,
+    /// Conclusions that were removed early because of [`MAX_RETAINED`].
     crowded_out: u64,
 }
 
 impl Conclusions {
-    /// Keeps a conclusion.
-    fn keep(&mut self, id: &TaskId, conclusion: Conclusion) {
+    /// Adds a conclusion, and removes those that are too old or too many.
+    fn insert(&mut self, id: &TaskId, conclusion: Conclusion) {
         self.expire(conclusion.at);
-        while self.oldest.len() >= MOST_KEPT {
+        while self.by_age.len() >= MAX_RETAINED {
             self.crowded_out += 1;
             self.drop_oldest();
         }
         *self.by_machine.entry(conclusion.machine.clone()).or_default() += 1;
-        self.oldest.push_back((conclusion.at, id.clone(), conclusion.machine.clone()));
+        self.by_age.push_back((conclusion.at, id.clone(), conclusion.machine.clone()));
         self.by_task.entry(id.clone()).or_default().push(conclusion);
     }
 
     fn expire(&mut self, now: Micros) {
-        while self.oldest.front().is_some_and(|(at, ..)| now.since(*at) > KEPT_FOR) {
+        while self.by_age.front().is_some_and(|(at, ..)| now.since(*at) > RETENTION) {
             self.drop_oldest();
         }
     }
 
     fn drop_oldest(&mut self) {
-        let Some((at, id, machine)) = self.oldest.pop_front() else { return };
+        let Some((at, id, machine)) = self.by_age.pop_front() else { return };
         if let Some(count) = self.by_machine.get_mut(&machine) {
             *count -= 1;
             if *count == 0 {
@@ -135,7 +147,8 @@
             }
         }
         if let Some(kept) = self.by_task.get_mut(&id) {
-            // Contradicted ones have left before; of those that remain, the ones of that moment or before go.
+            // Contradicted conclusions were removed earlier. Of the others, those drawn at that time or before are
+            // removed.
             kept.retain(|c| c.at > at);
             if kept.is_empty() {
                 self.by_task.remove(&id);
@@ -143,52 +156,59 @@
         }
     }
 
-    /// Forgets all conclusions; the counts stay.
-    pub(super) fn forget(&mut self) {
+    /// Removes all conclusions. The counts stay.
+    pub(super) fn clear(&mut self) {
         self.by_task.clear();
-        self.oldest.clear();
+        self.by_age.clear();
         self.by_machine.clear();
     }
 
-    /// Whether anything was concluded of a machine not long ago.
-    fn concern(&self, machine: &str) -> bool {
+    /// Whether there are recent conclusions on a machine.
+    fn concerns_machine(&self, machine: &str) -> bool {
         self.by_machine.contains_key(machine)
     }
 
-    /// The conclusion that this sighting contradicts, if there is one that has not been counted for it yet.
-    fn contradicted(&mut self, machine: &str, seen: &Sighting, evidence: Evidence) -> Option<Conclusion> {
+    /// Finds and counts the conclusion that an observed task contradicts, unless it was already counted for this kind
+    /// of evidence. A conclusion that is certainly wrong is removed.
+    fn find_contradicted(
+        &mut self,
+        machine: &str,
+        seen: &ObservedTask,
+        evidence: Evidence,
+    ) -> Option<Conclusion> {
         let kept = self.by_task.get_mut(seen.task)?;
-        let same = |c: &Conclusion| c.machine == machine && c.removed.attempt == seen.attempt;
-        let at = kept.iter().rposition(same)?;
-        // Its holder saw it end and forgot it.
-        if seen.state == TaskState::Ended && kept[at].ground == Removal::HolderSaid {
+        let same_start = |c: &Conclusion| c.machine == machine && c.removed.attempt == seen.attempt;
+        let at = kept.iter().rposition(same_start)?;
+        // The holder's status lacked the task because the task had ended and been forgotten.
+        if seen.state == TaskState::Ended && kept[at].ground == RemovalGround::NotReportedByHolder {
             return None;
         }
-        if !evidence.unordered() {
+        if !evidence.may_predate_conclusion() {
             let found = kept.remove(at);
             *self.contradicted.entry(found.ground).or_default() += 1;
             return Some(found);
         }
-        // It is there by the holder's order, perhaps a new one: what its machine shows from now on is no surprise.
-        let settled = evidence == Evidence::HolderOfGang;
-        let again = std::mem::replace(&mut kept[at].questioned, true);
-        let found = if settled { kept.remove(at) } else { kept[at].clone() };
-        if again {
+        // The holder ordered the task to run there, perhaps by a new start, so later messages that show it do not
+        // contradict the conclusion.
+        let restarted = evidence == Evidence::HolderStatusOfGang;
+        let counted = std::mem::replace(&mut kept[at].counted_as_questioned, true);
+        let found = if restarted { kept.remove(at) } else { kept[at].clone() };
+        if counted {
             return None;
         }
-        *self.unordered.entry(found.ground).or_default() += 1;
+        *self.questioned.entry(found.ground).or_default() += 1;
         Some(found)
     }
 
-    /// Conclusions on a task's start at other machines than this one.
+    /// Conclusions on a task that concern other machines than this one.
     fn elsewhere<'a>(&'a self, machine: &'a str, id: &TaskId) -> impl Iterator<Item = &'a Conclusion> + 'a {
         self.by_task.get(id).into_iter().flatten().filter(move |c| c.machine != machine)
     }
 
-    /// A start is sent: logs its task's starts elsewhere that were taken for gone not long ago. What was concluded of
-    /// the same attempt on this machine says nothing any more.
-    pub(super) fn note_start(&mut self, now: Micros, machine: &str, id: &TaskId, attempt: u64) {
-        for earlier in self.elsewhere(machine, id).filter(|c| now.since(c.at) <= KEPT_FOR) {
+    /// Records that a start is sent: logs the task's earlier starts on other machines that were recently concluded to
+    /// be gone, and removes the conclusion on the same attempt on this machine, which no longer applies.
+    pub(super) fn record_start(&mut self, now: Micros, machine: &str, id: &TaskId, attempt: u64) {
+        for earlier in self.on_other_machines(machine, id).filter(|c| now.since(c.at) <= RETENTION) {
             tracing::info!(
                 task = id.text(),
                 attempt,
@@ -199,7 +219,7 @@
                 earlier_start = earlier.removed.progress.name(),
                 ground = earlier.ground.name(),
                 before_s = now.since(earlier.at).as_secs_f64(),
-                "started again"
+                "task started again on another machine"
             );
         }
         if let Some(kept) = self.by_task.get_mut(id) {
@@ -209,71 +229,77 @@
 }
 
 impl Controller {
-    /// How often a task that had been taken for gone on this ground turned out to be there.
-    pub fn conclusions_contradicted(&self, ground: Removal) -> u64 {
+    /// How often a task that was concluded to be gone on this ground turned out to be there.
+    pub fn conclusions_contradicted(&self, ground: RemovalGround) -> u64 {
         self.conclusions.contradicted.get(&ground).copied().unwrap_or(0)
     }
 
-    /// How often a message that may be older than the conclusion showed a task taken for gone on this ground.
-    pub fn conclusions_questioned(&self, ground: Removal) -> u64 {
-        self.conclusions.unordered.get(&ground).copied().unwrap_or(0)
+    /// How often a message that may predate the conclusion showed a task concluded to be gone on this ground.
+    pub fn conclusions_questioned(&self, ground: RemovalGround) -> u64 {
+        self.conclusions.questioned.get(&ground).copied().unwrap_or(0)
     }
 
-    /// Conclusions that were forgotten early, for there were too many.
+    /// Conclusions that were removed early because there were too many.
     pub fn conclusions_crowded_out(&self) -> u64 {
         self.conclusions.crowded_out
     }
 
-    /// Keeps the conclusion that a task is not on a machine.
-    pub(super) fn keep_conclusion(&mut self, machine: &str, id: &TaskId, removed: Removed, ground: Removal) {
+    /// Records the conclusion that a task is not on a machine.
+    pub(super) fn record_conclusion(
+        &mut self,
+        machine: &str,
+        id: &TaskId,
+        removed: RemovedTask,
+        ground: RemovalGround,
+    ) {
         let machine = machine.to_owned();
-        let conclusion = Conclusion { machine, removed, ground, at: self.now, questioned: false };
-        self.conclusions.keep(id, conclusion);
+        let conclusion = Conclusion { machine, removed, ground, at: self.now, counted_as_questioned: false };
+        self.conclusions.insert(id, conclusion);
     }
 
-    /// Compares what a message shows on a machine with what was concluded not long ago.
+    /// Checks the tasks that a message shows on a machine against recent conclusions.
     pub(super) fn check_conclusions<'a>(
         &mut self,
         machine: &str,
         evidence: Evidence,
-        seen: impl Iterator<Item = Sighting<'a>>,
+        seen: impl Iterator<Item = ObservedTask<'a>>,
     ) {
-        if !self.conclusions.concern(machine) {
+        if !self.conclusions.concerns_machine(machine) {
             return;
         }
         let now = self.now;
         self.conclusions.expire(now);
-        for sighting in seen {
-            let gang = self.jobs.get(&sighting.task.job).is_some_and(Job::is_gang);
-            let again = evidence == Evidence::Holder && gang;
-            let evidence = if again { Evidence::HolderOfGang } else { evidence };
-            let found = self.conclusions.contradicted(machine, &sighting, evidence);
+        for observed in seen {
+            let gang = self.jobs.get(&observed.task.job).is_some_and(Job::is_gang);
+            let may_be_restarted = evidence == Evidence::HolderStatus && gang;
+            let evidence = if may_be_restarted { Evidence::HolderStatusOfGang } else { evidence };
+            let found = self.conclusions.find_contradicted(machine, &observed, evidence);
             if let Some(conclusion) = found {
-                log_contradiction(now, machine, &sighting, evidence, &conclusion);
+                log_contradiction(now, machine, &observed, evidence, &conclusion);
             }
         }
     }
 
-    /// A report that is taken, or a reply (`direct`), may show what was taken for gone.
-    pub(super) fn check_evidence(&mut self, report: &Report, direct: bool) {
+    /// Checks a report, or a reply to a direct call (`direct`), that is about to be applied.
+    pub(super) fn check_applied_report(&mut self, report: &Report, direct: bool) {
         let token = self.machines.get(&report.machine).map(|m| m.row.token);
         let evidence = match direct {
-            _ if token.is_none_or(|present| report.token < present) => Evidence::OlderToken,
+            _ if token.is_none_or(|current| report.token < current) => Evidence::OlderToken,
             true => Evidence::Reply,
             false => Evidence::Report,
         };
         self.check_report(report, evidence);
     }
 
-    /// Compares a report or reply with what was concluded not long ago.
+    /// Checks the tasks of a report or reply against recent conclusions.
     pub(super) fn check_report(&mut self, report: &Report, evidence: Evidence) {
-        if !self.conclusions.concern(&report.machine) {
+        if !self.conclusions.concerns_machine(&report.machine) {
             return;
         }
         let shown: Vec<(TaskId, u64, TaskState)> =
             report.tasks.iter().filter_map(|t| Some((TaskId::parse(&t.task)?, t.attempt, t.state))).collect();
         let token = report.token;
-        let seen = shown.iter().map(|(task, attempt, state)| Sighting {
+        let seen = shown.iter().map(|(task, attempt, state)| ObservedTask {
             task,
             attempt: *attempt,
             state: *state,
@@ -283,21 +309,22 @@
     }
 }
 
+/// Logs a contradicted conclusion: as a warning if it is certainly wrong, else at a lower level.
 fn log_contradiction(
     now: Micros,
     machine: &str,
-    seen: &Sighting,
+    seen: &ObservedTask,
     evidence: Evidence,
     conclusion: &Conclusion,
 ) {
-    let Removed { attempt, token, session, state, progress } = conclusion.removed;
+    let RemovedTask { attempt, token, session, state, progress } = conclusion.removed;
     let task = seen.task.text();
     let ground = conclusion.ground.name();
     let gone = format!("{state:?}, start {}, token {token}, session {session}", progress.name());
     let gone_before_s = now.since(conclusion.at).as_secs_f64();
     let shown_by = evidence.name();
     let shown = format!("{:?}, token {}", seen.state, seen.token);
-    if !evidence.unordered() {
+    if !evidence.may_predate_conclusion() {
         tracing::warn!(
             task,
             attempt,
@@ -307,9 +334,9 @@
             gone_before_s,
             shown_by,
             shown,
-            "a task taken for gone is there"
+            "task concluded to be gone is on the machine"
         );
-    } else if evidence.repeated() {
+    } else if evidence.may_be_repetition() {
         tracing::debug!(
             task,
             attempt,
@@ -319,7 +346,7 @@
             gone_before_s,
             shown_by,
             shown,
-            "shown, but not afresh"
+            "task concluded to be gone is shown by a message that may only repeat an older status"
         );
     } else {
         tracing::info!(
@@ -331,7 +358,7 @@
             gone_before_s,
             shown_by,
             shown,
-            "shown by a message that may be older"
+            "task concluded to be gone is shown by a message that may predate the conclusion"
         );
     }
 }
--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -1,29 +1,30 @@
-//! Direct calls to workers: what is started and stopped without waiting for their next reports, and what their replies prove.
+//! Sends direct calls to workers, which start and stop tasks without waiting for the workers' next reports, and handles
+//! their replies.
 
-use crate::coordination::machines::MOST_ORDERS;
-use crate::coordination::model::{Pending, TaskOn};
+use crate::coordination::machines::MAX_ORDERS;
+use crate::coordination::model::{PendingStart, TaskOn};
 use crate::coordination::start_gate::StartGate;
 use crate::coordination::{Controller, Effect};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::{DirectReply, Order, TaskState};
 
-/// How long beyond a late report a machine may stay unheard before it is asked whether it is there.
-const OVERDUE: Micros = Micros::from_millis(1_200);
+/// How long after its report is late a machine is probed by a direct call without orders.
+const PROBE_DELAY: Micros = Micros::from_millis(1_200);
 
-/// How long after a question that was not answered, or not carried out, the next is put.
-const ASK_AGAIN: Micros = Micros::from_secs(1);
+/// Delay of the next direct call after one that was not answered or not carried out.
+const CALL_RETRY_DELAY: Micros = Micros::from_secs(1);
 
-/// Questions without an answer after which a machine that nobody hears is taken for lost.
-const UNANSWERED: u32 = 2;
+/// Number of consecutive unanswered calls after which a machine that has sent no message counts as lost.
+const MAX_UNANSWERED_CALLS: u32 = 2;
 
 impl Controller {
-    /// Sends what is planned, and what is to be stopped, straight to the workers, rather than with the
-    /// answers to their next reports, and asks machines that have just been granted how they stand.
-    pub(super) fn speak(&mut self) {
+    /// Sends planned starts and due stops directly to the workers rather than with the answers to their next reports,
+    /// asks machines that have just been granted for their tasks, and probes machines whose reports are overdue.
+    pub(super) fn send_direct_calls(&mut self) {
         let Some(proof) = self.proof().filter(|_| self.placing) else { return };
         let now = self.now;
         let recent = Micros(self.report_every.0 * 2);
-        let overdue = self.latest_report() + OVERDUE;
+        let overdue = self.max_report_gap() + PROBE_DELAY;
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
         let gate = StartGate::new(self.settled(), self.permits_in_force(), &self.jobs);
         for (name, m) in &mut self.machines {
@@ -32,20 +33,22 @@
             if !mine || m.talking || m.addr.is_empty() || !known || now < m.talk_after || m.renew {
                 continue;
             }
-            // One never heard is most likely in its first session; if not, the reply tells.
+            // A worker that has never been heard is most likely in its first session. If not, its reply contains the
+            // session.
             let (session, token) = (m.session.max(1), m.row.token);
             let mut orders = Vec::new();
             let unheard = !m.lost && m.heard.is_some_and(|at| now.since(at) > overdue);
             if m.resolved && (unheard || m.hearing.deaf()) {
-                // Without orders: is it there at all?
+                // A call without orders probes whether the machine still answers.
                 m.asked = true;
                 m.talk_after = now + Micros::from_secs(1);
             } else if m.resolved {
                 if m.session_at.is_none() || m.heard.is_none_or(|at| now.since(at) > recent) {
                     continue;
                 }
-                // Room is made before it is used. A stop that arrives late finds its attempt gone.
-                for (id, t) in m.tasks.iter_mut().take(MOST_ORDERS) {
+                // Stops come before starts, to free the resources that the starts need. A stop that arrives late has no
+                // effect, since it names an attempt that has already gone.
+                for (id, t) in m.tasks.iter_mut().take(MAX_ORDERS) {
                     let grace = t.stop.filter(|_| !t.told && !t.ended() && !t.planned());
                     if let Some(grace) = grace.filter(|g| t.state != TaskState::Saving || *g == Micros::ZERO)
                     {
@@ -55,18 +58,19 @@
                         orders.push(Order::Stop { task, attempt: t.attempt, grace_s });
                     }
                 }
-                for (id, t) in m.tasks.iter_mut().take(MOST_ORDERS) {
+                for (id, t) in m.tasks.iter_mut().take(MAX_ORDERS) {
                     if let Some(permit) = gate.permit(name, id, t, &mut self.counters) {
-                        t.pending = Some(Pending::Direct { session, token, permit, repeated: None });
+                        t.pending =
+                            Some(PendingStart::SentDirectly { session, token, permit, repeated: None });
                         t.since = now;
                         self.counters.starts += 1;
                         tracing::debug!(
                             machine = name,
                             task = id.text(),
                             attempt = t.attempt,
-                            "run, directly"
+                            "start sent in direct call"
                         );
-                        self.conclusions.note_start(now, name, id, t.attempt);
+                        self.conclusions.record_start(now, name, id, t.attempt);
                         orders.push(Order::Start { task: id.text(), attempt: t.attempt });
                         m.starting.push(id.clone());
                     }
@@ -75,21 +79,24 @@
                     continue;
                 }
             } else {
-                // Without orders: the token alone fences the former owner's, and the reply says all.
+                // A call without orders suffices: its token fences off the former owner's orders, and the reply lists
+                // the worker's tasks.
                 m.talk_after = now + Micros::from_secs(1);
             }
             m.talking = true;
-            tracing::trace!(machine = name, token, session, ?orders, "called");
+            tracing::trace!(machine = name, token, session, ?orders, "direct call sent");
             let orders = proof.order(token, session, orders);
             self.effects.push(Effect::Orders { machine: name.clone(), addr: m.addr.clone(), orders });
         }
     }
 
-    pub(super) fn worker_replied(&mut self, name: &str, token: u64, reply: DirectReply) {
-        tracing::trace!(machine = name, token, ?reply, "replied");
+    /// Handles the outcome of a direct call that was sent under `token`.
+    pub(super) fn handle_direct_reply(&mut self, name: &str, token: u64, reply: DirectReply) {
+        tracing::trace!(machine = name, token, ?reply, "reply to direct call");
         let now = self.now;
         let Some(m) = self.machines.get(name) else { return };
-        // To a former registration's order it says nothing of what else that one had sent.
+        // A reply to a call of a former registration or grant is dropped: it proves nothing about the other orders that
+        // were sent under it.
         if m.row.token != token || !self.owns(m) {
             self.counters.replies_misdirected += 1;
             return;
@@ -98,7 +105,7 @@
         m.talking = false;
         if !matches!(reply, DirectReply::Unclear | DirectReply::NotSent) {
             if m.hearing.deaf() {
-                tracing::info!(machine = name, "hears again");
+                tracing::info!(machine = name, "machine receives messages again");
                 m.apart = false;
             }
             m.hearing.hears();
@@ -107,20 +114,21 @@
         let starting = std::mem::take(&mut m.starting);
         let silent = matches!(reply, DirectReply::Unclear | DirectReply::NotSent);
         m.unanswered = if silent && !m.resolved { m.unanswered + 1 } else { 0 };
-        m.lost |= silent && (asked || m.unanswered >= UNANSWERED && m.heard.is_none());
+        m.lost |= silent && (asked || m.unanswered >= MAX_UNANSWERED_CALLS && m.heard.is_none());
         let first_contact = m.session == 0;
         match &reply {
             DirectReply::Done(_) => {}
             DirectReply::Rejected(_) | DirectReply::NotSent => {
-                // Certainly not carried out: the next report's answer takes them along, unless one has already. What an
-                // earlier call started is not among them: it may be there.
+                // The call's starts were certainly not carried out. The answer to the next report will contain them,
+                // unless an earlier answer has already. Starts of earlier calls are not affected, since those may have
+                // arrived.
                 let mut answered_before = 0;
                 for id in &starting {
                     if let Some(t) = m.tasks.get_mut(id)
                         && let Some(pending) = t.pending
                     {
-                        answered_before += u64::from(pending.answered_too());
-                        t.pending = Some(pending.call_failed());
+                        answered_before += u64::from(pending.is_also_in_answer());
+                        t.pending = Some(pending.after_failed_call());
                     }
                 }
                 self.counters.starts_already_answered += answered_before;
@@ -133,23 +141,25 @@
                         outcome,
                         starts,
                         answered_before,
-                        "a call with starts was not carried out"
+                        "direct call with starts was not carried out"
                     );
                 }
-                m.talk_after = if first_contact && !silent { now } else { now + ASK_AGAIN };
+                m.talk_after = if first_contact && !silent { now } else { now + CALL_RETRY_DELAY };
                 if m.lost {
-                    self.soon_status();
+                    self.schedule_status();
                 }
-                self.drop_disowned(name);
+                self.drop_disowned_starts(name);
                 self.drop_unpermitted(name);
             }
-            DirectReply::Unclear if asked => self.soon_status(),
+            DirectReply::Unclear if asked => self.schedule_status(),
             DirectReply::Unclear => {
-                m.talk_after = now + if starting.is_empty() { ASK_AGAIN } else { Micros::from_secs(3) };
-                // Also where a report has shown the tasks since: an answer may have brought them, and this call comes yet.
-                let unclear = |t: &TaskOn| matches!(t.pending, Some(Pending::Direct { .. }));
+                m.talk_after =
+                    now + if starting.is_empty() { CALL_RETRY_DELAY } else { Micros::from_secs(3) };
+                // A fresh token is also needed if a report has shown the tasks since: they may have been started by an
+                // answer, while this call is still in transit.
+                let unclear = |t: &TaskOn| matches!(t.pending, Some(PendingStart::SentDirectly { .. }));
                 m.renew |= !starting.is_empty() || m.tasks.values().any(unclear);
-                self.soon_status();
+                self.schedule_status();
             }
         }
         if let DirectReply::Done(report) | DirectReply::Rejected(report) = reply
@@ -157,7 +167,7 @@
         {
             let newer = (report.session, report.tally) > (m.session, m.tally);
             if newer && report.machine == *name && report.token <= m.row.token && self.entitled() {
-                self.take_report(*report, true);
+                self.apply_report(*report, true);
             }
         }
     }
--- a/src/coordination/displacement.rs
+++ b/src/coordination/displacement.rs
@@ -99,7 +99,7 @@
             if let Some(t) = self.machines.get_mut(&name).and_then(|m| m.tasks.get_mut(&task)) {
                 t.stop = Some(grace);
             }
-            self.drop_planned(&name, |t| *t == task);
+            self.drop_planned_starts(&name, |t| *t == task);
         }
         before - short
     }
--- a/src/coordination/failures.rs
+++ b/src/coordination/failures.rs
@@ -52,7 +52,7 @@
                 if faulty {
                     tracing::warn!(machine = name, "set apart: tasks of jobs that run elsewhere fail there");
                 }
-                self.soon_status();
+                self.schedule_status();
                 self.soon_round();
             }
         }
--- a/src/coordination/finals.rs
+++ b/src/coordination/finals.rs
@@ -108,7 +108,7 @@
             self.status_due = Some(self.now);
             self.follow_at = self.follow_at.map(|_| self.now);
         } else if tell {
-            self.soon_status();
+            self.schedule_status();
         }
     }
 
@@ -258,7 +258,7 @@
         };
         self.reading_finals.asked = true;
         // Before the questions, of which a page answers hundreds.
-        self.store(Urgency::Completion, Purpose::Finals, call);
+        self.store(Urgency::Completion, Purpose::ReadFinals, call);
     }
 
     pub(super) fn finals_read(&mut self, reply: StoreReply) {
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -93,7 +93,7 @@
     /// A machine reports that no block names: it is to be used or returned.
     pub(super) fn stray(&mut self, machine: String, kind: String, zone: String, spot: bool) {
         let now = self.now;
-        if self.blind() {
+        if self.has_unreadable_blocks() {
             return;
         }
         let Some(lead) = &mut self.lead else { return };
@@ -178,7 +178,7 @@
     /// Whether the cloud lists a machine no more, and nobody has heard it since a report was due.
     fn is_gone(&self, name: &str, m: &Machine) -> bool {
         let passed_over = self.lead.as_ref().is_some_and(|l| l.fleet.gone.contains(name));
-        let heard = m.resolved && f64::from(self.dark(m)) <= self.latest_report().as_secs_f64();
+        let heard = m.resolved && f64::from(self.seconds_unheard(m)) <= self.max_report_gap().as_secs_f64();
         passed_over && !heard
     }
 
@@ -195,7 +195,7 @@
             Some("slow to boot")
         } else if m.apart {
             Some("faulty")
-        } else if !m.unused() && m.resolved && self.dark(m) > lease_s + 25 {
+        } else if !m.unused() && m.resolved && self.seconds_unheard(m) > lease_s + 25 {
             Some("silent")
         } else if !m.unused()
             && m.up
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -9,7 +9,7 @@
 use crate::bookkeeping::records::{self, FinalRecord};
 use crate::coordination::finals::Source;
 use crate::coordination::knowledge::Liveness;
-use crate::coordination::{Answer, Controller, Missing, Phase, Purpose, Question, RequestId, Wanted};
+use crate::coordination::{Answer, Controller, IfNotFound, JobQuery, LookupGoal, Phase, Purpose, RequestId};
 use crate::protocol::job::{Final, JobSpec, JobState};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
@@ -40,14 +40,14 @@
     }
 
     /// What a user asks of a job, who waits so long.
-    fn question(&self, request: RequestId, job: String, patience: Micros) -> Question {
-        Question { request, job, until: self.now + patience }
+    fn question(&self, request: RequestId, job: String, patience: Micros) -> JobQuery {
+        JobQuery { request, job, deadline: self.now + patience }
     }
 
     /// The job's end, as it is told to a user; and whether there was one to tell.
-    fn answer_known_end(&mut self, q: &Question) -> bool {
+    fn answer_known_end(&mut self, q: &JobQuery) -> bool {
         let Some((state, tasks)) = self.finals.get(&q.job) else { return false };
-        self.answer_end(q.request, &q.job, state, tasks, q.until);
+        self.answer_end(q.request, &q.job, state, tasks, q.deadline);
         true
     }
 
@@ -61,13 +61,13 @@
         }
         if self.jobs.contains_key(&spec.id) {
             // Known here, but it may be over by now: the store says.
-            return self.look_live(question, Wanted::State);
+            return self.look_live(question, LookupGoal::State);
         }
         if let Some(why) = self.impossible(&spec) {
             tracing::debug!(job = spec.id, why, "cannot run");
             // One accepted by another controller must not be refused here, whatever has changed since.
             if self.open_for_reads() {
-                return self.look_live(question, Wanted::Refusal(why));
+                return self.look_live(question, LookupGoal::Refusal(why));
             }
             return self.answer(request, Answer::Later(1));
         }
@@ -144,10 +144,10 @@
                 let me = records::node(self.me());
                 if failed.contains(&records::finished(&spec.id)) {
                     let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
-                    self.look_final(question, Missing::Nothing);
+                    self.look_final(question, IfNotFound::Nothing);
                 } else if failed.contains(&records::live(&spec.id)) {
                     let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
-                    self.look_live(question, Wanted::State);
+                    self.look_live(question, LookupGoal::State);
                 } else {
                     debug_assert!(failed.contains(&me));
                     self.answer(request, Answer::Later(1));
@@ -171,7 +171,7 @@
                 self.turn_a_poll_away();
             }
         } else if self.open_for_reads() {
-            self.look_live(question, Wanted::State);
+            self.look_live(question, LookupGoal::State);
         } else {
             self.answer(request, Answer::Later(1));
         }
@@ -182,7 +182,7 @@
         let newest =
             (0..self.polls.len()).max_by_key(|i| (self.door.asked(self.now, &self.polls[*i].job), *i));
         if let Some(i) = newest {
-            let Question { request, job, .. } = self.polls.swap_remove(i);
+            let JobQuery { request, job, .. } = self.polls.swap_remove(i);
             self.door.unanswered(self.now, &job);
             self.answer(request, Answer::Later(1));
         }
@@ -202,7 +202,7 @@
         }
         let mut conditions: BTreeMap<&str, u64> = BTreeMap::new();
         let mut asked = 0;
-        for Question { job, .. } in &self.polls {
+        for JobQuery { job, .. } in &self.polls {
             if conditions.len() == most && !conditions.contains_key(job.as_str()) {
                 break;
             }
@@ -217,7 +217,7 @@
         self.store(Urgency::Rest, Purpose::CheckLive { polls }, StoreCall::Commit(transaction));
     }
 
-    pub(super) fn checked_live(&mut self, polls: Vec<Question>, sent: Micros, reply: StoreReply) {
+    pub(super) fn checked_live(&mut self, polls: Vec<JobQuery>, sent: Micros, reply: StoreReply) {
         for question in polls {
             match &reply {
                 StoreReply::Committed { .. } => {
@@ -225,7 +225,7 @@
                     self.answer_live(question, sent, None);
                 }
                 StoreReply::Conflict { failed } if failed.contains(&records::live(&question.job)) => {
-                    self.look_final(question, Missing::Nothing);
+                    self.look_final(question, IfNotFound::Nothing);
                 }
                 // Nothing was said of the others: they are asked about again.
                 StoreReply::Conflict { .. } => self.polls.push(question),
@@ -245,40 +245,40 @@
         if !self.entitled() || self.calls.waiting(Urgency::Withdrawal) >= MOST_WITHDRAWALS {
             return self.answer(request, Answer::Later(1));
         }
-        self.look_live(question, Wanted::Withdrawal);
+        self.look_live(question, LookupGoal::Withdrawal);
     }
 
-    fn look_live(&mut self, question: Question, wanted: Wanted) {
+    fn look_live(&mut self, question: JobQuery, wanted: LookupGoal) {
         let key = records::live(&question.job);
-        let urgency = if wanted == Wanted::Withdrawal { Urgency::Withdrawal } else { Urgency::Rest };
-        self.store(urgency, Purpose::LookLive { question, wanted }, StoreCall::Get { key });
+        let urgency = if wanted == LookupGoal::Withdrawal { Urgency::Withdrawal } else { Urgency::Rest };
+        self.store(urgency, Purpose::LookUpLive { question, wanted }, StoreCall::Get { key });
     }
 
-    fn look_final(&mut self, question: Question, missing: Missing) {
+    fn look_final(&mut self, question: JobQuery, missing: IfNotFound) {
         let key = records::finished(&question.job);
-        self.store(Urgency::Acceptance, Purpose::LookFinal { question, missing }, StoreCall::Get { key });
+        self.store(Urgency::Acceptance, Purpose::LookUpFinal { question, missing }, StoreCall::Get { key });
     }
 
     pub(super) fn looked_live(
         &mut self,
-        question: Question,
-        wanted: Wanted,
+        question: JobQuery,
+        wanted: LookupGoal,
         sent: Micros,
         reply: StoreReply,
     ) {
         match reply {
-            StoreReply::Found { value, stamp } if wanted == Wanted::Withdrawal => {
+            StoreReply::Found { value, stamp } if wanted == LookupGoal::Withdrawal => {
                 let tasks = value.get("Pieces").and_then(|p| p.as_u64()).unwrap_or(0) as u32;
                 self.withdraw(question, stamp, tasks);
             }
             StoreReply::Found { stamp, .. } => self.answer_live(question, sent, Some(stamp)),
             // Not live at that moment: then it is over, or was never accepted.
-            StoreReply::Missing => self.look_final(question, Missing::Unknown { as_of: sent, wanted }),
+            StoreReply::Missing => self.look_final(question, IfNotFound::Unknown { as_of: sent, wanted }),
             _ => self.answer(question.request, Answer::Later(1)),
         }
     }
 
-    fn withdraw(&mut self, question: Question, stamp: u64, tasks: u32) {
+    fn withdraw(&mut self, question: JobQuery, stamp: u64, tasks: u32) {
         let record = FinalRecord { state: Final::Withdrawn, tasks };
         let Ok(value) = serde_json::to_value(record) else {
             return self.answer(question.request, Answer::Later(1));
@@ -301,7 +301,7 @@
         );
     }
 
-    pub(super) fn looked_final(&mut self, question: Question, missing: Missing, reply: StoreReply) {
+    pub(super) fn looked_final(&mut self, question: JobQuery, missing: IfNotFound, reply: StoreReply) {
         match reply {
             StoreReply::Found { value, stamp } => match serde_json::from_value::<FinalRecord>(value) {
                 Ok(record) => {
@@ -315,14 +315,14 @@
                 // Only one that was not live, and was not over either afterwards, had never been accepted by then. A
                 // withdrawal that failed because its controller had been evicted was looked up here, and answered with
                 // 404.
-                Missing::Unknown { as_of, wanted } if self.recent(as_of) => {
+                IfNotFound::Unknown { as_of, wanted } if self.recent(as_of) => {
                     let answer = match wanted {
-                        Wanted::Refusal(why) => Answer::Impossible(why),
+                        LookupGoal::Refusal(why) => Answer::Impossible(why),
                         _ => Answer::NotFound,
                     };
                     self.answer(question.request, answer);
                 }
-                Missing::Unknown { wanted, .. } if self.now < question.until => {
+                IfNotFound::Unknown { wanted, .. } if self.now < question.deadline => {
                     self.look_live(question, wanted);
                 }
                 _ => self.answer(question.request, Answer::Later(1)),
@@ -331,7 +331,7 @@
         }
     }
 
-    pub(super) fn withdraw_replied(&mut self, question: Question, tasks: u32, reply: StoreReply) {
+    pub(super) fn withdraw_replied(&mut self, question: JobQuery, tasks: u32, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => {
                 let end = FinalRecord { state: Final::Withdrawn, tasks };
@@ -340,14 +340,14 @@
                 self.retire(&question.job);
                 self.answer_known_end(&question);
             }
-            StoreReply::Conflict { .. } => self.look_final(question, Missing::Nothing),
+            StoreReply::Conflict { .. } => self.look_final(question, IfNotFound::Nothing),
             _ => self.answer(question.request, Answer::Later(1)),
         }
     }
 
     /// Tells of a job that the store has shown to be live, by a request sent then; `stamp`: of its record, where the
     /// reply names it.
-    fn answer_live(&mut self, question: Question, sent: Micros, stamp: Option<u64>) {
+    fn answer_live(&mut self, question: JobQuery, sent: Micros, stamp: Option<u64>) {
         if self.answer_known_end(&question) {
             return;
         }
@@ -356,12 +356,12 @@
                 let answer = self.live_answer(&question.job);
                 self.answer(question.request, answer);
             }
-            Liveness::Left => self.look_final(question, Missing::Nothing),
-            Liveness::Uncertain if self.now < question.until && self.entitled() => {
+            Liveness::Left => self.look_final(question, IfNotFound::Nothing),
+            Liveness::Uncertain if self.now < question.deadline && self.entitled() => {
                 if self.jobs.contains_key(&question.job) {
                     self.polls.push(question);
                 } else {
-                    self.look_live(question, Wanted::State);
+                    self.look_live(question, LookupGoal::State);
                 }
             }
             Liveness::Uncertain => self.answer(question.request, Answer::Later(1)),
--- a/src/coordination/lapses.rs
+++ b/src/coordination/lapses.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::coordination::removal::Removal;
+use crate::coordination::removal::RemovalGround;
 use crate::coordination::{Controller, DRIFT, Phase, SLACK};
 use crate::protocol::units::Micros;
 
@@ -49,7 +49,7 @@
             self.counters.lapses += 1;
             tracing::info!(machine = name, "silent beyond its lease: its tasks are gone");
             // A planned start has not been sent and can wait for the next session.
-            self.replace_tasks(&name, BTreeMap::new(), Removal::LeaseExpired);
+            self.replace_tasks(&name, BTreeMap::new(), RemovalGround::LeaseExpired);
             self.ledger.told(&name, &self.life(), true);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.resolved = true;
@@ -63,7 +63,7 @@
             }
         }
         self.check_adoption();
-        self.soon_status();
+        self.schedule_status();
         self.soon_round();
         self.place_due = true;
     }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -333,7 +333,7 @@
             && self.holds(machine)
             && machine.up
             && !machine.lost
-            && self.dark(machine) < 10
+            && self.seconds_unheard(machine) < 10
     }
 
     /// How the whole deployment stands, for the operators' log.
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -1,4 +1,4 @@
-//! Workers' reports: whose they are, what they prove, and the orders that answer them.
+//! Handles workers' reports: checks which controller a report belongs to, applies it, and answers it with orders.
 
 use std::collections::BTreeMap;
 
@@ -7,63 +7,65 @@
 use crate::bookkeeping::records;
 use crate::coordination::conclusions::Evidence;
 use crate::coordination::knowledge::Proof;
-use crate::coordination::model::{Machine, Pending, TaskOn};
-use crate::coordination::pending::Heard;
-use crate::coordination::removal::Removal;
+use crate::coordination::model::{Machine, PendingStart, TaskOn};
+use crate::coordination::pending::WorkerMessage;
+use crate::coordination::removal::RemovalGround;
 use crate::coordination::start_gate::StartGate;
 use crate::coordination::{Answer, Controller, Effect, RequestId};
 use crate::protocol::peer::{PeerMessage, StopRequest};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::{Cause, Order, Report, ReportAnswer, TaskId, TaskState};
 
-/// Orders in one answer: with the longest ids they stay far below 64 KiB.
-pub(super) const MOST_ORDERS: usize = 300;
+/// Maximum number of orders in one message to a worker. With the longest ids the message stays far below 64 KiB.
+pub(super) const MAX_ORDERS: usize = 300;
 
-/// How long after a grant a worker may still not have found its owner.
-const SETTLED: Micros = Micros::from_secs(10);
+/// How long after a grant a worker may still report to a controller that does not hold it.
+const OWNER_DISCOVERY_GRACE: Micros = Micros::from_secs(10);
 
 impl Controller {
-    pub(super) fn reported(&mut self, request: RequestId, report: Report) {
+    /// Handles a worker's report: applies it and answers with orders, or redirects the worker to its machine's owner.
+    pub(super) fn handle_report(&mut self, request: RequestId, report: Report) {
         self.counters.reports += 1;
         let Some(proof) = self.proof() else {
             return self.answer(request, Answer::Later(1));
         };
         let Some(machine) = self.machines.get(&report.machine) else {
             self.check_report(&report, Evidence::OutOfDate);
-            self.report_stray(report);
+            self.notify_leader_of_unrecorded_machine(report);
             return self.answer(request, Answer::Elsewhere(None));
         };
         if machine.unused() {
-            self.report_stray(report);
+            self.notify_leader_of_unrecorded_machine(report);
             return self.answer(request, Answer::Elsewhere(None));
         }
         let row = &machine.row;
         if (&row.kind, &row.zone, row.spot) != (&report.kind, &report.zone, report.spot) {
-            // Another machine's name, or a mistake: its tasks must not be taken for that machine's.
+            // The worker uses another machine's name or is misconfigured. Its tasks must not be attributed to the
+            // recorded machine.
             self.counters.reports_odd += 1;
             tracing::warn!(
                 machine = report.machine,
                 kind = report.kind,
                 zone = report.zone,
-                "a report that does not fit the machine's record"
+                "report does not match the machine's record"
             );
             return self.answer(request, Answer::Later(1));
         }
         if !self.owns(machine) {
-            // Sending a worker to a controller that has gone would only send it round in circles.
+            // Redirecting a worker to a controller that is no longer registered would only make it go round in circles.
             let owner = machine.row.owner.clone();
-            let there = owner != self.me() && self.nodes.get(&owner) == Some(&machine.row.node);
-            // One that its owner has had for a while knows whose it is.
-            let settled = machine.resolved && self.now.since(machine.granted) > SETTLED;
+            let owner_registered = owner != self.me() && self.nodes.get(&owner) == Some(&machine.row.node);
+            // The worker of a machine that was granted some time ago should have found its owner.
+            let settled = machine.resolved && self.now.since(machine.granted) > OWNER_DISCOVERY_GRACE;
             self.check_report(&report, Evidence::AnotherController);
             self.turned_here(&owner, &report.machine, settled);
-            self.report_heard(&report.machine);
-            return self.answer(request, Answer::Elsewhere(there.then_some(owner)));
+            self.notify_leader_of_misdirected_report(&report.machine);
+            return self.answer(request, Answer::Elsewhere(owner_registered.then_some(owner)));
         }
-        // A report held back on its way is older than what is known; a newer grant than the one
-        // known here means that the machine is no longer this controller's.
+        // A report that was delayed in transit is older than the known state. A report with a newer token than the one
+        // known here means that the machine has been granted to another controller.
         let newer = (report.session, report.tally) > (machine.session, machine.tally);
-        // Overtaken by the worker's reply to direct orders, it is answered all the same.
+        // A report that was overtaken by the worker's reply to a direct call is answered, but not applied.
         let overtaken = report.session == machine.session && report.tally > machine.reported;
         if !(newer || overtaken) || report.token > machine.row.token {
             self.counters.reports_stale += 1;
@@ -72,16 +74,16 @@
         }
         let name = report.machine.clone();
         let (session, tally) = (report.session, report.tally);
-        let shown = self.judge_hearing(&report);
+        let shown = self.check_delivery(&report);
         if newer {
-            self.take_report(report, false);
+            self.apply_report(report, false);
         }
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.reported = tally;
             machine.heard = Some(self.now);
             machine.lost = machine.hearing.deaf();
         }
-        if self.given_up_as_deaf(&name) {
+        if self.is_abandoned_as_not_receiving(&name) {
             return self.answer(request, Answer::Later(1));
         }
         let placed = self.may_place();
@@ -89,26 +91,26 @@
             self.place();
             self.status_tick();
         }
-        let answer = self.orders_for(&proof, &name, session, tally);
+        let answer = self.build_report_answer(&proof, &name, session, tally);
         let starts = answer.orders.iter().any(|o| matches!(o, Order::Start { .. }));
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.hearing.answered(self.now, shown, answer.token, starts);
         }
         self.answer(request, Answer::Orders(answer));
         if placed {
-            self.speak();
+            self.send_direct_calls();
         }
     }
 
-    /// What a report shows of the answers before it: a start that was ordered then, or its token.
-    fn judge_hearing(&mut self, report: &Report) -> Shown {
+    /// Checks whether a report shows the token or a start from the previous answer, and so whether that answer arrived.
+    fn check_delivery(&mut self, report: &Report) -> Shown {
         let (session, tally, token) = (report.session, report.tally, report.token);
         let Some(machine) = self.machines.get_mut(&report.machine) else {
             return Shown { session, tally, token, start: false };
         };
         let ordered = |id: &TaskId, attempt: u64| {
             let known = machine.tasks.get(id).filter(|t| t.attempt == attempt);
-            known.is_some_and(|t| t.pending.is_some_and(Pending::sent))
+            known.is_some_and(|t| t.pending.is_some_and(PendingStart::is_sent))
         };
         let mut tasks = report.tasks.iter().filter_map(|t| Some((TaskId::parse(&t.task)?, t.attempt)));
         let start = tasks.any(|(id, attempt)| ordered(&id, attempt));
@@ -117,53 +119,55 @@
         shown
     }
 
-    /// Nothing that a machine is told arrives. It is answered no more, so that its lease certainly ends: then its
-    /// tasks are gone, and a withdrawal holds there too. After more than its lease it has lost its tasks again and
-    /// again, and is returned. Unless so many don't hear that the fault is rather on this side: a controller that is
-    /// behind with its answers must not let all its workers go.
-    fn given_up_as_deaf(&mut self, name: &str) -> bool {
+    /// Whether a machine is no longer answered because it does not receive anything that it is sent.
+    ///
+    /// Without answers its lease certainly expires; then its tasks are gone, and withdrawals take effect there too.
+    /// After more than a lease the machine is quarantined and returned, since it keeps losing its tasks. This does not
+    /// apply while more than a quarter of the controller's machines (and more than two) do not receive: then the fault
+    /// is more likely on this side, and a controller that is late with its answers must not give up all its workers.
+    fn is_abandoned_as_not_receiving(&mut self, name: &str) -> bool {
         let Some(since) = self.machines.get(name).and_then(|m| m.hearing.deaf_since()) else { return false };
         let own = || self.machines.values().filter(|m| self.owns(m));
         if own().filter(|m| m.hearing.deaf()).count() * 4 > own().count().max(8) {
             return false;
         }
-        self.soon_status();
-        let long = self.now.since(since) > self.worker_lease + Micros::from_secs(5);
-        if let Some(machine) = self.machines.get_mut(name).filter(|m| long && !m.apart) {
+        self.schedule_status();
+        let lease_expired = self.now.since(since) > self.worker_lease + Micros::from_secs(5);
+        if let Some(machine) = self.machines.get_mut(name).filter(|m| lease_expired && !m.apart) {
             machine.apart = true;
             tracing::warn!(
                 machine = name,
-                "set apart: its reports come, and nothing that it is told arrives"
+                "machine quarantined: its reports arrive, but it receives no answers"
             );
             self.soon_round();
         }
         true
     }
 
-    /// Updates what is known of a machine from its own words.
-    pub(super) fn take_report(&mut self, report: Report, direct: bool) {
+    /// Updates a machine's state from its own report, or from its reply to a direct call (`direct`).
+    pub(super) fn apply_report(&mut self, report: Report, direct: bool) {
         tracing::trace!(?report, "report");
-        self.check_evidence(&report, direct);
+        self.check_applied_report(&report, direct);
         let now = self.now;
         let name = report.machine;
-        let mut seen: BTreeMap<TaskId, TaskOn> = BTreeMap::new();
+        let mut tasks: BTreeMap<TaskId, TaskOn> = BTreeMap::new();
         let mut ended = Vec::new();
         let Some(machine) = self.machines.get(&name) else { return };
         let was_idle = machine.idle();
         let was_ready = machine.heard.is_some();
-        // Until the worker has seen the present token, its report may be older than what is known, and what a former
-        // holder ordered may still arrive.
+        // Until the worker has seen the current token, its report may be older than the known state, and orders of a
+        // former owner may still arrive.
         let fenced = report.token >= machine.row.token;
         for t in &report.tasks {
             let Some(id) = TaskId::parse(&t.task) else { continue };
             let known = machine.tasks.get(&id);
-            let same = known.filter(|k| k.attempt == t.attempt);
-            if t.state == TaskState::Ended && same.is_none_or(|k| !k.ended()) {
+            let same_attempt = known.filter(|k| k.attempt == t.attempt);
+            if t.state == TaskState::Ended && same_attempt.is_none_or(|k| !k.ended()) {
                 ended.push((id.clone(), t.cause.unwrap_or(Cause::Other)));
             }
-            // A later attempt is there only once the earlier one has gone from the machine.
+            // A later attempt starts only after the earlier one has left the machine, so the report is out of date.
             if let Some(later) = known.filter(|k| !fenced && k.attempt > t.attempt) {
-                seen.insert(id, later.clone());
+                tasks.insert(id, later.clone());
                 continue;
             }
             let on = TaskOn {
@@ -173,31 +177,31 @@
                 need: known.map(|k| k.need).unwrap_or_else(|| self.need_of(&id.job)),
                 pending: None,
                 announced: 0,
-                stop: same.and_then(|k| k.stop),
-                told: same.is_some_and(|k| k.told),
-                since: same.map_or(now, |k| k.since),
+                stop: same_attempt.and_then(|k| k.stop),
+                told: same_attempt.is_some_and(|k| k.told),
+                since: same_attempt.map_or(now, |k| k.since),
             };
-            seen.insert(id, on);
+            tasks.insert(id, on);
         }
-        // A start that the message does not show may still be made by what is on its way.
-        let heard = Heard { session: report.session, token: report.token, direct };
+        // A task that the message does not show may still be started by an order in transit.
+        let heard = WorkerMessage { session: report.session, token: report.token, direct };
         for (id, t) in &machine.tasks {
             if !fenced || t.pending.is_some_and(|pending| pending.may_arrive(heard)) {
-                seen.entry(id.clone()).or_insert_with(|| t.clone());
+                tasks.entry(id.clone()).or_insert_with(|| t.clone());
             }
         }
-        let changed = seen.len() != machine.tasks.len()
-            || seen.iter().any(|(id, t)| machine.tasks.get(id).is_none_or(|k| k.state != t.state));
-        for (id, t) in &seen {
+        let changed = tasks.len() != machine.tasks.len()
+            || tasks.iter().any(|(id, t)| machine.tasks.get(id).is_none_or(|k| k.state != t.state));
+        for (id, t) in &tasks {
             if let Some(job) = self.jobs.get_mut(&id.job) {
                 job.attempt = job.attempt.max(t.attempt);
             }
         }
-        self.replace_tasks(&name, seen, Removal::NotReported);
-        self.remember_images(&name);
+        self.replace_tasks(&name, tasks, RemovalGround::NotReported);
+        self.record_cached_images(&name);
         let Some(machine) = self.machines.get_mut(&name) else { return };
         let noticed = report.notice_s.is_some();
-        let news = changed || noticed != machine.notice || !was_ready;
+        let state_changed = changed || noticed != machine.notice || !was_ready;
         if report.session != machine.session || machine.session_at.is_none() {
             machine.session_at = Some(now);
         }
@@ -214,7 +218,7 @@
         if !was_idle || !machine.idle() {
             machine.idle_since = now;
         }
-        let newly = fenced && !machine.resolved;
+        let newly_resolved = fenced && !machine.resolved;
         machine.resolved |= fenced;
         machine.known |= fenced;
         if let Some(left) = report.notice_s {
@@ -224,38 +228,39 @@
             }
         }
         for (task, cause) in ended {
-            self.task_ended(&name, &task, cause);
+            self.handle_task_end(&name, &task, cause);
         }
-        if newly {
+        if newly_resolved {
             self.ledger.told(&name, &self.life(), true);
             self.check_adoption();
         }
-        if news || newly {
-            self.soon_status();
+        if state_changed || newly_resolved {
+            self.schedule_status();
             self.soon_round();
             self.place_due = true;
         }
     }
 
-    /// How long after the last one a worker's regular report comes at the latest.
-    pub(super) fn latest_report(&self) -> Micros {
+    /// The longest regular time between two reports of a worker.
+    pub(super) fn max_report_gap(&self) -> Micros {
         self.report_every.mul_f64(1.25)
     }
 
-    /// What a machine's tasks run from is in its cache.
-    pub(super) fn remember_images(&mut self, name: &str) {
+    /// Records that the images of a machine's waiting and running tasks are in its cache.
+    pub(super) fn record_cached_images(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let cache_gb = self.types.get(&machine.row.kind).map_or(0.0, |t| t.cache_gb);
-        let has_it = |t: &TaskOn| matches!(t.state, TaskState::Running | TaskState::Waiting);
+        let has_image = |t: &TaskOn| matches!(t.state, TaskState::Running | TaskState::Waiting);
         let jobs =
-            machine.tasks.iter().filter(|(_, t)| has_it(t)).filter_map(|(id, _)| self.jobs.get(&id.job));
+            machine.tasks.iter().filter(|(_, t)| has_image(t)).filter_map(|(id, _)| self.jobs.get(&id.job));
         let images: BTreeMap<&str, f64> = jobs.map(|j| (j.spec.image.as_str(), j.spec.image_gb)).collect();
         for (image, gb) in images {
             machine.remember_image(image, gb, cache_gb);
         }
     }
 
-    fn task_ended(&mut self, name: &str, task: &TaskId, cause: Cause) {
+    /// Handles a task's end that a machine reports for the first time.
+    fn handle_task_end(&mut self, name: &str, task: &TaskId, cause: Cause) {
         self.counters.completions += u64::from(cause == Cause::Done);
         self.counters.task_errors += u64::from(cause == Cause::Error);
         if cause == Cause::Done {
@@ -264,31 +269,32 @@
         self.note_outcome(name, task, cause);
     }
 
-    /// The answer to a report: all orders that are due on the machine.
-    fn orders_for(&mut self, proof: &Proof, name: &str, session: u64, tally: u64) -> ReportAnswer {
+    /// The answer to a report: all orders that are due on the machine. Starts are added while it has fewer than
+    /// [`MAX_ORDERS`] orders.
+    fn build_report_answer(&mut self, proof: &Proof, name: &str, session: u64, tally: u64) -> ReportAnswer {
         let mut orders = Vec::new();
-        // A start that was planned and is no longer wanted has never been sent.
+        // Planned starts that are to be stopped were never sent: they are dropped rather than stopped.
         let unwanted: Vec<TaskId> = self
             .machines
             .get(name)
             .map(|m| m.tasks.iter().filter(|(_, t)| t.stop.is_some()).map(|(id, _)| id.clone()).collect())
             .unwrap_or_default();
-        self.drop_planned(name, |id| unwanted.contains(id));
-        self.drop_disowned(name);
+        self.drop_planned_starts(name, |id| unwanted.contains(id));
+        self.drop_disowned_starts(name);
         self.drop_unpermitted(name);
         let live: BTreeMap<String, bool> = self
             .machines
             .get(name)
             .map(|m| m.tasks.keys().map(|t| (t.job.clone(), self.is_live(&t.job))).collect())
             .unwrap_or_default();
-        let stored: Vec<TaskId> = self
+        let forgettable: Vec<TaskId> = self
             .machines
             .get(name)
             .filter(|m| !m.renew)
             .map(|m| {
                 m.tasks
                     .iter()
-                    // While its start may still arrive, a task that is forgotten would run again.
+                    // A task that is forgotten while its start may still arrive would run again.
                     .filter(|(id, t)| t.ended() && self.may_forget(id, t) && !m.starting.contains(id))
                     .map(|(id, _)| id.clone())
                     .collect()
@@ -299,16 +305,16 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return proof.answer(0, orders);
         };
-        // Room is made before it is used.
+        // Stops come before starts, to free the resources that the starts need.
         for (id, t) in &mut machine.tasks {
             if t.ended() {
-                if stored.contains(id) {
+                if forgettable.contains(id) {
                     orders.push(Order::Forget { task: id.text(), attempt: t.attempt });
                 }
                 continue;
             }
             if !live.get(&id.job).copied().unwrap_or(false) {
-                // No live job has it: it was withdrawn, or completed elsewhere.
+                // The job is no longer live: it was withdrawn, or has completed.
                 t.stop = Some(Micros::ZERO);
             }
             if let Some(grace) = t.stop
@@ -324,37 +330,50 @@
             }
         }
         for (id, t) in &mut machine.tasks {
-            if orders.len() >= MOST_ORDERS {
+            if orders.len() >= MAX_ORDERS {
                 break;
             }
-            // Repeated: without effect where it has arrived.
+            // Repeats a start from a direct call. It has no effect if the call has arrived.
             if t.stop.is_none()
                 && let Some(pending) = &mut t.pending
-                && pending.repeat(tally, machine.row.token)
+                && pending.repeat_in_answer(tally, machine.row.token)
             {
                 orders.push(Order::Start { task: id.text(), attempt: t.attempt });
             }
             if gate.permit(name, id, t, &mut self.counters).is_some() {
-                t.pending = Some(Pending::Sent { session, tally });
+                t.pending = Some(PendingStart::SentInAnswer { session, tally });
                 t.since = now;
                 self.counters.starts += 1;
-                tracing::debug!(machine = name, task = id.text(), attempt = t.attempt, tally, "run");
-                self.conclusions.note_start(now, name, id, t.attempt);
+                tracing::debug!(
+                    machine = name,
+                    task = id.text(),
+                    attempt = t.attempt,
+                    tally,
+                    "start sent in answer"
+                );
+                self.conclusions.record_start(now, name, id, t.attempt);
                 orders.push(Order::Start { task: id.text(), attempt: t.attempt });
             }
         }
-        tracing::trace!(machine = name, token = machine.row.token, session, tally, ?orders, "answered");
+        tracing::trace!(
+            machine = name,
+            token = machine.row.token,
+            session,
+            tally,
+            ?orders,
+            "report answered"
+        );
         machine.answered = Some(now);
         proof.answer(machine.row.token, orders)
     }
 
-    /// Whether the records have a job, readable or not.
+    /// Whether the store has a live record of a job, even one that this version cannot read.
     pub(super) fn is_live(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
             || !self.unreadable.is_empty() && self.unreadable.contains(&records::live(job))
     }
 
-    /// An ended task may be forgotten once nothing is left to learn from it.
+    /// Whether the worker may forget an ended task: a completion must be stored first.
     fn may_forget(&self, id: &TaskId, task: &TaskOn) -> bool {
         match task.cause {
             Some(Cause::Done) => self.is_stored(id),
@@ -362,19 +381,19 @@
         }
     }
 
-    /// Takes back planned starts of jobs that are over or have another owner by now.
-    pub(super) fn drop_disowned(&mut self, name: &str) {
+    /// Drops planned starts of jobs that have ended or are now owned by another controller.
+    pub(super) fn drop_disowned_starts(&mut self, name: &str) {
         let me = self.settings.member.as_str();
         let Some(machine) = self.machines.get(name) else { return };
         let planned = machine.tasks.iter().filter(|(_, t)| t.planned());
-        let foreign = |id: &TaskId| self.jobs.get(&id.job).is_none_or(|j| j.owner.as_deref() != Some(me));
-        let disowned: Vec<TaskId> = planned.map(|(id, _)| id).filter(|id| foreign(id)).cloned().collect();
+        let not_owned = |id: &TaskId| self.jobs.get(&id.job).is_none_or(|j| j.owner.as_deref() != Some(me));
+        let disowned: Vec<TaskId> = planned.map(|(id, _)| id).filter(|id| not_owned(id)).cloned().collect();
         if !disowned.is_empty() {
-            self.drop_planned(name, |id| disowned.contains(id));
+            self.drop_planned_starts(name, |id| disowned.contains(id));
         }
     }
 
-    /// Asks for a task to be stopped, if this controller holds its machine.
+    /// Marks a task to be stopped, with `grace` to save its state, if this controller holds its machine.
     pub(super) fn request_stop(&mut self, name: &str, task: &TaskId, attempt: u64, grace: Micros) {
         if let Some(machine) = self.machines.get(name)
             && self.owns(machine)
@@ -387,10 +406,11 @@
         }
     }
 
-    /// Stops wanted by this controller's jobs on machines that others hold.
-    pub(super) fn foreign_stops(&mut self) -> Vec<StopRequest> {
+    /// Stop requests for tasks of this controller's jobs on machines that other controllers hold. Sent with each status
+    /// for as long as the tasks are there.
+    pub(super) fn take_peer_stop_requests(&mut self) -> Vec<StopRequest> {
         let mut stops = Vec::new();
-        // Every status asks, and only now and then has anything been stopped.
+        // Called for every status, while stops are rare: the flag avoids a scan of all machines.
         if !std::mem::take(&mut self.stops_abroad) {
             return stops;
         }
@@ -412,8 +432,8 @@
         stops
     }
 
-    /// Seconds since a machine's owner heard it.
-    pub(super) fn dark(&self, machine: &Machine) -> u32 {
+    /// Seconds since a machine's owner last received a message from it.
+    pub(super) fn seconds_unheard(&self, machine: &Machine) -> u32 {
         if self.owns(machine) {
             self.now.since(machine.heard.unwrap_or(machine.since)).as_secs_f64() as u32
         } else {
@@ -421,8 +441,8 @@
         }
     }
 
-    /// Where machines can be reached that have not reported here yet.
-    pub(super) fn take_addresses(&mut self, list: &[(String, String)]) {
+    /// Stores the addresses of machines that have not reported an address yet.
+    pub(super) fn apply_addresses(&mut self, list: &[(String, String)]) {
         for (name, addr) in list {
             if let Some(machine) = self.machines.get_mut(name).filter(|m| m.addr.is_empty()) {
                 machine.addr.clone_from(addr);
@@ -431,8 +451,8 @@
         }
     }
 
-    /// Passes on that a machine has turned to this controller instead of its owner.
-    fn report_heard(&mut self, machine: &str) {
+    /// Tells the leader that a machine has reported to this controller instead of its owner.
+    fn notify_leader_of_misdirected_report(&mut self, machine: &str) {
         let me = self.settings.member.clone();
         if self.lead.is_some() {
             self.heard_elsewhere(machine.to_owned(), me);
@@ -442,8 +462,8 @@
         }
     }
 
-    /// Passes on that a machine is up which no block names.
-    fn report_stray(&mut self, report: Report) {
+    /// Tells the leader that a machine has reported which is in no block, or has no owner.
+    fn notify_leader_of_unrecorded_machine(&mut self, report: Report) {
         let stray = PeerMessage::Stray {
             machine: report.machine.clone(),
             kind: report.kind.clone(),
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -31,7 +31,7 @@
             Phase::Outside if self.joining.ready(self.now) => {
                 self.phase = Phase::Registering;
                 let key = records::node(self.me());
-                self.store(Urgency::Entitlement, Purpose::FormerLife, StoreCall::Get { key });
+                self.store(Urgency::Entitlement, Purpose::FindFormerRegistration, StoreCall::Get { key });
             }
             Phase::Active | Phase::Loading => self.renew_when_due(),
             _ => {}
@@ -85,7 +85,7 @@
             conditions: vec![Condition::new(records::LEADER, 0), self.entitlement()],
             writes: vec![Write::leased(records::LEADER, value, lease.id)],
         };
-        self.store(Urgency::Entitlement, Purpose::Lead, StoreCall::Commit(transaction));
+        self.store(Urgency::Entitlement, Purpose::TakeLeadership, StoreCall::Commit(transaction));
     }
 
     pub(super) fn refused_by(&mut self, member: String) {
@@ -230,13 +230,13 @@
 
     pub(super) fn membership_replied(&mut self, purpose: Purpose, sent: Micros, reply: StoreReply) {
         match (purpose, reply) {
-            (Purpose::FormerLife, StoreReply::Found { value, .. }) => {
+            (Purpose::FindFormerRegistration, StoreReply::Found { value, .. }) => {
                 // One process per controller: whoever holds this registration is no more.
                 let lease = serde_json::from_value(value).map_or(0, |r: NodeRecord| r.lease);
-                self.store(Urgency::Entitlement, Purpose::ReleaseFormer, StoreCall::Release { lease });
+                self.store(Urgency::Entitlement, Purpose::ReleaseFormerLease, StoreCall::Release { lease });
             }
-            (Purpose::FormerLife, StoreReply::Missing)
-            | (Purpose::ReleaseFormer, StoreReply::Renewed | StoreReply::Missing) => {
+            (Purpose::FindFormerRegistration, StoreReply::Missing)
+            | (Purpose::ReleaseFormerLease, StoreReply::Renewed | StoreReply::Missing) => {
                 let life_ms = self.lease_term.as_millis();
                 self.store(Urgency::Entitlement, Purpose::Lease, StoreCall::Lease { life_ms });
             }
@@ -303,7 +303,7 @@
                     lease.renewed = self.now.since(Micros(self.lease_term.0 / 6)) + RETRY;
                 }
             }
-            (Purpose::Lead | Purpose::Evict, _) => {}
+            (Purpose::TakeLeadership | Purpose::Evict, _) => {}
             (Purpose::Load, _) if self.phase != Phase::Loading => {}
             (_, reply) => {
                 tracing::debug!(?reply, "joining put off");
@@ -329,7 +329,7 @@
         self.lead = None;
         self.follow_at = None;
         self.loading.clear();
-        self.forget_replica();
+        self.clear_replica();
         let polls = std::mem::take(&mut self.polls);
         self.turn_polls_away(polls);
         for (purpose, _) in self.calls.clear() {
@@ -346,15 +346,15 @@
     fn turn_away(&mut self, purpose: Purpose) {
         match purpose {
             Purpose::Accept { request, .. } => self.answer(request, super::Answer::Later(1)),
-            Purpose::LookLive { question, .. }
-            | Purpose::LookFinal { question, .. }
+            Purpose::LookUpLive { question, .. }
+            | Purpose::LookUpFinal { question, .. }
             | Purpose::Withdraw { question, .. } => self.answer(question.request, super::Answer::Later(1)),
             Purpose::CheckLive { polls } => self.turn_polls_away(polls),
             _ => {}
         }
     }
 
-    fn turn_polls_away(&mut self, polls: Vec<super::Question>) {
+    fn turn_polls_away(&mut self, polls: Vec<super::JobQuery>) {
         for question in polls {
             self.answer(question.request, super::Answer::Later(1));
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -70,9 +70,9 @@
 pub use counters::Counters;
 pub use events::{Answer, CallId, Effect, Event, RequestId};
 pub use model::{Job, Machine};
-pub(crate) use purposes::{CloudPurpose, Missing, Purpose, Question, Wanted};
+pub(crate) use purposes::{CloudPurpose, IfNotFound, JobQuery, LookupGoal, Purpose};
 pub use quota::Breach;
-pub use removal::Removal;
+pub use removal::RemovalGround;
 pub use waiting::WaitReason;
 
 /// Steady clocks of two machines may drift apart by 0.05%; this leaves a margin.
@@ -218,7 +218,7 @@
     /// Machines not yet accounted for since jobs were taken over.
     pub(crate) unresolved: BTreeSet<String>,
     /// Users' questions about jobs that are live as far as this controller knows.
-    pub(crate) polls: Vec<Question>,
+    pub(crate) polls: Vec<JobQuery>,
     pub(crate) polls_at: Micros,
     pub(crate) finals: FinalCache,
     pub(crate) reading_finals: finals::Reading,
@@ -249,7 +249,7 @@
     /// Jobs have been taken over and not all machines are accounted for.
     pub(crate) taking_over: bool,
     /// How often tasks were taken for gone, by what that rested on.
-    pub(crate) removals: BTreeMap<Removal, u64>,
+    pub(crate) removals: BTreeMap<RemovalGround, u64>,
     /// The latest of these, to notice when one turns out to be wrong.
     pub(crate) conclusions: conclusions::Conclusions,
     pub counters: Counters,
@@ -388,10 +388,10 @@
                     self.cloud_replied(purpose, reply);
                 }
             }
-            Event::Peer(from, message) => self.peer_said(from, message),
+            Event::Peer(from, message) => self.handle_peer_message(from, message),
             Event::Refused(member) => self.refused_by(member),
-            Event::Report(request, report) => self.reported(request, report),
-            Event::Worker { machine, token, reply } => self.worker_replied(&machine, token, reply),
+            Event::Report(request, report) => self.handle_report(request, report),
+            Event::Worker { machine, token, reply } => self.handle_direct_reply(&machine, token, reply),
             Event::Submit(request, spec) => self.submitted(request, spec),
             Event::Query(request, job) => self.queried(request, job),
             Event::Withdraw(request, job) => self.withdrawal(request, job),
@@ -399,7 +399,7 @@
         if self.may_place() {
             self.place();
             self.status_tick();
-            self.speak();
+            self.send_direct_calls();
         }
         self.answer_awaiting();
         self.send_calls();
@@ -477,27 +477,27 @@
             _ => self.store_heard = self.now,
         }
         match purpose {
-            Purpose::FormerLife
-            | Purpose::ReleaseFormer
+            Purpose::FindFormerRegistration
+            | Purpose::ReleaseFormerLease
             | Purpose::Lease
             | Purpose::Register { .. }
             | Purpose::Load
             | Purpose::Renew
             | Purpose::Evict
-            | Purpose::Lead => self.membership_replied(purpose, sent, reply),
-            Purpose::Follow => self.followed(sent, reply),
+            | Purpose::TakeLeadership => self.membership_replied(purpose, sent, reply),
+            Purpose::Follow => self.handle_follow_reply(sent, reply),
             Purpose::Grant | Purpose::Quota => self.granted(reply),
             Purpose::Accept { request, spec } => self.accept_replied(request, *spec, reply),
-            Purpose::LookLive { question, wanted } => self.looked_live(question, wanted, sent, reply),
+            Purpose::LookUpLive { question, wanted } => self.looked_live(question, wanted, sent, reply),
             Purpose::CheckLive { polls } => self.checked_live(polls, sent, reply),
-            Purpose::LookFinal { question, missing } => self.looked_final(question, missing, reply),
+            Purpose::LookUpFinal { question, missing } => self.looked_final(question, missing, reply),
             Purpose::Withdraw { question, tasks } => self.withdraw_replied(question, tasks, reply),
             Purpose::Complete { job, tasks } => self.complete_replied(job, tasks, reply),
             Purpose::Progress { job, chunk } => self.progress_replied(job, chunk, reply),
             Purpose::RentalStored { rental } => self.rental_stored(rental, reply),
             Purpose::RentalClosed { request } => self.rental_closed(request, reply),
             Purpose::Uninformed { record } => self.uninformed_recorded(record, reply),
-            Purpose::Finals => self.finals_read(reply),
+            Purpose::ReadFinals => self.finals_read(reply),
             Purpose::Cleanup => {}
         }
     }
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -8,7 +8,7 @@
 use marblewalk_retry::Backoff;
 
 use crate::bookkeeping::records::{BlockRow, TaskSet};
-pub use crate::coordination::pending::Pending;
+pub use crate::coordination::pending::PendingStart;
 use crate::coordination::quota::{InForce, Permit};
 use crate::coordination::waiting::Wait;
 use crate::protocol::job::{JobSpec, Shape};
@@ -202,7 +202,7 @@
     pub state: TaskState,
     pub cause: Option<Cause>,
     pub need: Resources,
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingStart>,
     /// The status that announced the start to the others; 0: none has yet.
     pub announced: u64,
     /// Wanted gone: with this much time to save.
@@ -219,14 +219,14 @@
 
     /// A start that has not been sent.
     pub fn planned(&self) -> bool {
-        matches!(self.pending, Some(Pending::Planned(_)))
+        matches!(self.pending, Some(PendingStart::Planned(_)))
     }
 
     /// The permit of a start that may be ordered now: it holds, and all that must know of the start do.
     pub(in crate::coordination) fn may_start(&self, settled: u64, in_force: InForce) -> Option<Permit> {
         let announced = self.announced != 0 && self.announced <= settled;
         match self.pending {
-            Some(Pending::Planned(permit)) if announced && self.stop.is_none() => {
+            Some(PendingStart::Planned(permit)) if announced && self.stop.is_none() => {
                 in_force.covers(permit).then_some(permit)
             }
             _ => None,
--- a/src/coordination/pending/tests.rs
+++ b/src/coordination/pending/tests.rs
@@ -1,4 +1,4 @@
-//! Every order of what can happen to one start, against a worker that obeys the protocol.
+//! Explores every order of events that can happen to one start, against a model of a worker that follows the protocol.
 
 use std::collections::HashSet;
 
@@ -7,24 +7,24 @@
 const CALL_TOKEN: u64 = 1;
 const NEW_TOKEN: u64 = 2;
 const SESSION: u64 = 1;
-/// Reports that the worker sends at most.
-const MOST_REPORTS: u64 = 3;
+/// The worker sends another report only while it has sent fewer messages than this.
+const MAX_MESSAGES: u64 = 3;
 
-/// Where a direct call is.
+/// The state of a direct call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Call {
     NotMade,
-    UnderWay,
-    /// Carried out or rejected; what the worker's reply says is on its way.
+    InTransit,
+    /// Carried out or rejected; the worker's reply is in transit.
     Replied {
         done: bool,
         message: Message,
     },
-    /// Its sender knows what came of it, or has given up waiting.
-    Settled,
+    /// The sender knows the outcome, or has given up waiting for it.
+    Finished,
 }
 
-/// A message of the worker's: its number, the token that it had seen, whether the task is there.
+/// A message from the worker: its number, the token that the worker had seen, and whether the task is on the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Message {
     tally: u64,
@@ -32,52 +32,54 @@
     there: bool,
 }
 
-/// An answer on its way: to which report, under which token, and whether the start is in it.
+/// An answer in transit: the report that it answers, its token, and whether it contains the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct AnswerUnderWay {
+struct AnswerInTransit {
     tally: u64,
     token: u64,
     start: bool,
 }
 
-/// A controller, a worker, and what is on its way between them.
+/// The state of a controller and a worker, and the messages in transit between them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    /// What the controller has concluded.
+    /// The start as the controller knows it.
     start: Start,
     /// The token of the grant that the controller knows.
     grant: u64,
-    /// The newest message of the worker's that the controller has taken in, and the newest report.
+    /// The newest message and the newest report from the worker that the controller has applied.
     heard: u64,
     reported: u64,
-    /// The worker.
+    /// The worker's state: whether the task is there, the highest token seen, and the number of its last message.
     there: bool,
     token: u64,
     tally: u64,
-    /// The report that the worker waits for the answer to.
+    /// The report whose answer the worker waits for.
     awaited: Option<u64>,
+    /// The direct call that contains the start.
     call: Call,
-    /// A call without orders, by which the same holder shows a newer token.
-    question: Call,
+    /// A direct call without orders, which shows the worker a newer token of the same holder.
+    token_call: Call,
     report: Option<Message>,
-    answer: Option<AnswerUnderWay>,
+    answer: Option<AnswerInTransit>,
 }
 
+/// The start as the controller knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Start {
-    Pending(Pending),
+    Pending(PendingStart),
     Confirmed,
-    /// The task is taken for not there, and may be started elsewhere.
+    /// The task is concluded not to be there, and may be started elsewhere.
     Gone,
 }
 
-/// How a call's failure is judged.
-type CallFailed = fn(Pending) -> Pending;
+/// The rule for the state of a start after its direct call failed.
+type CallFailed = fn(PendingStart) -> PendingStart;
 
 impl World {
     fn new() -> World {
         World {
-            start: Start::Pending(Pending::Planned(Permit::default())),
+            start: Start::Pending(PendingStart::Planned(Permit::default())),
             grant: CALL_TOKEN,
             heard: 0,
             reported: 0,
@@ -86,131 +88,132 @@
             tally: 0,
             awaited: None,
             call: Call::NotMade,
-            question: Call::NotMade,
+            token_call: Call::NotMade,
             report: None,
             answer: None,
         }
     }
 
+    /// The worker's next message.
     fn message(&mut self) -> Message {
         self.tally += 1;
         Message { tally: self.tally, token: self.token, there: self.there }
     }
 
-    /// What the controller makes of a message.
-    fn take(&mut self, message: Message, direct: bool) {
+    /// The controller applies a message.
+    fn apply(&mut self, message: Message, direct: bool) {
         if message.tally <= self.heard || message.token > self.grant {
             return;
         }
         self.heard = message.tally;
-        let heard = Heard { session: SESSION, token: message.token, direct };
+        let worker_message = WorkerMessage { session: SESSION, token: message.token, direct };
         self.start = match self.start {
             Start::Pending(_) if message.there => Start::Confirmed,
-            Start::Pending(pending) if message.token >= self.grant && !pending.may_arrive(heard) => {
+            Start::Pending(pending) if message.token >= self.grant && !pending.may_arrive(worker_message) => {
                 Start::Gone
             }
             other => other,
         };
     }
 
-    /// All that can happen next.
+    /// All steps that are possible next, each with a description and the state after it.
     fn next(&self, call_failed: CallFailed) -> Vec<(&'static str, World)> {
         let mut next = Vec::new();
-        let mut can = |name, world: World| next.push((name, world));
-        self.controller_acts(&mut can);
-        self.call_moves(&mut can, call_failed);
-        self.question_moves(&mut can);
-        self.reports_move(&mut can);
+        let mut add = |name, world: World| next.push((name, world));
+        self.controller_steps(&mut add);
+        self.call_steps(&mut add, call_failed);
+        self.token_call_steps(&mut add);
+        self.report_steps(&mut add);
         next
     }
 
-    fn controller_acts(&self, can: &mut impl FnMut(&'static str, World)) {
+    fn controller_steps(&self, add: &mut impl FnMut(&'static str, World)) {
         let Start::Pending(pending) = self.start else { return };
-        if let (Pending::Planned(permit), Call::NotMade) = (pending, self.call) {
+        if let (PendingStart::Planned(permit), Call::NotMade) = (pending, self.call) {
             let (session, token) = (SESSION, self.grant);
-            let direct = Pending::Direct { session, token, permit, repeated: None };
+            let direct = PendingStart::SentDirectly { session, token, permit, repeated: None };
             let start = Start::Pending(direct);
-            can("the start is called", World { start, call: Call::UnderWay, ..self.clone() });
+            add("the start is sent in a direct call", World { start, call: Call::InTransit, ..self.clone() });
         }
-        if !pending.sent() {
-            can("the plan is taken back", World { start: Start::Gone, ..self.clone() });
+        if !pending.is_sent() {
+            add("the planned start is dropped", World { start: Start::Gone, ..self.clone() });
         }
         if self.grant == CALL_TOKEN {
-            can("the holder is granted a fresh token", World { grant: NEW_TOKEN, ..self.clone() });
+            add("the holder is granted a fresh token", World { grant: NEW_TOKEN, ..self.clone() });
         }
     }
 
-    fn call_moves(&self, can: &mut impl FnMut(&'static str, World), call_failed: CallFailed) {
+    fn call_steps(&self, add: &mut impl FnMut(&'static str, World), call_failed: CallFailed) {
         let failed = |mut world: World| {
             if let Start::Pending(pending) = world.start {
                 world.start = Start::Pending(call_failed(pending));
             }
-            world.call = Call::Settled;
+            world.call = Call::Finished;
             world
         };
         match self.call {
-            Call::UnderWay => {
+            Call::InTransit => {
                 let mut arrived = self.clone();
-                // The call's token is that of the grant under which the start was called.
+                // The call has the token of the grant under which it was sent.
                 let done = self.token <= CALL_TOKEN;
                 arrived.there |= done;
                 let message = arrived.message();
                 arrived.call = Call::Replied { done, message };
-                can("the call arrives", arrived);
+                add("the call arrives", arrived);
                 if self.grant == CALL_TOKEN {
-                    can("the call finds no connection", failed(self.clone()));
+                    add("the call finds no connection", failed(self.clone()));
                 }
             }
             Call::Replied { done, message } => {
-                can("the reply is lost", World { call: Call::Settled, ..self.clone() });
+                add("the reply is lost", World { call: Call::Finished, ..self.clone() });
                 // A reply to a call under a former grant is dropped.
                 if self.grant == CALL_TOKEN {
                     let mut world = if done { self.clone() } else { failed(self.clone()) };
-                    world.call = Call::Settled;
-                    world.take(message, true);
-                    can("the reply arrives", world);
+                    world.call = Call::Finished;
+                    world.apply(message, true);
+                    add("the reply arrives", world);
                 }
             }
             _ => {}
         }
     }
 
-    fn question_moves(&self, can: &mut impl FnMut(&'static str, World)) {
-        match self.question {
+    fn token_call_steps(&self, add: &mut impl FnMut(&'static str, World)) {
+        match self.token_call {
             Call::NotMade if self.grant == NEW_TOKEN => {
-                can("the new token is shown", World { question: Call::UnderWay, ..self.clone() });
+                add("the new token is sent", World { token_call: Call::InTransit, ..self.clone() });
             }
-            Call::UnderWay => {
+            Call::InTransit => {
                 let mut world = self.clone();
                 world.token = NEW_TOKEN;
                 let message = world.message();
-                world.question = Call::Replied { done: true, message };
-                can("the new token arrives", world);
+                world.token_call = Call::Replied { done: true, message };
+                add("the new token arrives", world);
             }
             Call::Replied { message, .. } => {
-                let mut world = World { question: Call::Settled, ..self.clone() };
-                world.take(message, true);
-                can("the new token's reply arrives", world);
+                let mut world = World { token_call: Call::Finished, ..self.clone() };
+                world.apply(message, true);
+                add("the reply to the new token arrives", world);
             }
             _ => {}
         }
         if self.token < NEW_TOKEN && self.grant < NEW_TOKEN {
-            can("another holder shows a newer token", World { token: NEW_TOKEN, ..self.clone() });
+            add("another holder shows a newer token", World { token: NEW_TOKEN, ..self.clone() });
         }
     }
 
-    fn reports_move(&self, can: &mut impl FnMut(&'static str, World)) {
-        if self.awaited.is_none() && self.tally < MOST_REPORTS {
+    fn report_steps(&self, add: &mut impl FnMut(&'static str, World)) {
+        if self.awaited.is_none() && self.tally < MAX_MESSAGES {
             let mut world = self.clone();
             let message = world.message();
             (world.report, world.awaited) = (Some(message), Some(message.tally));
-            can("the worker reports", world);
+            add("the worker reports", world);
         }
         if self.awaited.is_some() {
-            can("the worker waits no longer", World { awaited: None, ..self.clone() });
+            add("the worker stops waiting for the answer", World { awaited: None, ..self.clone() });
         }
         if let Some(message) = self.report {
-            can("the report arrives", self.reported(message));
+            add("the report arrives", self.after_report(message));
         }
         if let Some(answer) = self.answer {
             let mut world = World { answer: None, ..self.clone() };
@@ -221,46 +224,48 @@
                     world.there |= answer.start;
                 }
             }
-            can("the answer arrives", world);
-            can("the answer is lost", World { answer: None, ..self.clone() });
+            add("the answer arrives", world);
+            add("the answer is lost", World { answer: None, ..self.clone() });
         }
     }
 
-    /// A report comes to the controller, which answers it unless it is older than one before or another's token is in it.
-    fn reported(&self, message: Message) -> World {
+    /// A report arrives at the controller, which answers it unless it is older than an earlier one or has another
+    /// controller's token.
+    fn after_report(&self, message: Message) -> World {
         let mut world = World { report: None, ..self.clone() };
         if message.tally <= world.reported || message.token > world.grant {
             return world;
         }
-        world.take(message, false);
+        world.apply(message, false);
         world.reported = message.tally;
         let (tally, token) = (message.tally, world.grant);
         let mut start = false;
         if let Start::Pending(pending) = &mut world.start {
-            start = pending.repeat(tally, token);
-            if !pending.sent() {
-                *pending = Pending::Sent { session: SESSION, tally };
+            start = pending.repeat_in_answer(tally, token);
+            if !pending.is_sent() {
+                *pending = PendingStart::SentInAnswer { session: SESSION, tally };
                 start = true;
             }
         }
-        world.answer = Some(AnswerUnderWay { tally, token, start });
+        world.answer = Some(AnswerInTransit { tally, token, start });
         world
     }
 
-    /// Whether the task is there, or may yet be by what is on its way.
+    /// Whether the task is on the worker, or may still be started there by a message in transit.
     fn may_run(&self) -> bool {
-        let call = self.call == Call::UnderWay && self.token <= CALL_TOKEN;
+        let call = self.call == Call::InTransit && self.token <= CALL_TOKEN;
         let answer =
             self.answer.is_some_and(|a| a.start && self.awaited == Some(a.tally) && a.token >= self.token);
         self.there || call || answer
     }
 }
 
-/// How many states are reached, and the first sequence after which a task that may run is taken for gone.
+/// Explores all states. Returns their number, and the first sequence of steps after which a task that may run is
+/// concluded to be gone.
 fn explore(call_failed: CallFailed) -> (usize, Option<Vec<&'static str>>) {
     let mut seen = HashSet::from([World::new()]);
-    let mut open = std::collections::VecDeque::from([(World::new(), Vec::new())]);
-    while let Some((world, path)) = open.pop_front() {
+    let mut queue = std::collections::VecDeque::from([(World::new(), Vec::new())]);
+    while let Some((world, path)) = queue.pop_front() {
         if world.start == Start::Gone {
             if world.may_run() {
                 return (seen.len(), Some(path));
@@ -271,32 +276,32 @@
             if seen.insert(next.clone()) {
                 let mut path = path.clone();
                 path.push(name);
-                open.push_back((next, path));
+                queue.push_back((next, path));
             }
         }
     }
     (seen.len(), None)
 }
 
-/// Guards against `ran_twice`: a start is taken for one that is not there only where nothing that is on its way can still make
-/// it, in every order of calls, answers, reports, losses and grants.
+/// Guards against `ran_twice`: in every order of calls, answers, reports, losses and grants, a start is concluded to be
+/// gone only if no message in transit can still carry it out.
 #[test]
-fn no_order_of_messages_takes_a_start_that_may_arrive_for_gone() {
-    let (states, found) = explore(Pending::call_failed);
+fn a_start_that_may_arrive_is_never_concluded_to_be_gone() {
+    let (states, found) = explore(PendingStart::after_failed_call);
     assert_eq!(found, None, "after {states} states");
     assert!(states > 5_000, "only {states} states were reached");
 }
 
-/// Shows that the search finds the fault that it guards against: a call that failed was taken for all that there was of the
-/// start, though an answer had taken it along.
+/// Checks that the search finds the fault that it guards against: after a failed direct call the start was planned
+/// again, although an answer to a report had repeated it.
 #[test]
-fn the_search_finds_a_start_that_an_answer_had_taken_along() {
-    let forgets_the_answer: CallFailed = |pending| match pending {
-        Pending::Direct { permit, .. } => Pending::Planned(permit),
+fn the_search_finds_a_start_that_an_answer_repeated() {
+    let ignores_the_answer: CallFailed = |pending| match pending {
+        PendingStart::SentDirectly { permit, .. } => PendingStart::Planned(permit),
         other => other,
     };
-    let (_, found) = explore(forgets_the_answer);
+    let (_, found) = explore(ignores_the_answer);
     let found = found.expect("the fault was not found");
-    assert_eq!(found.last(), Some(&"the plan is taken back"), "{found:?}");
+    assert_eq!(found.last(), Some(&"the planned start is dropped"), "{found:?}");
     eprintln!("{found:?}");
 }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -5,7 +5,7 @@
 use marblewalk_admission::pool::Turn;
 
 use crate::coordination::eligibility::{Cards, HeldBack, allows, keeps_dear, zone_open};
-use crate::coordination::model::{Job, Machine, Pending, TaskOn};
+use crate::coordination::model::{Job, Machine, PendingStart, TaskOn};
 use crate::coordination::precedence::Precedence;
 use crate::coordination::quota::Allowance;
 use crate::coordination::waiting::WaitReason;
@@ -332,7 +332,7 @@
             state: TaskState::Fetching,
             cause: None,
             need,
-            pending: Some(Pending::Planned(permit)),
+            pending: Some(PendingStart::Planned(permit)),
             announced: 0,
             stop: None,
             told: false,
--- a/src/coordination/purposes.rs
+++ b/src/coordination/purposes.rs
@@ -1,4 +1,4 @@
-//! Why calls to the state service and the cloud were made, kept until their replies come.
+//! Purposes of calls to the state service and the cloud, kept until their replies arrive.
 
 use std::collections::BTreeSet;
 
@@ -9,40 +9,41 @@
 use crate::protocol::job::JobSpec;
 use crate::protocol::units::Micros;
 
-/// What a user asks of a job.
+/// A user's request about a job.
 #[derive(Clone, Debug)]
-pub(crate) struct Question {
+pub(crate) struct JobQuery {
     pub request: RequestId,
     pub job: String,
-    /// When its user has gone.
-    pub until: Micros,
+    /// When the user stops waiting for the answer.
+    pub deadline: Micros,
 }
 
-/// What the records are looked through for.
+/// Why a job's records are looked up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wanted {
-    /// The job's state.
+pub(crate) enum LookupGoal {
+    /// To answer with the job's state.
     State,
-    /// To withdraw it.
+    /// To withdraw the job.
     Withdrawal,
-    /// Whether a submission that cannot run was accepted before; else it is refused, with this reason.
+    /// To check whether a submission that cannot run was accepted before. If not, it is refused with this reason.
     Refusal(&'static str),
 }
 
-/// What the lack of a record of the job's end means.
+/// The meaning of a job's missing final record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Missing {
-    /// Nothing: it has been accepted, and may have been live meanwhile.
+pub(crate) enum IfNotFound {
+    /// Nothing: the job was accepted, and may have been live in the meantime.
     Nothing,
-    /// It has never been accepted, as of then: its live record had been looked for before.
-    Unknown { as_of: Micros, wanted: Wanted },
+    /// The job had not been accepted as of this time, since its live record had been looked up before and was missing
+    /// too.
+    Unknown { as_of: Micros, wanted: LookupGoal },
 }
 
-/// Why a call to the state service was made.
+/// The purpose of a call to the state service.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
-    FormerLife,
-    ReleaseFormer,
+    FindFormerRegistration,
+    ReleaseFormerLease,
     Lease,
     Register {
         lease: u64,
@@ -50,29 +51,29 @@
     Load,
     Follow,
     Renew,
-    Lead,
+    TakeLeadership,
     Evict,
     Grant,
     Accept {
         request: RequestId,
         spec: Box<JobSpec>,
     },
-    /// Is the job live? If not, is it over?
-    LookLive {
-        question: Question,
-        wanted: Wanted,
+    /// Looks up whether a job is live; if not, its final record is looked up next.
+    LookUpLive {
+        question: JobQuery,
+        wanted: LookupGoal,
     },
-    /// Are these jobs live?
+    /// Checks in one transaction whether these jobs are live.
     CheckLive {
-        polls: Vec<Question>,
+        polls: Vec<JobQuery>,
     },
-    LookFinal {
-        question: Question,
-        /// What to do if it is not over either.
-        missing: Missing,
+    LookUpFinal {
+        question: JobQuery,
+        /// The meaning of a missing final record.
+        missing: IfNotFound,
     },
     Withdraw {
-        question: Question,
+        question: JobQuery,
         tasks: u32,
     },
     Complete {
@@ -90,14 +91,14 @@
         request: String,
     },
     Cleanup,
-    Finals,
+    ReadFinals,
     Quota,
     Uninformed {
         record: BTreeSet<Life>,
     },
 }
 
-/// Why a call to the cloud was made.
+/// The purpose of a call to the cloud.
 #[derive(Clone, Debug)]
 pub(crate) enum CloudPurpose {
     Types,
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -4,7 +4,7 @@
 
 use crate::bookkeeping::records::Allotment;
 use crate::coordination::Controller;
-use crate::coordination::model::Pending;
+use crate::coordination::model::PendingStart;
 use crate::coordination::waiting::WaitReason;
 use crate::protocol::job::JobSpec;
 use crate::protocol::units::Resources;
@@ -153,11 +153,11 @@
         }
         for (name, task) in renewed {
             if let Some(on) = self.machines.get_mut(&name).and_then(|m| m.tasks.get_mut(&task)) {
-                on.pending = Some(Pending::Planned(permit));
+                on.pending = Some(PendingStart::Planned(permit));
             }
         }
         for (name, task) in lapsed {
-            self.drop_planned(&name, |t| *t == task);
+            self.drop_planned_starts(&name, |t| *t == task);
         }
     }
 
@@ -166,14 +166,14 @@
     pub(in crate::coordination) fn drop_unpermitted(&mut self, name: &str) {
         let in_force = self.permits_in_force();
         let Some(machine) = self.machines.get(name) else { return };
-        let lapsed = |pending: Option<Pending>| match pending {
-            Some(Pending::Planned(permit)) => !in_force.covers(permit),
+        let lapsed = |pending: Option<PendingStart>| match pending {
+            Some(PendingStart::Planned(permit)) => !in_force.covers(permit),
             _ => false,
         };
         let tasks = machine.tasks.iter().filter(|(_, t)| lapsed(t.pending));
         let tasks: BTreeSet<TaskId> = tasks.map(|(id, _)| id.clone()).collect();
         if !tasks.is_empty() {
-            self.drop_planned(name, |id| tasks.contains(id));
+            self.drop_planned_starts(name, |id| tasks.contains(id));
         }
     }
 }
--- a/src/coordination/quota/usage.rs
+++ b/src/coordination/quota/usage.rs
@@ -19,7 +19,8 @@
             return BTreeSet::new();
         }
         let all = self.machines.values().fold(Resources::default(), |sum, m| sum.plus(m.supply));
-        let unknown = self.blind() || self.machines.values().any(|m| m.supply == Resources::default());
+        let unknown =
+            self.has_unreadable_blocks() || self.machines.values().any(|m| m.supply == Resources::default());
         let rows = if self.quota.0.view == self.view_stamp { &self.quota.0.rows[..] } else { &[] };
         let mut requested: Option<BTreeMap<&str, Resources>> = None;
         let mut bound = BTreeSet::new();
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -37,8 +37,8 @@
     /// former owner and the worker together; the cloud's word that they are returned settles it at once.
     pub(super) fn unreachable(&mut self) -> BTreeSet<String> {
         // Reports come up to a quarter late, and a worker looks for its new owner a second at a time.
-        let limit = self.latest_report() + UNHEARD;
-        let late = self.latest_report().as_secs_f64();
+        let limit = self.max_report_gap() + UNHEARD;
+        let late = self.max_report_gap().as_secs_f64();
         let mut found = BTreeSet::new();
         let me = self.life();
         let Some(lead) = &self.lead else { return found };
@@ -66,7 +66,7 @@
                 continue;
             }
             let zone = of.zones.entry(&m.row.zone).or_default();
-            let dark = f64::from(self.dark(m));
+            let dark = f64::from(self.seconds_unheard(m));
             zone.settled += 1;
             zone.fine += usize::from(m.resolved && dark <= late);
             // One that is heard elsewhere and takes no token for longer than its lease does not hear.
--- a/src/coordination/removal.rs
+++ b/src/coordination/removal.rs
@@ -1,152 +1,186 @@
-//! Why a controller concludes that a task is not on a machine, or no longer is.
+//! Records why a controller concludes that a task is not, or no longer, on a machine.
 //!
-//! A task may be started elsewhere only after such a conclusion, so each of them is logged and counted: should a task ever
-//! run twice, the log names the conclusion that let it. Tasks that their machine had reported as ended are not concerned.
+//! A task may be started on another machine only after such a conclusion, so each of them is logged and counted: if a
+//! task ever runs twice, the log shows the conclusion that led to it. Tasks that their machine had reported as ended
+//! are excluded.
 
 use std::collections::BTreeMap;
 
 use crate::coordination::Controller;
-use crate::coordination::model::{Machine, Pending, TaskOn};
+use crate::coordination::model::{Machine, PendingStart, TaskOn};
 use crate::protocol::worker::{TaskId, TaskState};
 
-/// What a controller's conclusion rests on that a task is not on a machine.
+/// The evidence from which a controller concludes that a task is not on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Removal {
-    /// Its start was planned, and taken back before it was sent.
+pub enum RemovalGround {
+    /// The start was planned, and dropped before it was sent.
     NeverSent,
-    /// The machine's own report or reply does not show it, and no order that may still arrive starts it.
+    /// The machine's own report or reply does not show the task, and no order in transit can start it.
     NotReported,
-    /// The machine's holder says that it is not there.
-    HolderSaid,
+    /// The status from the machine's holder does not show the task.
+    NotReportedByHolder,
     /// The worker's lease has expired.
     LeaseExpired,
-    /// The machine has left the records, after the cloud confirmed its return.
+    /// The machine's record was removed, after the cloud confirmed the machine's return.
     MachineGone,
 }
 
-impl Removal {
-    /// Its name among the operators' counters.
+impl RemovalGround {
+    /// The label value in the metrics, and the name in the log.
     pub fn name(self) -> &'static str {
         match self {
-            Removal::NeverSent => "never_sent",
-            Removal::NotReported => "not_reported",
-            Removal::HolderSaid => "holder_said",
-            Removal::LeaseExpired => "lease_expired",
-            Removal::MachineGone => "machine_gone",
+            RemovalGround::NeverSent => "never_sent",
+            RemovalGround::NotReported => "not_reported",
+            RemovalGround::NotReportedByHolder => "holder_said",
+            RemovalGround::LeaseExpired => "lease_expired",
+            RemovalGround::MachineGone => "machine_gone",
         }
     }
 
-    /// All of them, for the counters.
-    pub fn all() -> [Removal; 5] {
+    /// All grounds, for the metrics.
+    pub fn all() -> [RemovalGround; 5] {
         [
-            Removal::NeverSent,
-            Removal::NotReported,
-            Removal::HolderSaid,
-            Removal::LeaseExpired,
-            Removal::MachineGone,
+            RemovalGround::NeverSent,
+            RemovalGround::NotReported,
+            RemovalGround::NotReportedByHolder,
+            RemovalGround::LeaseExpired,
+            RemovalGround::MachineGone,
         ]
     }
 }
 
-/// How far a start had come when its task was taken for gone, as far as this controller knows.
+/// How far a start had progressed when its task was concluded to be gone, as far as this controller knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Progress {
-    /// It had not been sent.
+pub(super) enum StartProgress {
+    /// Not sent.
     Planned,
-    /// An answer to a report had brought it.
-    Answered,
-    /// A direct call was to bring it.
-    Called,
-    /// A direct call was to bring it, and an answer to a report had repeated it.
-    CalledAndAnswered,
-    /// The machine had shown the task to this controller, its holder.
+    /// Sent in the answer to a report.
+    SentInAnswer,
+    /// Sent in a direct call.
+    SentDirectly,
+    /// Sent in a direct call, and repeated in the answer to a report.
+    SentBothWays,
+    /// The machine has shown the task to this controller, its holder.
     Confirmed,
-    /// Another controller ordered it, and this one has not heard the machine itself under its own grant.
+    /// Ordered by another controller, and this one has not heard from the machine under a grant of its own.
     Unknown,
 }
 
-impl Progress {
-    fn of(task: &TaskOn, heard_here: bool) -> Progress {
+impl StartProgress {
+    fn of(task: &TaskOn, heard_here: bool) -> StartProgress {
         match task.pending {
-            Some(Pending::Planned(_)) => Progress::Planned,
-            Some(Pending::Sent { .. }) => Progress::Answered,
-            Some(Pending::Direct { repeated: None, .. }) => Progress::Called,
-            Some(Pending::Direct { repeated: Some(_), .. }) => Progress::CalledAndAnswered,
-            None if heard_here => Progress::Confirmed,
-            None => Progress::Unknown,
+            Some(PendingStart::Planned(_)) => StartProgress::Planned,
+            Some(PendingStart::SentInAnswer { .. }) => StartProgress::SentInAnswer,
+            Some(PendingStart::SentDirectly { repeated: None, .. }) => StartProgress::SentDirectly,
+            Some(PendingStart::SentDirectly { repeated: Some(_), .. }) => StartProgress::SentBothWays,
+            None if heard_here => StartProgress::Confirmed,
+            None => StartProgress::Unknown,
         }
     }
 
-    /// Its name in the log.
+    /// The name in the log.
     pub(super) fn name(self) -> &'static str {
         match self {
-            Progress::Planned => "planned",
-            Progress::Answered => "answered",
-            Progress::Called => "called",
-            Progress::CalledAndAnswered => "called and answered",
-            Progress::Confirmed => "confirmed",
-            Progress::Unknown => "unknown",
+            StartProgress::Planned => "planned",
+            StartProgress::SentInAnswer => "answered",
+            StartProgress::SentDirectly => "called",
+            StartProgress::SentBothWays => "called and answered",
+            StartProgress::Confirmed => "confirmed",
+            StartProgress::Unknown => "unknown",
         }
     }
 }
 
-/// What was known of a task when it was taken for gone.
+/// The known state of a task when it was concluded to be gone.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Removed {
+pub(super) struct RemovedTask {
     pub(super) attempt: u64,
-    /// The machine's token and session then.
+    /// The machine's token and session at that time.
     pub(super) token: u64,
     pub(super) session: u64,
     pub(super) state: TaskState,
-    pub(super) progress: Progress,
+    pub(super) progress: StartProgress,
 }
 
-impl Removed {
-    fn of(machine: &Machine, task: &TaskOn, own: bool) -> Removed {
-        Removed {
+impl RemovedTask {
+    fn of(machine: &Machine, task: &TaskOn, own: bool) -> RemovedTask {
+        RemovedTask {
             attempt: task.attempt,
             token: machine.row.token,
             session: machine.session,
             state: task.state,
-            progress: Progress::of(task, own && machine.resolved),
+            progress: StartProgress::of(task, own && machine.resolved),
         }
     }
 }
 
 impl Controller {
-    /// How often tasks that had not ended were taken for gone on this ground.
-    pub fn removals(&self, ground: Removal) -> u64 {
+    /// The number of tasks that had not ended and were concluded to be gone on this ground.
+    pub fn removals(&self, ground: RemovalGround) -> u64 {
         self.removals.get(&ground).copied().unwrap_or(0)
     }
 
-    /// Logs, counts and keeps the tasks that are on a machine no more, but for those that had ended there.
-    pub(super) fn note_removals(&mut self, name: &str, before: &BTreeMap<TaskId, TaskOn>, ground: Removal) {
+    /// Logs, counts and records the tasks that are no longer on a machine, except those that had ended there. `before`:
+    /// the machine's tasks before the change.
+    pub(super) fn record_removals(
+        &mut self,
+        name: &str,
+        before: &BTreeMap<TaskId, TaskOn>,
+        ground: RemovalGround,
+    ) {
         let Some(machine) = self.machines.get(name) else { return };
         let own = self.owns(machine);
         let gone = |(id, task): &(&TaskId, &TaskOn)| !task.ended() && !machine.tasks.contains_key(*id);
-        let removed: Vec<(&TaskId, Removed)> =
-            before.iter().filter(gone).map(|(id, task)| (id, Removed::of(machine, task, own))).collect();
+        let removed: Vec<(&TaskId, RemovedTask)> =
+            before.iter().filter(gone).map(|(id, task)| (id, RemovedTask::of(machine, task, own))).collect();
         if removed.is_empty() {
             return;
         }
         *self.removals.entry(ground).or_default() += removed.len() as u64;
-        // The line of what the holder said, or of a machine that has left the records, is in its holder's log.
+        // If the conclusion is the holder's, or the machine's record was removed, the holder logs it at level info.
         let holder_logs = !own && self.nodes.get(&machine.row.owner) == Some(&machine.row.node);
-        let elsewhere = ground == Removal::HolderSaid || ground == Removal::MachineGone && holder_logs;
+        let logged_by_holder = ground == RemovalGround::NotReportedByHolder
+            || ground == RemovalGround::MachineGone && holder_logs;
         for (id, removed) in removed {
-            log_removal(name, id, removed, ground, elsewhere);
-            self.keep_conclusion(name, id, removed, ground);
+            log_removal(name, id, removed, ground, logged_by_holder);
+            self.record_conclusion(name, id, removed, ground);
         }
     }
 }
 
-/// `elsewhere`: another controller's log has the same conclusion.
-fn log_removal(machine: &str, id: &TaskId, removed: Removed, ground: Removal, elsewhere: bool) {
-    let Removed { attempt, token, session, state, progress } = removed;
+/// Logs a removed task, at level debug if the machine's holder logs the same conclusion (`logged_by_holder`).
+fn log_removal(
+    machine: &str,
+    id: &TaskId,
+    removed: RemovedTask,
+    ground: RemovalGround,
+    logged_by_holder: bool,
+) {
+    let RemovedTask { attempt, token, session, state, progress } = removed;
     let (task, start, ground_name) = (id.text(), progress.name(), ground.name());
-    if elsewhere {
-        tracing::debug!(task, attempt, machine, token, session, ?state, start, ground = ground_name, "gone");
+    if logged_by_holder {
+        tracing::debug!(
+            task,
+            attempt,
+            machine,
+            token,
+            session,
+            ?state,
+            start,
+            ground = ground_name,
+            "task concluded to be gone"
+        );
     } else {
-        tracing::info!(task, attempt, machine, token, session, ?state, start, ground = ground_name, "gone");
+        tracing::info!(
+            task,
+            attempt,
+            machine,
+            token,
+            session,
+            ?state,
+            start,
+            ground = ground_name,
+            "task concluded to be gone"
+        );
     }
 }
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -189,14 +189,14 @@
     pub(super) fn listed(&mut self, list: MachineList) {
         let lag = Micros::from_secs_f64(self.settings.params.cloud.list_lag_s * 2.0 + 5.0);
         let last = list.machines.last().map(|m| m.id.clone());
-        let blind = self.blind();
+        let blind = self.has_unreadable_blocks();
         let unreached = list.machines.iter().filter(|l| {
             let unknown = |m: &Machine| m.addr.is_empty() && !m.unused();
             !l.addr.is_empty() && self.machines.get(&l.id).is_some_and(unknown)
         });
         let addresses: Vec<(String, String)> = unreached.map(|l| (l.id.clone(), l.addr.clone())).collect();
         if !addresses.is_empty() {
-            self.take_addresses(&addresses);
+            self.apply_addresses(&addresses);
             self.effects.push(Effect::Send(None, PeerMessage::Addresses(addresses)));
         }
         let Some(lead) = &mut self.lead else { return };
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -1,4 +1,4 @@
-//! The controller's copy of the followed records, and what other controllers say.
+//! Maintains the controller's replica of the state service's records, and derives jobs, machines and views from it.
 
 use std::collections::BTreeMap;
 
@@ -7,19 +7,19 @@
 use crate::bookkeeping::blocks::Changes;
 use crate::bookkeeping::records::{self, LeaderRecord, TaskSet};
 use crate::coordination::model::{Job, Machine, TaskOn};
-use crate::coordination::removal::Removal;
+use crate::coordination::removal::RemovalGround;
 use crate::coordination::{Controller, Phase, rules};
 use crate::protocol::job::JobSpec;
 use crate::protocol::store::{Change, Entry, Json, StoreReply};
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::TaskId;
 
-/// Least time between two requests for changes.
-const FOLLOW_SPACING: Micros = Micros::from_millis(100);
-/// What part of the store's limit on requests all controllers together use to follow its changes.
-const FOLLOW_SHARE: f64 = 0.25;
+/// Minimum time between two requests for changes.
+const MIN_FOLLOW_INTERVAL: Micros = Micros::from_millis(100);
+/// The part of the store's request limit that all controllers together may use to follow its changes.
+const FOLLOW_RATE_SHARE: f64 = 0.25;
 
-/// A stable hash, the same in every controller: FNV-1a with a final mix.
+/// A stable hash that is the same in every controller: FNV-1a with a final mix.
 fn hash(parts: [&str; 2]) -> u64 {
     let mut h: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in parts.iter().flat_map(|p| p.bytes().chain([0xff])) {
@@ -30,13 +30,14 @@
     h ^ (h >> 29)
 }
 
-/// Rendezvous hashing: the member with the highest hash together with the job has it.
+/// Rendezvous hashing: returns the member that has the highest hash combined with the job.
 pub(super) fn rendezvous<'a>(job: &str, members: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     members.max_by_key(|m| hash([job, m]))
 }
 
 impl Controller {
-    pub(super) fn forget_replica(&mut self) {
+    /// Clears the replica and all state that depends on it or on the former registration.
+    pub(super) fn clear_replica(&mut self) {
         self.applied = 0;
         self.followed_at = Micros::ZERO;
         self.jobs.clear();
@@ -62,26 +63,28 @@
         self.taking_over = false;
         self.retired.clear();
         self.strangers.clear();
-        self.conclusions.forget();
+        self.conclusions.clear();
         self.removed.clear();
         self.refusals.clear();
         self.turned.clear();
         self.evicted.clear();
         self.blame = Default::default();
-        // What is over meanwhile is read again.
+        // The records of ended jobs are read again after the next registration.
         self.reading_finals = Default::default();
         self.forget_told_ends();
     }
 
-    /// A job is over. Its tasks count against its team's limit until they are seen gone.
+    /// Removes a job that has ended, and returns how many tasks it had. Its tasks count against its team's limit until
+    /// they are known to be gone.
     pub(super) fn retire(&mut self, id: &str) -> Option<u32> {
         self.blame.job_over(id);
         let job = self.jobs.shift_remove(id)?;
-        tracing::debug!(job = id, unfinished = job.unfinished(), "over");
-        let may_take = job.spec.need().times(u64::from(job.unfinished()));
-        self.removed.push_back((self.now, job.spec.team.clone(), may_take));
-        // What has not been sent must not be: the job's user may have been told that it is over. What
-        // runs is ended at once, rather than with the next report's answer: its room is wanted.
+        tracing::debug!(job = id, unfinished = job.unfinished(), "job ended");
+        let may_use = job.spec.need().times(u64::from(job.unfinished()));
+        self.removed.push_back((self.now, job.spec.team.clone(), may_use));
+        // Planned starts must not be sent, as the job's user may have been told that the job has ended. Running tasks
+        // are marked here, so that direct calls stop them at once rather than the answer to the next report: their
+        // resources are needed.
         let tasks = job.spec.tasks;
         let on = job.on.clone();
         if !on.is_empty() {
@@ -90,7 +93,7 @@
         for (index, places) in &on {
             let task = TaskId::new(id, *index);
             for name in places {
-                self.drop_planned(name, |t| t.job == id);
+                self.drop_planned_starts(name, |t| t.job == id);
                 if let Some(t) = self.machines.get_mut(name).and_then(|m| m.tasks.get_mut(&task)) {
                     t.stop = Some(Micros::ZERO);
                 }
@@ -100,76 +103,81 @@
         Some(tasks)
     }
 
+    /// Applies all records that were loaded after registering.
     pub(super) fn load_all(&mut self, entries: Vec<Entry>) {
         self.ledger.loaded(self.applied);
-        // Jobs before their completions, blocks before the view.
+        // Jobs are applied before their completions, and blocks before the view.
         let (last, first): (Vec<_>, Vec<_>) =
             entries.into_iter().partition(|e| e.key.starts_with(records::DONE) || e.key == records::VIEW);
         for e in first.into_iter().chain(last) {
-            self.put(&e.key, &e.value, e.stamp);
+            self.apply_put(&e.key, &e.value, e.stamp);
         }
         self.note_read();
         self.status_due = Some(self.now);
     }
 
-    pub(super) fn followed(&mut self, sent: Micros, reply: StoreReply) {
+    /// Handles the reply to a request for changes that was sent at `sent`.
+    pub(super) fn handle_follow_reply(&mut self, sent: Micros, reply: StoreReply) {
         if self.phase != Phase::Active {
             return;
         }
-        let each = self.settings.everyone().len() as f64 / (self.settings.params.state.rps * FOLLOW_SHARE);
-        self.follow_at = Some(self.now + FOLLOW_SPACING.max(Micros::from_secs_f64(each)));
+        let each =
+            self.settings.everyone().len() as f64 / (self.settings.params.state.rps * FOLLOW_RATE_SHARE);
+        self.follow_at = Some(self.now + MIN_FOLLOW_INTERVAL.max(Micros::from_secs_f64(each)));
         match reply {
             StoreReply::News(news) => {
                 self.followed_at = self.followed_at.max(sent);
                 self.following.succeeded();
                 for change in news.changes {
                     match change {
-                        Change::Put { key, value, stamp } => self.put(&key, &value, stamp),
-                        Change::Delete { key, stamp } => self.delete(&key, stamp),
+                        Change::Put { key, value, stamp } => self.apply_put(&key, &value, stamp),
+                        Change::Delete { key, stamp } => self.apply_delete(&key, stamp),
                     }
-                    // Its registration was among what has gone. The rest belongs to no life: a job taken from it stood
-                    // in the next life's records, though it had been withdrawn before they were loaded.
+                    // One of the changes removed this controller's registration, which cleared the replica. The
+                    // remaining changes must not be applied: a job added by one of them stayed in the replica of the
+                    // next registration, though it had been withdrawn before that replica was loaded.
                     if self.phase != Phase::Active {
                         return;
                     }
                 }
                 if news.revision > self.applied {
                     self.applied = news.revision;
-                    self.soon_status();
+                    self.schedule_status();
                     self.place_due = true;
                 }
                 self.note_read();
             }
-            // What was missed is unknown, and with it what others have been told.
+            // The missed changes are unknown, and so is what other controllers concluded from them.
             StoreReply::TooOld => self.leave("the changes missed are no longer kept"),
             _ => self.follow_at = Some(self.following.failed(self.now, &rules::FOLLOW, &mut self.rng)),
         }
     }
 
-    /// A record that this version cannot read is named and counts as the worst that it may be: a job's
-    /// tasks are left alone, and machines of a block may run anything.
-    fn not_understood(&mut self, key: &str, problem: &dyn std::fmt::Display) {
-        tracing::error!(key, %problem, "a record is not understood");
+    /// Logs a record that this version cannot read, and marks its key, so that the worst case is assumed: the tasks of
+    /// such a job are left alone, and the machines of such a block may run any task.
+    fn mark_unreadable(&mut self, key: &str, problem: &dyn std::fmt::Display) {
+        tracing::error!(key, %problem, "cannot read record");
         self.unreadable.insert(key.to_owned());
     }
 
-    /// Some machines' records cannot be read, so nothing is certain of machines that are not known.
-    pub(super) fn blind(&self) -> bool {
+    /// Whether some block cannot be read, so that a machine without a known record may still have one.
+    pub(super) fn has_unreadable_blocks(&self) -> bool {
         self.unreadable.iter().any(|key| key.starts_with(records::BLOCKS))
     }
 
-    fn put(&mut self, key: &str, value: &Json, stamp: u64) {
+    /// Applies a record that was loaded or changed.
+    fn apply_put(&mut self, key: &str, value: &Json, stamp: u64) {
         if !self.unreadable.is_empty() {
             self.unreadable.remove(key);
         }
         if let Some(job) = key.strip_prefix(records::LIVE) {
-            // A peer's word that it is over may have come before the change that accepted it.
+            // A peer's message that the job has ended may have arrived before the change that accepted it.
             if !self.jobs.contains_key(job) && self.finals.get(job).is_none() {
                 let spec = match value.read::<JobSpec>() {
                     Ok(spec) => spec,
-                    Err(problem) => return self.not_understood(key, &problem),
+                    Err(problem) => return self.mark_unreadable(key, &problem),
                 };
-                // One that may displace others needs no room kept for it.
+                // No room is kept for jobs that may displace others.
                 if self.is_quick(&spec.class) && !self.may_displace(&spec) {
                     self.quick.insert(spec.class.clone(), spec.clone());
                 }
@@ -178,7 +186,7 @@
                 }
                 let mut job_state = Job::new(spec, stamp, self.now);
                 job_state.owner = self.owner_of(job);
-                // A holder may have told of its tasks before its record came.
+                // Another controller may have reported tasks of the job before its record arrived.
                 let (first, need) = (TaskId::new(job, 0), job_state.spec.need());
                 for name in self.strangers.remove(job).unwrap_or_default() {
                     let Some(machine) = self.machines.get_mut(&name) else { continue };
@@ -200,7 +208,8 @@
                 j.merge(chunk, &value.read().unwrap_or_default());
             }
         } else if let Some(member) = key.strip_prefix(records::NODE) {
-            // A list's later pages show registrations that the changes read after it lead up to once more.
+            // Changes are followed from the revision of the list's first page, so they may replay a registration that
+            // is older than the one that a later page showed.
             if self.nodes.get(member).is_some_and(|known| *known > stamp) {
                 return;
             }
@@ -209,19 +218,19 @@
             }
             self.soon_round();
         } else if let Some(member) = key.strip_prefix(records::EVICTED) {
-            // It may not know yet, and may go on answering until its lease runs out.
+            // The evicted controller may not know yet, and may go on answering workers until its lease expires.
             self.evicted.insert(member.to_owned(), (self.now, stamp));
         } else if let Some(shard) = key.strip_prefix(records::BLOCKS) {
             match shard.parse() {
-                Ok(shard) => self.block_put(shard, key, value.text(), stamp),
-                Err(problem) => self.not_understood(key, &problem),
+                Ok(shard) => self.apply_block(shard, key, value.text(), stamp),
+                Err(problem) => self.mark_unreadable(key, &problem),
             }
         } else if let Some(request) = key.strip_prefix(records::RENTAL) {
             if let Ok(rental) = value.read() {
                 self.rentals.insert(request.to_owned(), (rental, stamp));
             }
-            // Its record had no answer and was given up, and has been carried out after all: each next leader would
-            // rent it again.
+            // The write of this rental's record had no reply and was given up, but was carried out after all. Unless
+            // the record is deleted, each new leader would rent the machines again.
             if let Some(lead) = &mut self.lead
                 && !lead.fleet.open.contains_key(request)
             {
@@ -250,10 +259,11 @@
         }
     }
 
-    fn delete(&mut self, key: &str, stamp: u64) {
+    /// Applies the deletion of a record.
+    fn apply_delete(&mut self, key: &str, stamp: u64) {
         self.unreadable.remove(key);
         if let Some(job) = key.strip_prefix(records::LIVE) {
-            // A key accepted, removed and seen again cannot be: ids are never accepted twice.
+            // A deleted live record never comes back, since job ids are never accepted twice.
             self.retire(job);
             self.soon_round();
         } else if let Some(rest) = key.strip_prefix(records::DONE) {
@@ -281,7 +291,7 @@
             {
                 block.1 = stamp;
                 let changes = block.0.clear();
-                self.blocks_changed(shard, changes, stamp);
+                self.apply_block_changes(shard, changes, stamp);
             }
         } else if let Some(request) = key.strip_prefix(records::RENTAL) {
             self.rentals.remove(request);
@@ -291,8 +301,8 @@
         }
     }
 
-    /// A block has been written: what of it is new.
-    fn block_put(&mut self, shard: usize, key: &str, text: &str, stamp: u64) {
+    /// Applies a block that was written, unless a newer version was applied before.
+    fn apply_block(&mut self, shard: usize, key: &str, text: &str, stamp: u64) {
         let (block, written) = self.shards.entry(shard).or_default();
         if *written >= stamp {
             return;
@@ -300,17 +310,18 @@
         match block.update(text) {
             Ok(changes) => {
                 *written = stamp;
-                self.blocks_changed(shard, changes, stamp);
+                self.apply_block_changes(shard, changes, stamp);
             }
-            Err(problem) => self.not_understood(key, &problem),
+            Err(problem) => self.mark_unreadable(key, &problem),
         }
     }
 
-    fn blocks_changed(&mut self, shard: usize, changes: Changes, stamp: u64) {
+    /// Applies the rows of a block that are new, changed or gone.
+    fn apply_block_changes(&mut self, shard: usize, changes: Changes, stamp: u64) {
         let any_gone = !changes.gone.is_empty();
         for gone in changes.gone {
-            // Its row goes only after the cloud has confirmed that the machine is gone.
-            self.replace_tasks(&gone, BTreeMap::new(), Removal::MachineGone);
+            // A row is removed only after the cloud has confirmed that the machine is gone.
+            self.replace_tasks(&gone, BTreeMap::new(), RemovalGround::MachineGone);
             self.machines.shift_remove(&gone);
             self.ledger.gone(&gone);
             self.blame.machine_gone(&gone);
@@ -325,7 +336,7 @@
             let now = self.now;
             let holder = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.node));
             if !self.machines.contains_key(&row.machine) {
-                self.learnt_of(&row.machine, holder.clone(), stamp);
+                self.note_first_record(&row.machine, holder.clone(), stamp);
             }
             let Some(machine) = self.machines.get_mut(&row.machine) else {
                 let machine = Machine::new(row.clone(), shard, stamp, now, supply);
@@ -339,8 +350,8 @@
             self.ledger.granted(&row.machine, holder);
             tracing::debug!(machine = row.machine, owner = row.owner, token = row.token, "granted");
             self.stops_abroad = true;
-            // A fresh token for the same holder is no new beginning: a machine that takes none of them would else
-            // be waited for as long as it is given new ones.
+            // A new token for the same owner keeps the time of the grant. Otherwise a machine that accepts none of its
+            // tokens would be waited for as long as it gets new ones.
             let renewed =
                 (&machine.row.owner, machine.row.node) == (&row.owner, row.node) && !machine.resolved;
             machine.row = row;
@@ -361,44 +372,47 @@
             machine.up = false;
             machine.silent_since = None;
             machine.idle_since = now;
-            // What had not been sent under the former grant can no longer be.
+            // Starts that were not sent under the former grant can no longer be sent.
             let name = machine.row.machine.clone();
-            self.drop_planned(&name, |_| true);
-            self.recall_word(&name);
+            self.drop_planned_starts(&name, |_| true);
+            self.reapply_machine_status(&name);
         }
         self.place_due = true;
     }
 
-    /// A record of this revision names a machine that was in none that this controller has read.
-    fn learnt_of(&mut self, name: &str, holder: Option<Life>, revision: u64) {
+    /// Records a machine that appears for the first time, in a record of this revision, with its owner if it has one.
+    fn note_first_record(&mut self, name: &str, holder: Option<Life>, revision: u64) {
         let Some(holder) = holder else { return self.ledger.granted(name, None) };
         self.ledger.first_read(name, holder, revision);
-        // Its record could not be read when the jobs were taken over.
+        // A takeover that is in progress began without this machine, whose record could not be read then.
         if self.taking_over {
             self.unresolved.insert(name.to_owned());
         }
     }
 
-    /// Takes back starts on a machine that were planned but never sent.
-    pub(super) fn drop_planned(&mut self, name: &str, which: impl Fn(&TaskId) -> bool) {
+    /// Drops the starts on a machine that were planned but never sent, of the tasks selected by `which`.
+    pub(super) fn drop_planned_starts(&mut self, name: &str, which: impl Fn(&TaskId) -> bool) {
         let Some(machine) = self.machines.get(name) else { return };
         let mut tasks = machine.tasks.clone();
         tasks.retain(|id, t| !t.planned() || !which(id));
         if tasks.len() < machine.tasks.len() {
-            self.replace_tasks(name, tasks, Removal::NeverSent);
+            self.replace_tasks(name, tasks, RemovalGround::NeverSent);
         }
     }
 
+    /// The member of the view that places a job.
     pub(super) fn owner_of(&self, job: &str) -> Option<String> {
         rendezvous(job, self.view.members.iter().map(|m| m.0.as_str())).map(str::to_owned)
     }
 
-    /// This controller is in the view, under its present registration.
+    /// Whether this controller is in the view under its current registration.
     pub(super) fn in_view(&self) -> bool {
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
         self.view.members.iter().any(|(m, s)| m == self.me() && *s == stamp)
     }
 
+    /// Applies a new view: reassigns all jobs, and begins a takeover if jobs of former members are now this
+    /// controller's.
     pub(super) fn view_changed(&mut self) {
         let me = self.settings.member.clone();
         let view_stamp = self.view_stamp;
@@ -408,7 +422,7 @@
         for (id, job) in &mut self.jobs {
             let owner = rendezvous(id, members.iter().map(String::as_str)).map(str::to_owned);
             let mine = owner.as_deref() == Some(&me);
-            // A former life's jobs are as foreign as another controller's.
+            // Jobs of this controller's former registrations count as another controller's.
             let was_mine = self.placing && job.owner.as_deref() == Some(&me);
             if mine && !was_mine && job.stamp < view_stamp {
                 job.adopting = true;
@@ -424,7 +438,7 @@
             let on: Vec<String> =
                 self.jobs.get(&id).map(|j| j.on.values().flatten().cloned().collect()).unwrap_or_default();
             for name in on {
-                self.drop_planned(&name, |t| t.job == id);
+                self.drop_planned_starts(&name, |t| t.job == id);
             }
         }
         let member = self.in_view();
@@ -439,35 +453,43 @@
         self.stops_abroad = true;
         self.unresolved.clear();
         self.inquiry.begin();
-        // Of jobs that are over it owns some as well: what they still run counts against limits, also where nothing else
-        // is taken over. A controller that was back at once said that it used nothing, while forty processors of a
-        // withdrawn job of its own were in use on machines that it had not heard yet.
+        // Tasks of ended jobs still count against their team's limit, so with limited teams the machines must be
+        // accounted for even if no live job is taken over. Otherwise a controller that registered again at once
+        // reported no usage, while forty processors of a withdrawn job of its own were in use on machines that it had
+        // not heard from yet.
         self.taking_over = taken || member && self.limits_teams();
         if self.taking_over {
-            // Only machines that somebody holds can run anything.
-            let used = self.machines.iter().filter(|(_, m)| !m.unused());
-            self.unresolved = used.map(|(name, _)| name.clone()).collect();
+            // Machines without an owner cannot run any task.
+            let granted = self.machines.iter().filter(|(_, m)| !m.unused());
+            self.unresolved = granted.map(|(name, _)| name.clone()).collect();
         }
         tracing::info!(members = ?self.view.members, unresolved = self.unresolved.len(), "new view");
         self.check_adoption();
-        // Who takes jobs over waits until all others have taken the view on.
+        // Controllers that take jobs over wait until all others have reported this view as applied.
         self.status_due = Some(self.now);
         self.place_due = true;
     }
 
+    /// Whether a machine is granted to this controller's current registration.
     pub(super) fn owns(&self, machine: &Machine) -> bool {
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
-        // The stamp alone tells nearly all others apart, and this is asked of every machine all the time.
+        // The cheap comparison comes first, as this is called for every machine very often: the registration differs
+        // for nearly all machines of other controllers.
         machine.row.node == stamp && machine.row.owner == self.settings.member
     }
 
-    /// Replaces what is known of the tasks on a machine. `ground`: why those that are missing are taken for gone.
-    pub(super) fn replace_tasks(&mut self, name: &str, tasks: BTreeMap<TaskId, TaskOn>, ground: Removal) {
+    /// Replaces the known tasks of a machine. `ground`: the reason for which missing tasks are taken to be gone.
+    pub(super) fn replace_tasks(
+        &mut self,
+        name: &str,
+        tasks: BTreeMap<TaskId, TaskOn>,
+        ground: RemovalGround,
+    ) {
         let before = self.set_tasks(name, tasks);
-        self.note_removals(name, &before, ground);
+        self.record_removals(name, &before, ground);
     }
 
-    /// Sets the tasks of a machine, keeping the jobs' index in step, and returns the former ones.
+    /// Sets the tasks of a machine, updates the jobs' index of their tasks' machines, and returns the former tasks.
     pub(super) fn set_tasks(
         &mut self,
         name: &str,
@@ -512,15 +534,16 @@
                 job.note_ended(id.index, name, ended);
             }
         }
-        self.withdraw_duplicates(&duplicates);
+        self.drop_duplicate_starts(&duplicates);
         before
     }
 
+    /// The resources that a task of a job needs; none for an unknown job.
     pub(super) fn need_of(&self, job: &str) -> Resources {
         self.jobs.get(job).map(|j| j.spec.need()).unwrap_or_default()
     }
 
-    /// A view of the completions that the store has of a job.
+    /// Whether the store has a task's completion. A job without a live record counts as completed.
     pub(super) fn is_stored(&self, task: &TaskId) -> bool {
         let stored = |j: &Job| -> bool { TaskSet::contains(&j.stored, task.index) };
         self.jobs.get(&task.job).map_or_else(|| !self.is_live(&task.job), stored)
--- a/src/coordination/replica/tests.rs
+++ b/src/coordination/replica/tests.rs
@@ -1,10 +1,10 @@
-//! Whose a job is.
+//! Tests the assignment of jobs to controllers.
 
 use super::*;
 
-/// Guards the design's promise that a controller's end moves only its own jobs.
+/// Guards against reassigning jobs of remaining controllers when one leaves, and against an uneven distribution.
 #[test]
-fn losing_a_member_moves_only_its_jobs_and_shares_are_even() {
+fn a_lost_member_moves_only_its_own_jobs_and_the_distribution_is_even() {
     let all = ["a", "b", "c"];
     let mut counts = [0; 3];
     for n in 0..6_000 {
--- a/src/coordination/simulation/contradictions.rs
+++ b/src/coordination/simulation/contradictions.rs
@@ -4,10 +4,10 @@
 use super::meetings_starts::starting;
 use super::second_starts::{grant_to, other_than, planned};
 use super::*;
-use crate::coordination::removal::Removal;
+use crate::coordination::removal::RemovalGround;
 
 fn contradictions(c: &Controller) -> u64 {
-    Removal::all().into_iter().map(|ground| c.conclusions_contradicted(ground)).sum()
+    RemovalGround::all().into_iter().map(|ground| c.conclusions_contradicted(ground)).sum()
 }
 
 /// Guards against a wrong conclusion that nobody notices: a start that was sent is taken for one that never was, and the
@@ -30,7 +30,7 @@
         let mut tasks = c.machines[&name].tasks.clone();
         let Some(removed) = tasks.remove(&id) else { continue };
         let before = contradictions(c);
-        c.replace_tasks(&name, tasks, Removal::NeverSent);
+        c.replace_tasks(&name, tasks, RemovalGround::NeverSent);
         assert!(!c.machines[&name].tasks.contains_key(&id));
         let until = world.now + Micros::from_secs(3);
         let there = |c: &Controller| c.machines[&name].tasks.contains_key(&id);
@@ -40,7 +40,7 @@
         let c = world.controllers[n].as_ref().unwrap();
         if there(c) && c.machines[&name].tasks[&id].attempt == removed.attempt {
             assert_eq!(contradictions(c) - before, 1, "seed {seed}");
-            assert!(c.conclusions_contradicted(Removal::NeverSent) > 0, "seed {seed}");
+            assert!(c.conclusions_contradicted(RemovalGround::NeverSent) > 0, "seed {seed}");
             seen += 1;
         }
     }
@@ -74,8 +74,8 @@
         grant_to(&mut world, &name, to);
         world.run(world.now + Micros::from_secs(3));
         for c in world.controllers.iter().flatten() {
-            lost += c.removals(Removal::NeverSent);
-            questioned += c.conclusions_questioned(Removal::NeverSent);
+            lost += c.removals(RemovalGround::NeverSent);
+            questioned += c.conclusions_questioned(RemovalGround::NeverSent);
             assert_eq!(contradictions(c), 0, "seed {seed}, {}", c.me());
         }
     }
--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_lives.rs
@@ -87,7 +87,7 @@
         let witness = world.controllers[leader].as_ref().unwrap().life();
         let asker = world.controllers[back].as_ref().unwrap();
         let open = asker.adopting();
-        let words = asker.machines.values().map(|m| asker.word(m)).collect();
+        let words = asker.machines.values().map(|m| asker.machine_status(m)).collect();
         let former = asker.life().1 - 1;
         let late =
             PeerMessage::Testimony { stamp: witness.1, asker: former, question: u64::MAX, machines: words };
--- a/src/coordination/simulation/meetings.rs
+++ b/src/coordination/simulation/meetings.rs
@@ -117,7 +117,7 @@
     assert!(mine <= after);
     let news = StoreReply::News(News { revision: after + 2, changes });
     let c = world.controllers[node].as_mut().unwrap();
-    c.followed(c.now, news);
+    c.handle_follow_reply(c.now, news);
     assert_eq!((c.jobs.len(), c.applied), (0, 0), "changes of no life are kept");
     assert_eq!(world.lives[node], life);
 }
--- a/src/coordination/simulation/meetings_apart.rs
+++ b/src/coordination/simulation/meetings_apart.rs
@@ -2,12 +2,13 @@
 
 use super::takeovers::array;
 use super::*;
-use crate::coordination::model::{Machine, Pending};
+use crate::coordination::model::{Machine, PendingStart};
 
 /// The machines of a controller to whose addresses starts are on their way.
 fn addressed(world: &World, n: usize) -> Vec<String> {
     let Some(c) = &world.controllers[n] else { return Vec::new() };
-    let direct = |m: &Machine| m.tasks.values().any(|t| matches!(t.pending, Some(Pending::Direct { .. })));
+    let direct =
+        |m: &Machine| m.tasks.values().any(|t| matches!(t.pending, Some(PendingStart::SentDirectly { .. })));
     let talked_to = c.machines.iter().filter(|(_, m)| c.owns(m) && m.talking && direct(m));
     talked_to.map(|(name, _)| name.clone()).collect()
 }
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -487,7 +487,7 @@
     };
     let changes =
         vec![put(stamp - 2), Change::Delete { key: records::node(&member), stamp: stamp - 1 }, put(stamp)];
-    c.followed(c.now, StoreReply::News(News { revision: c.applied + 1, changes }));
+    c.handle_follow_reply(c.now, StoreReply::News(News { revision: c.applied + 1, changes }));
     assert_eq!(c.nodes.get(&member), Some(&stamp));
     c.ledger.heard(&life, u64::MAX - 1, false, c.applied);
     assert!(!c.ledger.listed(&name, &me), "nothing can be missed of a life that is taken for ended");
--- a/src/coordination/simulation/meetings_starts.rs
+++ b/src/coordination/simulation/meetings_starts.rs
@@ -102,7 +102,7 @@
         let c = world.controllers[n].as_mut().unwrap();
         let token = c.machines[&name].row.token;
         c.handle(clock, Event::Worker { machine: name.clone(), token, reply: DirectReply::NotSent });
-        c.drop_planned(&name, |_| true);
+        c.drop_planned_starts(&name, |_| true);
         assert!(c.machines[&name].tasks.contains_key(&id), "seed {seed}: taken back though it was sent");
         // The next report was sent when that answer had come or been given up.
         orders(&mut world, n, &name, None);
--- a/src/coordination/simulation/second_starts.rs
+++ b/src/coordination/simulation/second_starts.rs
@@ -3,7 +3,7 @@
 
 use super::meetings_starts::{orders, starting};
 use super::*;
-use crate::coordination::model::{Machine, Pending};
+use crate::coordination::model::{Machine, PendingStart};
 use crate::protocol::worker::DirectOrders;
 
 /// Another controller than the one that starts a task, and the one that leads.
@@ -65,7 +65,7 @@
         world.run(world.now + Micros::from_millis(1));
         let planned = |m: &Machine| {
             let mut tasks = m.tasks.iter();
-            tasks.find(|(_, t)| matches!(t.pending, Some(Pending::Planned(_)))).map(|(id, _)| id.clone())
+            tasks.find(|(_, t)| matches!(t.pending, Some(PendingStart::Planned(_)))).map(|(id, _)| id.clone())
         };
         let found = world.controllers.iter().enumerate().find_map(|(n, c)| {
             let c = c.as_ref()?;
@@ -90,7 +90,7 @@
         let (n, name, id) = planned(&mut world);
         let held = |c: &Controller| {
             let known = c.machines.iter().find(|(_, m)| c.owns(m) && m.resolved);
-            known.map(|(machine, m)| (machine.clone(), c.word(m)))
+            known.map(|(machine, m)| (machine.clone(), c.machine_status(m)))
         };
         let mut others =
             (0..3).filter(|other| *other != n).filter_map(|other| world.controllers[other].as_ref());
--- a/src/coordination/start_gate.rs
+++ b/src/coordination/start_gate.rs
@@ -1,29 +1,30 @@
-//! The last check before a start leaves its controller.
+//! Performs the last check before a start is sent.
 //!
-//! A start is planned when its task is nowhere, and sent some 200 ms later, when the others know of it. What a controller
-//! learns in between may show the task on another machine after all. Then the plan is withdrawn at once
-//! ([`Controller::withdraw_duplicates`]), and whatever should still come to be sent is stopped here and counted.
+//! A start is planned when its task is on no machine, and sent some 200 ms later, when the other controllers have
+//! confirmed its announcement. In between, a message may show the task on another machine after all. Then the planned
+//! start is dropped at once ([`Controller::drop_duplicate_starts`]). A start that would be sent all the same is held
+//! back here and counted.
 
 use crate::coordination::model::{Job, TaskOn};
 use crate::coordination::quota::{InForce, Permit};
 use crate::coordination::{ByName, Controller, Counters};
 use crate::protocol::worker::TaskId;
 
-/// What decides whether a planned start may be sent now.
+/// The state that decides whether a planned start may be sent now.
 pub(super) struct StartGate<'a> {
-    /// Starts announced by statuses up to this one are known to all who must know.
-    settled: u64,
+    /// All controllers that must know have confirmed the starts announced by statuses up to this number.
+    confirmed_up_to: u64,
     in_force: InForce,
     jobs: &'a ByName<Job>,
 }
 
 impl<'a> StartGate<'a> {
-    /// As of one decision of a controller.
-    pub(super) fn new(settled: u64, in_force: InForce, jobs: &'a ByName<Job>) -> Self {
-        StartGate { settled, in_force, jobs }
+    /// Creates a gate for starts that are sent in the same step.
+    pub(super) fn new(confirmed_up_to: u64, in_force: InForce, jobs: &'a ByName<Job>) -> Self {
+        StartGate { confirmed_up_to, in_force, jobs }
     }
 
-    /// The permit by which a task's start may be sent to a machine now, if it may.
+    /// The permit under which a task's start may be sent to a machine now; none if it may not be sent.
     pub(super) fn permit(
         &self,
         machine: &str,
@@ -31,16 +32,22 @@
         task: &TaskOn,
         counters: &mut Counters,
     ) -> Option<Permit> {
-        let permit = task.may_start(self.settled, self.in_force)?;
+        let permit = task.may_start(self.confirmed_up_to, self.in_force)?;
         if self.may_run_elsewhere(machine, id) {
             counters.starts_held_back += 1;
             let attempt = task.attempt;
-            tracing::error!(machine, task = id.text(), attempt, "not started: it may be on another machine");
+            tracing::error!(
+                machine,
+                task = id.text(),
+                attempt,
+                "start held back: the task may be on another machine"
+            );
             return None;
         }
         Some(permit)
     }
 
+    /// Whether a task may be on another machine than this one.
     fn may_run_elsewhere(&self, machine: &str, id: &TaskId) -> bool {
         let places = self.jobs.get(&id.job).and_then(|job| job.on.get(&id.index));
         places.is_some_and(|places| places.iter().any(|place| place != machine))
@@ -48,12 +55,12 @@
 }
 
 impl Controller {
-    /// Takes back the planned starts of tasks that have turned out to be on other machines too.
-    pub(super) fn withdraw_duplicates(&mut self, tasks: &[TaskId]) {
+    /// Drops the planned starts of tasks that turned out to be on other machines too.
+    pub(super) fn drop_duplicate_starts(&mut self, tasks: &[TaskId]) {
         for id in tasks {
             let places = self.jobs.get(&id.job).and_then(|job| job.on.get(&id.index));
             for name in places.cloned().unwrap_or_default() {
-                self.drop_planned(&name, |task| task == id);
+                self.drop_planned_starts(&name, |task| task == id);
             }
         }
     }
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -39,12 +39,13 @@
             return self.ledger.listed(name, me);
         }
         // Its holder may have been a job's owner until it saw this view.
-        (machine.resolved || self.ledger.listed(name, me)) && self.spoken(machine) >= self.view_stamp
+        (machine.resolved || self.ledger.listed(name, me))
+            && self.reported_revision(machine) >= self.view_stamp
     }
 
     /// Jobs taken over may be started once every machine that could run them is accounted for.
     pub(super) fn check_adoption(&mut self) {
-        if !self.taking_over || self.blind() {
+        if !self.taking_over || self.has_unreadable_blocks() {
             return;
         }
         let me = self.life();
@@ -88,7 +89,7 @@
             self.ask_witnesses();
         }
         if all || !free.is_empty() {
-            self.soon_status();
+            self.schedule_status();
             self.place_due = true;
         }
     }
@@ -137,7 +138,7 @@
         // Of others their present holders tell.
         let open = self.machines.iter().filter(|(_, m)| !(m.unused() || m.resolved && self.holds(m)));
         let known = open.filter(|(name, _)| self.ledger.listed_for(name, &me, &asker));
-        let machines = known.map(|(_, m)| self.word(m)).collect();
+        let machines = known.map(|(_, m)| self.machine_status(m)).collect();
         let testimony = PeerMessage::Testimony { stamp: me.1, asker: asker.1, question, machines };
         self.effects.push(Effect::Send(Some(asker.0), testimony));
     }
@@ -152,7 +153,7 @@
             if self.machines.get(&word.machine).is_none_or(|m| m.resolved) {
                 continue;
             }
-            self.may_be_there(word);
+            self.add_possible_tasks(word);
             if let Some(m) = self.machines.get_mut(&word.machine).filter(|m| m.addr.is_empty()) {
                 m.addr.clone_from(&word.addr);
             }
@@ -204,7 +205,7 @@
             self.status_due = Some(self.now);
         }
         if self.announcements.settled() != before {
-            self.speak();
+            self.send_direct_calls();
         }
     }
 
@@ -264,7 +265,7 @@
                 self.uninformed = (UninformedRecord { node, peers }, revision);
             }
             self.announcements.record_holds(self.now, &record);
-            self.speak();
+            self.send_direct_calls();
         }
     }
 }
--- a/src/coordination/words.rs
+++ b/src/coordination/words.rs
@@ -1,49 +1,54 @@
-//! What controllers tell each other of their machines: changes only, so that the work does not grow
-//! with the fleet times the number of messages.
+//! Exchanges the state of machines between controllers, as changes only, so that the work does not grow with the size
+//! of the fleet times the number of messages.
 //!
-//! A status says of machines what has changed since the one before it. Its sequence shows whether one
-//! was missed; then the words that came still hold, but nothing follows from what was not said, until
-//! the sender has told all again.
+//! A status contains the machines that changed since the previous status. Its sequence number shows whether a status
+//! was missed. After a gap the received machine statuses still hold, but nothing may be concluded from what is absent
+//! until the sender has sent a full status.
 
 use std::collections::BTreeMap;
 
 use marblewalk_recovery::Hearing;
 
-use crate::coordination::conclusions::{Evidence, Sighting};
+use crate::coordination::conclusions::{Evidence, ObservedTask};
 use crate::coordination::model::{Machine, TaskOn};
-use crate::coordination::removal::Removal;
+use crate::coordination::removal::RemovalGround;
 use crate::coordination::{Controller, Effect, Peer, Phase};
 use crate::protocol::peer::{MachineStatus, PeerMessage, Status, Tally, TaskStatus};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::{Cause, TaskId, TaskState};
 
-/// Least time between two requests for all of a controller's words.
-const ASK_SPACING: Micros = Micros::from_millis(400);
+/// Minimum time between two requests to the same controller for a full status.
+const MIN_RESYNC_INTERVAL: Micros = Micros::from_millis(400);
 
-/// How long after something has changed the others are told, together with what changes meanwhile.
-const GATHER: Micros = Micros::from_millis(150);
+/// Delay of a status after a change, so that further changes are sent with it.
+const STATUS_BATCH_DELAY: Micros = Micros::from_millis(150);
 
-/// How long a confirmation may be owed before there is another status.
-const REPEAT: Micros = Micros::from_millis(200);
+/// How long a confirmation may be outstanding before another status is sent.
+const CONFIRMATION_RETRY_INTERVAL: Micros = Micros::from_millis(200);
 
-/// Regular statuses, which also say how far workers' messages have been read.
-const REGULAR: Micros = Micros::from_secs(1);
+/// Interval of regular statuses, which also contain the last report read of each worker.
+const STATUS_INTERVAL: Micros = Micros::from_secs(1);
 
 impl Controller {
-    pub(super) fn soon_status(&mut self) {
-        let at = self.now + GATHER;
+    /// Schedules a status within [`STATUS_BATCH_DELAY`].
+    pub(super) fn schedule_status(&mut self) {
+        let at = self.now + STATUS_BATCH_DELAY;
         self.status_due = Some(self.status_due.map_or(at, |due| due.min(at)));
     }
 
+    /// Sends a status to all controllers if one is due: the regular one, a scheduled one, or one that repeats a request
+    /// for confirmation.
     pub(super) fn status_tick(&mut self) {
-        let regular = self.now.since(self.status_sent) >= REGULAR;
-        let repeat = self.announcements.owed() && self.now.since(self.announced_at) >= REPEAT;
-        if regular || repeat || self.status_due.is_some_and(|at| at <= self.now) {
-            self.send_status(regular);
+        let regular = self.now.since(self.status_sent) >= STATUS_INTERVAL;
+        let confirmation_due =
+            self.announcements.owed() && self.now.since(self.announced_at) >= CONFIRMATION_RETRY_INTERVAL;
+        if regular || confirmation_due || self.status_due.is_some_and(|at| at <= self.now) {
+            self.broadcast_status(regular);
         }
     }
 
-    fn send_status(&mut self, regular: bool) {
+    /// Sends a status to all other controllers: a full one if it has not sent any machine yet, else the changes.
+    fn broadcast_status(&mut self, regular: bool) {
         self.status_due = None;
         self.announced_at = self.now;
         if regular {
@@ -52,10 +57,10 @@
         let whole = self.told.is_empty();
         self.status_sequence += 1;
         self.statuses_to_single = 0;
-        let (machines, tallies) = self.changed_words(regular);
+        let (machines, tallies) = self.collect_machine_changes(regular);
         let over = if whole { self.all_ends() } else { self.ends_to_tell(regular) };
-        let confirm = self.mark_announced() || self.announcements.owed() || self.ends_owed();
-        let status = Status { whole, confirm, machines, tallies, over, ..self.bare_status() };
+        let confirm = self.mark_starts_announced() || self.announcements.owed() || self.ends_owed();
+        let status = Status { whole, confirm, machines, tallies, over, ..self.base_status() };
         if self.lead.is_some() {
             let own = self.settings.member.clone();
             let status = Some(Status { machines: Vec::new(), tallies: Vec::new(), ..status.clone() });
@@ -64,50 +69,53 @@
         self.effects.push(Effect::Send(None, PeerMessage::Status(status)));
     }
 
-    /// All words, for one who has missed some. What has changed meanwhile comes again with the next.
-    fn tell_all(&mut self, to: String) {
+    /// Sends the status of all own machines to a controller that has missed a status. Changes that are not yet
+    /// broadcast are sent again with the next broadcast.
+    fn send_full_status(&mut self, to: String) {
         self.statuses_to_single += 1;
         let machines: Vec<MachineStatus> =
-            self.machines.values().filter(|m| self.owns(m)).map(|m| self.word(m)).collect();
-        let held = self.machines.values().filter(|m| self.owns(m));
+            self.machines.values().filter(|m| self.owns(m)).map(|m| self.machine_status(m)).collect();
+        let own = self.machines.values().filter(|m| self.owns(m));
         let tallies =
-            held.map(|m| Tally { machine: m.row.machine.clone(), session: m.session, tally: m.tally });
+            own.map(|m| Tally { machine: m.row.machine.clone(), session: m.session, tally: m.tally });
         let tallies = tallies.collect();
         let over = self.all_ends_for_one();
-        let status = Status { whole: true, machines, tallies, over, ..self.bare_status() };
+        let status = Status { whole: true, machines, tallies, over, ..self.base_status() };
         self.effects.push(Effect::Send(Some(to), PeerMessage::Status(status)));
     }
 
-    /// What has changed since the others were told. Every machine is compared, rather than marked
-    /// where it changes: there are many such places, and a mark forgotten would be a task forgotten.
-    fn changed_words(&mut self, regular: bool) -> (Vec<MachineStatus>, Vec<Tally>) {
+    /// The own machines that changed since the last broadcast, and the last reports read of them.
+    ///
+    /// Every machine is compared with what was sent, rather than marked as changed in each place that changes it: there
+    /// are many such places, and a missing mark would hide a task from the other controllers.
+    fn collect_machine_changes(&mut self, regular: bool) -> (Vec<MachineStatus>, Vec<Tally>) {
         let mut told = std::mem::take(&mut self.told);
         told.retain(|name, _| self.machines.get(name).is_some_and(|m| self.owns(m)));
-        let mut words = Vec::new();
+        let mut statuses = Vec::new();
         let mut tallies = Vec::new();
         for (name, m) in self.machines.iter().filter(|(_, m)| self.owns(m)) {
             let read = (m.session, m.tally);
             let before = told.get_mut(name);
-            let same = before.as_ref().is_some_and(|(word, _)| self.still_so(m, word));
-            if !same {
-                let word = self.word(m);
-                words.push(word.clone());
-                told.insert(name.clone(), (word, (0, 0)));
+            let unchanged = before.as_ref().is_some_and(|(status, _)| self.matches_status(m, status));
+            if !unchanged {
+                let status = self.machine_status(m);
+                statuses.push(status.clone());
+                told.insert(name.clone(), (status, (0, 0)));
             }
-            if (regular || !same)
-                && let Some((_, seen)) = told.get_mut(name)
-                && *seen != read
+            if (regular || !unchanged)
+                && let Some((_, sent)) = told.get_mut(name)
+                && *sent != read
             {
-                *seen = read;
+                *sent = read;
                 tallies.push(Tally { machine: name.clone(), session: read.0, tally: read.1 });
             }
         }
         self.told = told;
-        (words, tallies)
+        (statuses, tallies)
     }
 
-    /// All planned starts are in what the others have been told by now. Whether any is new.
-    fn mark_announced(&mut self) -> bool {
+    /// Marks all planned starts on own machines as announced by the current status. Returns whether any was new.
+    fn mark_starts_announced(&mut self) -> bool {
         let (me, node) = self.life();
         let mut any = false;
         for machine in self.machines.values_mut().filter(|m| m.row.node == node && m.row.owner == me) {
@@ -124,35 +132,38 @@
         any
     }
 
+    /// Since when no task runs on a machine; none while one does.
     fn idle_since(machine: &Machine) -> Option<Micros> {
         machine.idle().then_some(machine.idle_since)
     }
 
-    /// Since when an own machine has been unheard, if for longer than its report may be late.
+    /// When an own machine was last heard, if that is longer ago than the longest regular time between reports.
     fn unheard_since(&self, machine: &Machine) -> Option<Micros> {
         let last = machine.heard.unwrap_or(machine.since);
-        (self.now.since(last) > self.latest_report()).then_some(last)
+        (self.now.since(last) > self.max_report_gap()).then_some(last)
     }
 
-    fn still_so(&self, m: &Machine, word: &MachineStatus) -> bool {
-        let task = |((id, t), said): ((&TaskId, &TaskOn), &TaskStatus)| {
-            t.attempt == said.attempt && t.state == said.state && t.cause == said.cause && *id == said.task
+    /// Whether a status that was sent for an own machine still describes it.
+    fn matches_status(&self, m: &Machine, status: &MachineStatus) -> bool {
+        let same_task = |((id, t), sent): ((&TaskId, &TaskOn), &TaskStatus)| {
+            t.attempt == sent.attempt && t.state == sent.state && t.cause == sent.cause && *id == sent.task
         };
-        word.token == m.row.token
-            && word.resolved == m.resolved
-            && word.renew == m.renew
-            && word.up == m.up
-            && word.apart == m.apart
-            && word.notice == m.notice
-            && word.lost == m.lost
-            && word.tasks.len() == m.tasks.len()
-            && word.silent_since == self.unheard_since(m)
-            && word.idle_since == Self::idle_since(m)
-            && word.addr == m.addr
-            && m.tasks.iter().zip(&word.tasks).all(task)
+        status.token == m.row.token
+            && status.resolved == m.resolved
+            && status.renew == m.renew
+            && status.up == m.up
+            && status.apart == m.apart
+            && status.notice == m.notice
+            && status.lost == m.lost
+            && status.tasks.len() == m.tasks.len()
+            && status.silent_since == self.unheard_since(m)
+            && status.idle_since == Self::idle_since(m)
+            && status.addr == m.addr
+            && m.tasks.iter().zip(&status.tasks).all(same_task)
     }
 
-    pub(super) fn word(&self, m: &Machine) -> MachineStatus {
+    /// A machine's status as it is sent to other controllers.
+    pub(super) fn machine_status(&self, m: &Machine) -> MachineStatus {
         let tasks = m.tasks.iter().map(|(id, t)| TaskStatus {
             task: id.clone(),
             attempt: t.attempt,
@@ -175,8 +186,8 @@
         }
     }
 
-    /// A status without words on machines.
-    fn bare_status(&mut self) -> Status {
+    /// A status without machines, ended jobs and request for confirmation.
+    fn base_status(&mut self) -> Status {
         Status {
             sequence: self.status_sequence,
             single: self.statuses_to_single,
@@ -192,14 +203,15 @@
             usage_exact: self.usage_is_exact(),
             machines: Vec::new(),
             tallies: Vec::new(),
-            stops: self.foreign_stops(),
+            stops: self.take_peer_stop_requests(),
             over: Vec::new(),
             unheard: self.suspects(),
             deserted: self.deserted(),
         }
     }
 
-    pub(super) fn peer_said(&mut self, from: String, message: PeerMessage) {
+    /// Handles a message from another controller. A reply to a former registration of this controller is dropped.
+    pub(super) fn handle_peer_message(&mut self, from: String, message: PeerMessage) {
         if self.phase != Phase::Active {
             return;
         }
@@ -208,8 +220,8 @@
             return;
         }
         match message {
-            PeerMessage::Status(status) => self.peer_status(from, status),
-            PeerMessage::Again => self.tell_all(from),
+            PeerMessage::Status(status) => self.handle_peer_status(from, status),
+            PeerMessage::Again => self.send_full_status(from),
             PeerMessage::Witness { stamp, question } => self.testify((from, stamp), question),
             PeerMessage::Testimony { stamp, question, machines, .. } => {
                 self.testified(&from, stamp, question, &machines);
@@ -226,17 +238,18 @@
                     self.stop_surplus(&surplus);
                 }
             }
-            PeerMessage::Addresses(list) => self.take_addresses(&list),
+            PeerMessage::Addresses(list) => self.apply_addresses(&list),
             PeerMessage::Heard { machine } => self.heard_elsewhere(machine, from),
             PeerMessage::Stray { machine, kind, zone, spot } => self.stray(machine, kind, zone, spot),
         }
     }
 
-    fn peer_status(&mut self, from: String, mut status: Status) {
-        // Words of a former life, or of a life this controller has not heard of yet, count for nothing.
-        let over = std::mem::take(&mut status.over);
-        // What is over holds whoever says so.
-        over.iter().for_each(|ended| self.told_end(ended));
+    /// Applies another controller's status, and confirms it or requests a full status if one was missed.
+    fn handle_peer_status(&mut self, from: String, mut status: Status) {
+        let ended_jobs = std::mem::take(&mut status.over);
+        // The end of a job is final, so it counts from any sender. The rest counts only under the sender's current
+        // registration: a status of a former one, or of one not known here yet, is dropped.
+        ended_jobs.iter().for_each(|ended| self.told_end(ended));
         if self.nodes.get(&from) != Some(&status.stamp) {
             return;
         }
@@ -246,30 +259,32 @@
             return;
         }
         let (now, clock) = (self.now, status.clock);
-        let here = |at: &mut Option<Micros>| *at = at.map(|at| now.since(clock.since(at)));
-        let mut words = std::mem::take(&mut status.machines);
-        for word in &mut words {
-            here(&mut word.idle_since);
-            here(&mut word.silent_since);
+        let to_local_clock = |at: &mut Option<Micros>| *at = at.map(|at| now.since(clock.since(at)));
+        let mut machines_told = std::mem::take(&mut status.machines);
+        for machine_status in &mut machines_told {
+            to_local_clock(&mut machine_status.idle_since);
+            to_local_clock(&mut machine_status.silent_since);
         }
         let tallies = std::mem::take(&mut status.tallies);
         let stops = std::mem::take(&mut status.stops);
-        // What is in no record that the sender had read has left them since, and is spoken of no more.
-        let read = status.applied <= self.applied && !self.blind();
-        words.retain(|word| !read || self.machines.contains_key(&word.machine));
-        let told = !words.is_empty();
+        // If this controller has read all records that the sender had read, a machine without a record here has been
+        // removed since, and its status is dropped.
+        let read = status.applied <= self.applied && !self.has_unreadable_blocks();
+        machines_told.retain(|told| !read || self.machines.contains_key(&told.machine));
+        let any_told = !machines_told.is_empty();
         let peer = self.peers.entry(from.clone()).or_default();
         let before = peer.status.as_ref().filter(|s| s.stamp == status.stamp);
         if before.is_none() {
             peer.words.clear();
         } else if status.whole {
-            // A word under a grant that has not been read here is all that is known of what this controller has confirmed
-            // there: the sender may have given the machine away since.
+            // A status under a grant that has not been read here is the only trace of the starts that this controller
+            // has confirmed there. It is kept even if the full status lacks the machine, since the sender may have
+            // handed the machine over since.
             let machines = &self.machines;
-            let unread = |word: &MachineStatus| {
-                machines.get(&word.machine).is_none_or(|machine| machine.row.token < word.token)
+            let unread_grant = |status: &MachineStatus| {
+                machines.get(&status.machine).is_none_or(|machine| machine.row.token < status.token)
             };
-            peer.words.retain(|_, word| unread(word));
+            peer.words.retain(|_, status| unread_grant(status));
         }
         let hearing = self.ledger.heard(&life, status.sequence, status.whole, status.applied);
         let reply = match hearing {
@@ -277,7 +292,7 @@
                 let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
                 Some(PeerMessage::Seen { stamp, asker: status.stamp, sequence: status.sequence })
             }
-            Hearing::Broken if now.since(peer.asked_again) >= ASK_SPACING => {
+            Hearing::Broken if now.since(peer.asked_again) >= MIN_RESYNC_INTERVAL => {
                 peer.asked_again = now;
                 Some(PeerMessage::Again)
             }
@@ -288,11 +303,11 @@
         for stop in stops {
             self.request_stop(&stop.machine, &stop.task, stop.attempt, Micros::from_millis(stop.grace_ms));
         }
-        for word in &words {
-            self.machine_told(&from, word);
+        for told in &machines_told {
+            self.apply_machine_status(&from, told);
         }
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.words.extend(words.into_iter().map(|w| (w.machine.clone(), w)));
+            peer.words.extend(machines_told.into_iter().map(|m| (m.machine.clone(), m)));
         }
         for read in tallies {
             if let Some(machine) = self.machines.get_mut(&read.machine).filter(|m| m.row.owner == from) {
@@ -305,45 +320,47 @@
         }
         self.refusals.remove(&from);
         self.check_adoption();
-        self.place_due |= told;
+        self.place_due |= any_told;
     }
 
-    /// The revision as of which a machine's owner has spoken of it under its present grant.
-    pub(super) fn spoken(&self, machine: &Machine) -> u64 {
+    /// The revision up to which a machine's owner had applied the records as of its last status; 0 unless its statuses
+    /// include the machine under the current grant and none of them was missed.
+    pub(super) fn reported_revision(&self, machine: &Machine) -> u64 {
         let holder = (machine.row.owner.clone(), machine.row.node);
         let Some(peer) = self.peers.get(&holder.0).filter(|_| self.ledger.unbroken(&holder)) else {
             return 0;
         };
-        let word = peer.words.get(&machine.row.machine).filter(|w| w.token == machine.row.token);
-        let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.node && word.is_some());
+        let told = peer.words.get(&machine.row.machine).filter(|m| m.token == machine.row.token);
+        let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.node && told.is_some());
         status.map_or(0, |s| s.applied)
     }
 
-    /// What the owner of a machine said of it before its grant was known here.
-    pub(super) fn recall_word(&mut self, name: &str) {
+    /// Applies the machine status that a machine's owner sent before its grant was known here.
+    pub(super) fn reapply_machine_status(&mut self, name: &str) {
         let Some(machine) = self.machines.get(name) else { return };
         let owner = machine.row.owner.clone();
-        if let Some(word) = self.peers.get(&owner).and_then(|p| p.words.get(name)).cloned() {
-            self.machine_told(&owner, &word);
+        if let Some(told) = self.peers.get(&owner).and_then(|p| p.words.get(name)).cloned() {
+            self.apply_machine_status(&owner, &told);
         }
     }
 
-    fn machine_told(&mut self, from: &str, told: &MachineStatus) {
+    /// Applies the status of a machine that its owner has sent.
+    fn apply_machine_status(&mut self, from: &str, told: &MachineStatus) {
         let Some(machine) = self.machines.get(&told.machine) else { return };
         let node = self.nodes.get(from).copied();
         if machine.row.token != told.token || machine.row.owner != from || Some(machine.row.node) != node {
-            return self.told_too_late(told);
+            return self.apply_status_of_other_grant(told);
         }
-        let evidence = if told.resolved { Evidence::Holder } else { Evidence::UnresolvedHolder };
-        self.check_conclusions(&told.machine, evidence, sightings(told));
+        let evidence = if told.resolved { Evidence::HolderStatus } else { Evidence::UnresolvedHolderStatus };
+        self.check_conclusions(&told.machine, evidence, observed_tasks(told));
         let Some(machine) = self.machines.get(&told.machine) else { return };
-        let mut seen = BTreeMap::new();
+        let mut tasks = BTreeMap::new();
         let mut ended = Vec::new();
         for t in &told.tasks {
             let known = machine.tasks.get(&t.task);
-            let before = known.is_some_and(|k| k.attempt == t.attempt && k.ended());
+            let known_ended = known.is_some_and(|k| k.attempt == t.attempt && k.ended());
             if let (TaskState::Ended, Some(cause)) = (t.state, t.cause) {
-                ended.push((t.task.clone(), cause, !before));
+                ended.push((t.task.clone(), cause, !known_ended));
             }
             let on = TaskOn {
                 attempt: t.attempt,
@@ -356,7 +373,7 @@
                 told: false,
                 since: known.map_or(self.now, |k| k.since),
             };
-            seen.insert(t.task.clone(), on);
+            tasks.insert(t.task.clone(), on);
         }
         for t in &told.tasks {
             if let Some(job) = self.jobs.get_mut(&t.task.job) {
@@ -364,13 +381,13 @@
             }
         }
         if !told.resolved {
-            // Until the list is complete, what may be there stays.
+            // The owner's list of tasks is not complete yet, so tasks that may be on the machine stay.
             for (id, t) in &machine.tasks {
-                seen.entry(id.clone()).or_insert_with(|| t.clone());
+                tasks.entry(id.clone()).or_insert_with(|| t.clone());
             }
         }
-        self.replace_tasks(&told.machine, seen, Removal::HolderSaid);
-        self.remember_images(&told.machine);
+        self.replace_tasks(&told.machine, tasks, RemovalGround::NotReportedByHolder);
+        self.record_cached_images(&told.machine);
         if let Some(machine) = self.machines.get_mut(&told.machine) {
             machine.resolved = told.resolved;
             machine.known |= told.resolved;
@@ -398,18 +415,21 @@
         }
     }
 
-    /// A holder that had not heard yet that its machine is another's has announced starts there. Until
-    /// the new holder knows what is on it, they may be.
-    fn told_too_late(&mut self, told: &MachineStatus) {
-        self.check_conclusions(&told.machine, Evidence::OtherGrant, sightings(told));
+    /// Handles a machine status under another grant than the known one.
+    ///
+    /// A former owner that did not know yet of the machine's new grant may have announced starts there. Until the new
+    /// owner knows all tasks on the machine, they may be there.
+    fn apply_status_of_other_grant(&mut self, told: &MachineStatus) {
+        self.check_conclusions(&told.machine, Evidence::StatusOfOtherGrant, observed_tasks(told));
         let Some(machine) = self.machines.get(&told.machine) else { return };
         if told.token < machine.row.token && !machine.resolved {
-            self.may_be_there(told);
+            self.add_possible_tasks(told);
         }
     }
 
-    /// Until a machine is resolved, tasks that somebody says are there may be.
-    pub(super) fn may_be_there(&mut self, told: &MachineStatus) {
+    /// Adds the tasks of a machine status that may be on a machine, without removing others. For a machine whose owner
+    /// does not know all its tasks yet.
+    pub(super) fn add_possible_tasks(&mut self, told: &MachineStatus) {
         let Some(machine) = self.machines.get(&told.machine) else { return };
         let mut tasks = machine.tasks.clone();
         for t in &told.tasks {
@@ -432,8 +452,8 @@
     }
 }
 
-/// The tasks that a word on a machine shows.
-fn sightings(told: &MachineStatus) -> impl Iterator<Item = Sighting<'_>> {
+/// The tasks that a machine status shows.
+fn observed_tasks(told: &MachineStatus) -> impl Iterator<Item = ObservedTask<'_>> {
     let token = told.token;
-    told.tasks.iter().map(move |t| Sighting { task: &t.task, attempt: t.attempt, state: t.state, token })
+    told.tasks.iter().map(move |t| ObservedTask { task: &t.task, attempt: t.attempt, state: t.state, token })
 }
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -13,7 +13,7 @@
 use super::server::{self, Shared};
 use super::workers;
 use crate::bookkeeping::client as store;
-use crate::coordination::{Answer, Breach, Controller, Effect, Event, Removal, RequestId};
+use crate::coordination::{Answer, Breach, Controller, Effect, Event, RemovalGround, RequestId};
 use crate::protocol::peer::PeerMessage;
 use crate::protocol::units::Micros;
 use crate::settings::{Settings, Tuning};
@@ -188,7 +188,7 @@
         let count = c.quota_breaches(breach);
         text += &format!("marblewalk_quota_breaches_total{{rule=\"{}\"}} {count}\n", breach.name());
     }
-    for ground in Removal::all() {
+    for ground in RemovalGround::all() {
         let count = c.removals(ground);
         text += &format!("marblewalk_tasks_taken_for_gone_total{{ground=\"{}\"}} {count}\n", ground.name());
         for (what, count) in [
