--- a/src/coordination/conclusions.rs
+++ b/src/coordination/conclusions.rs
@@ -201,7 +201,11 @@
     }
 
     /// Conclusions on a task that concern other machines than this one.
-    fn elsewhere<'a>(&'a self, machine: &'a str, id: &TaskId) -> impl Iterator<Item = &'a Conclusion> + 'a {
+    fn on_other_machines<'a>(
+        &'a self,
+        machine: &'a str,
+        id: &TaskId,
+    ) -> impl Iterator<Item = &'a Conclusion> + 'a {
         self.by_task.get(id).into_iter().flatten().filter(move |c| c.machine != machine)
     }
 
