--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -144,7 +144,7 @@
                 let me = records::node(self.me());
                 if failed.contains(&records::finished(&spec.id)) {
                     let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
-                    self.look_final(question, IfNotFound::Nothing);
+                    self.look_final(question, IfNotFound::Inconclusive);
                 } else if failed.contains(&records::live(&spec.id)) {
                     let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
                     self.look_live(question, LookupGoal::State);
@@ -225,7 +225,7 @@
                     self.answer_live(question, sent, None);
                 }
                 StoreReply::Conflict { failed } if failed.contains(&records::live(&question.job)) => {
-                    self.look_final(question, IfNotFound::Nothing);
+                    self.look_final(question, IfNotFound::Inconclusive);
                 }
                 // Nothing was said of the others: they are asked about again.
                 StoreReply::Conflict { .. } => self.polls.push(question),
@@ -273,7 +273,9 @@
             }
             StoreReply::Found { stamp, .. } => self.answer_live(question, sent, Some(stamp)),
             // Not live at that moment: then it is over, or was never accepted.
-            StoreReply::Missing => self.look_final(question, IfNotFound::Unknown { as_of: sent, wanted }),
+            StoreReply::Missing => {
+                self.look_final(question, IfNotFound::NeverAccepted { as_of: sent, wanted })
+            }
             _ => self.answer(question.request, Answer::Later(1)),
         }
     }
@@ -315,14 +317,14 @@
                 // Only one that was not live, and was not over either afterwards, had never been accepted by then. A
                 // withdrawal that failed because its controller had been evicted was looked up here, and answered with
                 // 404.
-                IfNotFound::Unknown { as_of, wanted } if self.recent(as_of) => {
+                IfNotFound::NeverAccepted { as_of, wanted } if self.recent(as_of) => {
                     let answer = match wanted {
                         LookupGoal::Refusal(why) => Answer::Impossible(why),
                         _ => Answer::NotFound,
                     };
                     self.answer(question.request, answer);
                 }
-                IfNotFound::Unknown { wanted, .. } if self.now < question.deadline => {
+                IfNotFound::NeverAccepted { wanted, .. } if self.now < question.deadline => {
                     self.look_live(question, wanted);
                 }
                 _ => self.answer(question.request, Answer::Later(1)),
@@ -340,7 +342,7 @@
                 self.retire(&question.job);
                 self.answer_known_end(&question);
             }
-            StoreReply::Conflict { .. } => self.look_final(question, IfNotFound::Nothing),
+            StoreReply::Conflict { .. } => self.look_final(question, IfNotFound::Inconclusive),
             _ => self.answer(question.request, Answer::Later(1)),
         }
     }
@@ -356,7 +358,7 @@
                 let answer = self.live_answer(&question.job);
                 self.answer(question.request, answer);
             }
-            Liveness::Left => self.look_final(question, IfNotFound::Nothing),
+            Liveness::Left => self.look_final(question, IfNotFound::Inconclusive),
             Liveness::Uncertain if self.now < question.deadline && self.entitled() => {
                 if self.jobs.contains_key(&question.job) {
                     self.polls.push(question);
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -279,7 +279,7 @@
                     Some(after) if page.more => self.load(after),
                     _ => {
                         let entries = std::mem::take(&mut self.loading);
-                        self.load_all(entries);
+                        self.apply_loaded_records(entries);
                         self.phase = Phase::Active;
                         self.follow_at = Some(self.now);
                         self.joining.succeeded();
--- a/src/coordination/purposes.rs
+++ b/src/coordination/purposes.rs
@@ -32,24 +32,28 @@
 /// The meaning of a job's missing final record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IfNotFound {
-    /// Nothing: the job was accepted, and may have been live in the meantime.
-    Nothing,
-    /// The job had not been accepted as of this time, since its live record had been looked up before and was missing
-    /// too.
-    Unknown { as_of: Micros, wanted: LookupGoal },
+    /// It proves nothing: the job was accepted, and may have been live in the meantime.
+    Inconclusive,
+    /// The job had never been accepted as of this time, when its live record was looked up and was missing too.
+    NeverAccepted { as_of: Micros, wanted: LookupGoal },
 }
 
 /// The purpose of a call to the state service.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
+    /// Reads the registration that a former process of this controller may have left.
     FindFormerRegistration,
     ReleaseFormerLease,
+    /// Creates the lease for a new registration.
     Lease,
     Register {
         lease: u64,
     },
+    /// Loads a page of the records.
     Load,
+    /// Waits for changes of the records.
     Follow,
+    /// Renews the lease.
     Renew,
     TakeLeadership,
     Evict,
@@ -67,6 +71,7 @@
     CheckLive {
         polls: Vec<JobQuery>,
     },
+    /// Looks up a job's final record.
     LookUpFinal {
         question: JobQuery,
         /// The meaning of a missing final record.
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -104,7 +104,7 @@
     }
 
     /// Applies all records that were loaded after registering.
-    pub(super) fn load_all(&mut self, entries: Vec<Entry>) {
+    pub(super) fn apply_loaded_records(&mut self, entries: Vec<Entry>) {
         self.ledger.loaded(self.applied);
         // Jobs are applied before their completions, and blocks before the view.
         let (last, first): (Vec<_>, Vec<_>) =
