--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -52,8 +52,8 @@
     }
 
     pub(super) fn submitted(&mut self, request: RequestId, spec: Box<JobSpec>) {
-        let question = self.question(request, spec.id.clone(), SUBMITTED_PATIENCE);
-        if self.answer_known_end(&question) {
+        let query = self.question(request, spec.id.clone(), SUBMITTED_PATIENCE);
+        if self.answer_known_end(&query) {
             return;
         }
         if !self.entitled() || self.types.is_empty() {
@@ -61,13 +61,13 @@
         }
         if self.jobs.contains_key(&spec.id) {
             // Known here, but it may be over by now: the store says.
-            return self.look_live(question, LookupGoal::State);
+            return self.look_live(query, LookupGoal::State);
         }
         if let Some(why) = self.impossible(&spec) {
             tracing::debug!(job = spec.id, why, "cannot run");
             // One accepted by another controller must not be refused here, whatever has changed since.
             if self.open_for_reads() {
-                return self.look_live(question, LookupGoal::Refusal(why));
+                return self.look_live(query, LookupGoal::Refusal(why));
             }
             return self.answer(request, Answer::Later(1));
         }
@@ -143,11 +143,11 @@
             StoreReply::Conflict { failed } => {
                 let me = records::node(self.me());
                 if failed.contains(&records::finished(&spec.id)) {
-                    let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
-                    self.look_final(question, IfNotFound::Inconclusive);
+                    let query = self.question(request, spec.id, SUBMITTED_PATIENCE);
+                    self.look_final(query, IfNotFound::Inconclusive);
                 } else if failed.contains(&records::live(&spec.id)) {
-                    let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
-                    self.look_live(question, LookupGoal::State);
+                    let query = self.question(request, spec.id, SUBMITTED_PATIENCE);
+                    self.look_live(query, LookupGoal::State);
                 } else {
                     debug_assert!(failed.contains(&me));
                     self.answer(request, Answer::Later(1));
@@ -158,20 +158,20 @@
     }
 
     pub(super) fn queried(&mut self, request: RequestId, job: String) {
-        let question = self.question(request, job, ASKED_PATIENCE);
-        if self.answer_known_end(&question) {
+        let query = self.question(request, job, ASKED_PATIENCE);
+        if self.answer_known_end(&query) {
             return;
         }
         if self.phase != Phase::Active || !self.entitled() {
             return self.answer(request, Answer::Later(1));
         }
-        if self.jobs.contains_key(&question.job) {
-            self.polls.push(question);
+        if self.jobs.contains_key(&query.job) {
+            self.polls.push(query);
             if self.polls.len() > MOST_POLLS {
                 self.turn_a_poll_away();
             }
         } else if self.open_for_reads() {
-            self.look_live(question, LookupGoal::State);
+            self.look_live(query, LookupGoal::State);
         } else {
             self.answer(request, Answer::Later(1));
         }
@@ -218,155 +218,143 @@
     }
 
     pub(super) fn checked_live(&mut self, polls: Vec<JobQuery>, sent: Micros, reply: StoreReply) {
-        for question in polls {
+        for query in polls {
             match &reply {
                 StoreReply::Committed { .. } => {
-                    self.door.answered(&question.job);
-                    self.answer_live(question, sent, None);
+                    self.door.answered(&query.job);
+                    self.answer_live(query, sent, None);
                 }
-                StoreReply::Conflict { failed } if failed.contains(&records::live(&question.job)) => {
-                    self.look_final(question, IfNotFound::Inconclusive);
+                StoreReply::Conflict { failed } if failed.contains(&records::live(&query.job)) => {
+                    self.look_final(query, IfNotFound::Inconclusive);
                 }
                 // Nothing was said of the others: they are asked about again.
-                StoreReply::Conflict { .. } => self.polls.push(question),
+                StoreReply::Conflict { .. } => self.polls.push(query),
                 _ => {
-                    self.door.unanswered(self.now, &question.job);
-                    self.answer(question.request, Answer::Later(1));
+                    self.door.unanswered(self.now, &query.job);
+                    self.answer(query.request, Answer::Later(1));
                 }
             }
         }
     }
 
     pub(super) fn withdrawal(&mut self, request: RequestId, job: String) {
-        let question = self.question(request, job, SUBMITTED_PATIENCE);
-        if self.answer_known_end(&question) {
+        let query = self.question(request, job, SUBMITTED_PATIENCE);
+        if self.answer_known_end(&query) {
             return;
         }
         if !self.entitled() || self.calls.waiting(Urgency::Withdrawal) >= MOST_WITHDRAWALS {
             return self.answer(request, Answer::Later(1));
         }
-        self.look_live(question, LookupGoal::Withdrawal);
+        self.look_live(query, LookupGoal::Withdrawal);
     }
 
-    fn look_live(&mut self, question: JobQuery, wanted: LookupGoal) {
-        let key = records::live(&question.job);
-        let urgency = if wanted == LookupGoal::Withdrawal { Urgency::Withdrawal } else { Urgency::Rest };
-        self.store(urgency, Purpose::LookUpLive { question, wanted }, StoreCall::Get { key });
+    fn look_live(&mut self, query: JobQuery, goal: LookupGoal) {
+        let key = records::live(&query.job);
+        let urgency = if goal == LookupGoal::Withdrawal { Urgency::Withdrawal } else { Urgency::Rest };
+        self.store(urgency, Purpose::LookUpLive { query, goal }, StoreCall::Get { key });
     }
 
-    fn look_final(&mut self, question: JobQuery, missing: IfNotFound) {
-        let key = records::finished(&question.job);
-        self.store(Urgency::Acceptance, Purpose::LookUpFinal { question, missing }, StoreCall::Get { key });
+    fn look_final(&mut self, query: JobQuery, if_not_found: IfNotFound) {
+        let key = records::finished(&query.job);
+        self.store(Urgency::Acceptance, Purpose::LookUpFinal { query, if_not_found }, StoreCall::Get { key });
     }
 
-    pub(super) fn looked_live(
-        &mut self,
-        question: JobQuery,
-        wanted: LookupGoal,
-        sent: Micros,
-        reply: StoreReply,
-    ) {
+    pub(super) fn looked_live(&mut self, query: JobQuery, goal: LookupGoal, sent: Micros, reply: StoreReply) {
         match reply {
-            StoreReply::Found { value, stamp } if wanted == LookupGoal::Withdrawal => {
+            StoreReply::Found { value, stamp } if goal == LookupGoal::Withdrawal => {
                 let tasks = value.get("Pieces").and_then(|p| p.as_u64()).unwrap_or(0) as u32;
-                self.withdraw(question, stamp, tasks);
+                self.withdraw(query, stamp, tasks);
             }
-            StoreReply::Found { stamp, .. } => self.answer_live(question, sent, Some(stamp)),
+            StoreReply::Found { stamp, .. } => self.answer_live(query, sent, Some(stamp)),
             // Not live at that moment: then it is over, or was never accepted.
-            StoreReply::Missing => {
-                self.look_final(question, IfNotFound::NeverAccepted { as_of: sent, wanted })
-            }
-            _ => self.answer(question.request, Answer::Later(1)),
+            StoreReply::Missing => self.look_final(query, IfNotFound::NeverAccepted { as_of: sent, goal }),
+            _ => self.answer(query.request, Answer::Later(1)),
         }
     }
 
-    fn withdraw(&mut self, question: JobQuery, stamp: u64, tasks: u32) {
+    fn withdraw(&mut self, query: JobQuery, stamp: u64, tasks: u32) {
         let record = FinalRecord { state: Final::Withdrawn, tasks };
         let Ok(value) = serde_json::to_value(record) else {
-            return self.answer(question.request, Answer::Later(1));
+            return self.answer(query.request, Answer::Later(1));
         };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::live(&question.job), stamp),
-                Condition::new(records::finished(&question.job), 0),
+                Condition::new(records::live(&query.job), stamp),
+                Condition::new(records::finished(&query.job), 0),
                 self.entitlement(),
             ],
             writes: vec![
-                Write::delete(records::live(&question.job)),
-                Write::put(records::finished(&question.job), value),
+                Write::delete(records::live(&query.job)),
+                Write::put(records::finished(&query.job), value),
             ],
         };
-        self.store(
-            Urgency::Withdrawal,
-            Purpose::Withdraw { question, tasks },
-            StoreCall::Commit(transaction),
-        );
+        self.store(Urgency::Withdrawal, Purpose::Withdraw { query, tasks }, StoreCall::Commit(transaction));
     }
 
-    pub(super) fn looked_final(&mut self, question: JobQuery, missing: IfNotFound, reply: StoreReply) {
+    pub(super) fn looked_final(&mut self, query: JobQuery, if_not_found: IfNotFound, reply: StoreReply) {
         match reply {
             StoreReply::Found { value, stamp } => match serde_json::from_value::<FinalRecord>(value) {
                 Ok(record) => {
-                    self.learned_end(&question.job, record, stamp, Source::Records);
-                    self.retire(&question.job);
-                    self.answer_known_end(&question);
+                    self.learned_end(&query.job, record, stamp, Source::Records);
+                    self.retire(&query.job);
+                    self.answer_known_end(&query);
                 }
-                Err(_) => self.answer(question.request, Answer::Later(1)),
+                Err(_) => self.answer(query.request, Answer::Later(1)),
             },
-            StoreReply::Missing => match missing {
+            StoreReply::Missing => match if_not_found {
                 // Only one that was not live, and was not over either afterwards, had never been accepted by then. A
                 // withdrawal that failed because its controller had been evicted was looked up here, and answered with
                 // 404.
-                IfNotFound::NeverAccepted { as_of, wanted } if self.recent(as_of) => {
-                    let answer = match wanted {
+                IfNotFound::NeverAccepted { as_of, goal } if self.recent(as_of) => {
+                    let answer = match goal {
                         LookupGoal::Refusal(why) => Answer::Impossible(why),
                         _ => Answer::NotFound,
                     };
-                    self.answer(question.request, answer);
+                    self.answer(query.request, answer);
                 }
-                IfNotFound::NeverAccepted { wanted, .. } if self.now < question.deadline => {
-                    self.look_live(question, wanted);
+                IfNotFound::NeverAccepted { goal, .. } if self.now < query.deadline => {
+                    self.look_live(query, goal);
                 }
-                _ => self.answer(question.request, Answer::Later(1)),
+                _ => self.answer(query.request, Answer::Later(1)),
             },
-            _ => self.answer(question.request, Answer::Later(1)),
+            _ => self.answer(query.request, Answer::Later(1)),
         }
     }
 
-    pub(super) fn withdraw_replied(&mut self, question: JobQuery, tasks: u32, reply: StoreReply) {
+    pub(super) fn withdraw_replied(&mut self, query: JobQuery, tasks: u32, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => {
                 let end = FinalRecord { state: Final::Withdrawn, tasks };
-                self.learned_end(&question.job, end, revision, Source::Records);
+                self.learned_end(&query.job, end, revision, Source::Records);
                 // Its tasks are ended wherever they are found, for no live job has them.
-                self.retire(&question.job);
-                self.answer_known_end(&question);
+                self.retire(&query.job);
+                self.answer_known_end(&query);
             }
-            StoreReply::Conflict { .. } => self.look_final(question, IfNotFound::Inconclusive),
-            _ => self.answer(question.request, Answer::Later(1)),
+            StoreReply::Conflict { .. } => self.look_final(query, IfNotFound::Inconclusive),
+            _ => self.answer(query.request, Answer::Later(1)),
         }
     }
 
     /// Tells of a job that the store has shown to be live, by a request sent then; `stamp`: of its record, where the
     /// reply names it.
-    fn answer_live(&mut self, question: JobQuery, sent: Micros, stamp: Option<u64>) {
-        if self.answer_known_end(&question) {
+    fn answer_live(&mut self, query: JobQuery, sent: Micros, stamp: Option<u64>) {
+        if self.answer_known_end(&query) {
             return;
         }
-        match self.liveness(&question.job, sent, stamp) {
+        match self.liveness(&query.job, sent, stamp) {
             Liveness::Live => {
-                let answer = self.live_answer(&question.job);
-                self.answer(question.request, answer);
+                let answer = self.live_answer(&query.job);
+                self.answer(query.request, answer);
             }
-            Liveness::Left => self.look_final(question, IfNotFound::Inconclusive),
-            Liveness::Uncertain if self.now < question.deadline && self.entitled() => {
-                if self.jobs.contains_key(&question.job) {
-                    self.polls.push(question);
+            Liveness::Left => self.look_final(query, IfNotFound::Inconclusive),
+            Liveness::Uncertain if self.now < query.deadline && self.entitled() => {
+                if self.jobs.contains_key(&query.job) {
+                    self.polls.push(query);
                 } else {
-                    self.look_live(question, LookupGoal::State);
+                    self.look_live(query, LookupGoal::State);
                 }
             }
-            Liveness::Uncertain => self.answer(question.request, Answer::Later(1)),
+            Liveness::Uncertain => self.answer(query.request, Answer::Later(1)),
         }
     }
 
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -346,9 +346,9 @@
     fn turn_away(&mut self, purpose: Purpose) {
         match purpose {
             Purpose::Accept { request, .. } => self.answer(request, super::Answer::Later(1)),
-            Purpose::LookUpLive { question, .. }
-            | Purpose::LookUpFinal { question, .. }
-            | Purpose::Withdraw { question, .. } => self.answer(question.request, super::Answer::Later(1)),
+            Purpose::LookUpLive { query, .. }
+            | Purpose::LookUpFinal { query, .. }
+            | Purpose::Withdraw { query, .. } => self.answer(query.request, super::Answer::Later(1)),
             Purpose::CheckLive { polls } => self.turn_polls_away(polls),
             _ => {}
         }
--- a/src/coordination/purposes.rs
+++ b/src/coordination/purposes.rs
@@ -35,7 +35,7 @@
     /// It proves nothing: the job was accepted, and may have been live in the meantime.
     Inconclusive,
     /// The job had never been accepted as of this time, when its live record was looked up and was missing too.
-    NeverAccepted { as_of: Micros, wanted: LookupGoal },
+    NeverAccepted { as_of: Micros, goal: LookupGoal },
 }
 
 /// The purpose of a call to the state service.
@@ -64,8 +64,8 @@
     },
     /// Looks up whether a job is live; if not, its final record is looked up next.
     LookUpLive {
-        question: JobQuery,
-        wanted: LookupGoal,
+        query: JobQuery,
+        goal: LookupGoal,
     },
     /// Checks in one transaction whether these jobs are live.
     CheckLive {
@@ -73,12 +73,12 @@
     },
     /// Looks up a job's final record.
     LookUpFinal {
-        question: JobQuery,
+        query: JobQuery,
         /// The meaning of a missing final record.
-        missing: IfNotFound,
+        if_not_found: IfNotFound,
     },
     Withdraw {
-        question: JobQuery,
+        query: JobQuery,
         tasks: u32,
     },
     Complete {
