--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -16,7 +16,8 @@
 use crate::protocol::units::Micros;
 use crate::protocol::worker::{Cause, Order, Report, ReportAnswer, TaskId, TaskState};
 
-/// Maximum number of orders in one message to a worker. With the longest ids the message stays far below 64 KiB.
+/// Bound on the orders in one message to a worker: starts are added to an answer only below it, and a direct call
+/// considers at most so many tasks for stops and for starts. With the longest ids so many orders stay far below 64 KiB.
 pub(super) const MAX_ORDERS: usize = 300;
 
 /// How long after a grant a worker may still report to a controller that does not hold it.
