--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -108,7 +108,7 @@
         spot: bool,
     ) {
         let now = self.now;
-        if self.blind() {
+        if self.has_unreadable_blocks() {
             return;
         }
         let Some(lead) = &mut self.lead else { return };
@@ -196,7 +196,8 @@
     /// Whether the cloud no longer lists a machine and its owner has received no report from it in time.
     fn is_gone(&self, name: &str, m: &Machine) -> bool {
         let unlisted = self.lead.as_ref().is_some_and(|l| l.fleet.unlisted.contains(name));
-        let reported_in_time = m.resolved && f64::from(self.dark(m)) <= self.latest_report().as_secs_f64();
+        let reported_in_time =
+            m.resolved && f64::from(self.seconds_unheard(m)) <= self.max_report_gap().as_secs_f64();
         unlisted && !reported_in_time
     }
 
@@ -213,7 +214,7 @@
             Some("slow to boot")
         } else if m.apart {
             Some("faulty")
-        } else if !m.unused() && m.resolved && self.dark(m) > lease_s + 25 {
+        } else if !m.unused() && m.resolved && self.seconds_unheard(m) > lease_s + 25 {
             Some("silent")
         } else if !m.unused()
             && m.up
--- a/src/coordination/lapses.rs
+++ b/src/coordination/lapses.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::coordination::removal::Removal;
+use crate::coordination::removal::RemovalGround;
 use crate::coordination::{Controller, DRIFT, Phase, SLACK};
 use crate::protocol::units::Micros;
 
@@ -51,7 +51,7 @@
             self.counters.lapses += 1;
             tracing::info!(machine = name, "worker lease expired, removing its tasks");
             // Planned starts have not been sent, so they can be planned again in the next session.
-            self.replace_tasks(&name, BTreeMap::new(), Removal::LeaseExpired);
+            self.replace_tasks(&name, BTreeMap::new(), RemovalGround::LeaseExpired);
             self.ledger.holder_reported(&name, &self.life(), true);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.resolved = true;
@@ -65,7 +65,7 @@
             }
         }
         self.check_takeover();
-        self.soon_status();
+        self.schedule_status();
         self.schedule_round();
         self.place_due = true;
     }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -358,7 +358,7 @@
             && self.owner_is_registered(machine)
             && machine.up
             && !machine.lost
-            && self.dark(machine) < 10
+            && self.seconds_unheard(machine) < 10
     }
 
     /// Logs a summary of the deployment for operators.
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -35,7 +35,7 @@
             Phase::Outside if self.joining.ready(self.now) => {
                 self.phase = Phase::Registering;
                 let key = records::node(self.me());
-                self.store(Urgency::Entitlement, Purpose::FormerLife, StoreCall::Get { key });
+                self.store(Urgency::Entitlement, Purpose::FindFormerRegistration, StoreCall::Get { key });
             }
             Phase::Active | Phase::Loading => self.renew_when_due(),
             _ => {}
@@ -90,7 +90,7 @@
             conditions: vec![Condition::new(records::LEADER, 0), self.registration_condition()],
             writes: vec![Write::leased(records::LEADER, value, lease.id)],
         };
-        self.store(Urgency::Entitlement, Purpose::Lead, StoreCall::Commit(transaction));
+        self.store(Urgency::Entitlement, Purpose::TakeLeadership, StoreCall::Commit(transaction));
     }
 
     /// Counts that a controller has refused a connection.
@@ -248,13 +248,13 @@
     /// Handles replies to the calls of registration, loading, renewal, election and eviction.
     pub(super) fn handle_membership_reply(&mut self, purpose: Purpose, sent: Micros, reply: StoreReply) {
         match (purpose, reply) {
-            (Purpose::FormerLife, StoreReply::Found { value, .. }) => {
+            (Purpose::FindFormerRegistration, StoreReply::Found { value, .. }) => {
                 // There is one process per controller, so the one that made this registration has ended.
                 let lease = serde_json::from_value(value).map_or(0, |r: NodeRecord| r.lease);
-                self.store(Urgency::Entitlement, Purpose::ReleaseFormer, StoreCall::Release { lease });
+                self.store(Urgency::Entitlement, Purpose::ReleaseFormerLease, StoreCall::Release { lease });
             }
-            (Purpose::FormerLife, StoreReply::Missing)
-            | (Purpose::ReleaseFormer, StoreReply::Renewed | StoreReply::Missing) => {
+            (Purpose::FindFormerRegistration, StoreReply::Missing)
+            | (Purpose::ReleaseFormerLease, StoreReply::Renewed | StoreReply::Missing) => {
                 let life_ms = self.lease_term.as_millis();
                 self.store(Urgency::Entitlement, Purpose::Lease, StoreCall::Lease { life_ms });
             }
@@ -297,7 +297,7 @@
                     Some(after) if page.more => self.load_page(after),
                     _ => {
                         let entries = std::mem::take(&mut self.loading);
-                        self.load_all(entries);
+                        self.apply_loaded_records(entries);
                         self.phase = Phase::Active;
                         self.follow_at = Some(self.now);
                         self.joining.succeeded();
@@ -326,7 +326,7 @@
                     lease.renewed = self.now.since(Micros(self.lease_term.0 / 6)) + RENEW_RETRY_DELAY;
                 }
             }
-            (Purpose::Lead | Purpose::Evict, _) => {}
+            (Purpose::TakeLeadership | Purpose::Evict, _) => {}
             (Purpose::Load, _) if self.phase != Phase::Loading => {}
             (_, reply) => {
                 tracing::debug!(?reply, "registration or loading failed");
@@ -353,7 +353,7 @@
         self.lead = None;
         self.follow_at = None;
         self.loading.clear();
-        self.forget_replica();
+        self.clear_replica();
         let polls = std::mem::take(&mut self.polls);
         self.defer_polls(polls);
         for (purpose, _) in self.calls.clear() {
@@ -370,16 +370,16 @@
     fn defer_request(&mut self, purpose: Purpose) {
         match purpose {
             Purpose::Accept { request, .. } => self.answer(request, super::Answer::Later(1)),
-            Purpose::LookLive { question, .. }
-            | Purpose::LookFinal { question, .. }
-            | Purpose::Withdraw { question, .. } => self.answer(question.request, super::Answer::Later(1)),
+            Purpose::LookUpLive { query, .. }
+            | Purpose::LookUpFinal { query, .. }
+            | Purpose::Withdraw { query, .. } => self.answer(query.request, super::Answer::Later(1)),
             Purpose::CheckLive { polls } => self.defer_polls(polls),
             _ => {}
         }
     }
 
     /// Tells users who asked about live jobs to retry later.
-    fn defer_polls(&mut self, polls: Vec<super::Question>) {
+    fn defer_polls(&mut self, polls: Vec<super::JobQuery>) {
         for question in polls {
             self.answer(question.request, super::Answer::Later(1));
         }
--- a/src/coordination/purposes.rs
+++ b/src/coordination/purposes.rs
@@ -1,4 +1,4 @@
-//! Why calls to the state service and the cloud were made, kept until their replies come.
+//! Purposes of calls to the state service and the cloud, kept until their replies arrive.
 
 use std::collections::BTreeSet;
 
@@ -9,70 +9,76 @@
 use crate::protocol::job::JobSpec;
 use crate::protocol::units::Micros;
 
-/// What a user asks of a job.
+/// A user's request about a job.
 #[derive(Clone, Debug)]
-pub(crate) struct Question {
+pub(crate) struct JobQuery {
     pub request: RequestId,
     pub job: String,
-    /// When its user has gone.
-    pub until: Micros,
+    /// When the user stops waiting for the answer.
+    pub deadline: Micros,
 }
 
-/// What the records are looked through for.
+/// Why a job's records are looked up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wanted {
-    /// The job's state.
+pub(crate) enum LookupGoal {
+    /// To answer with the job's state.
     State,
-    /// To withdraw it.
+    /// To withdraw the job.
     Withdrawal,
-    /// Whether a submission that cannot run was accepted before; else it is refused, with this reason.
+    /// To check whether a submission that cannot run was accepted before. If not, it is refused with this reason.
     Refusal(&'static str),
 }
 
-/// What the lack of a record of the job's end means.
+/// The meaning of a job's missing final record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Missing {
-    /// Nothing: it has been accepted, and may have been live meanwhile.
-    Nothing,
-    /// It has never been accepted, as of then: its live record had been looked for before.
-    Unknown { as_of: Micros, wanted: Wanted },
+pub(crate) enum IfNotFound {
+    /// It proves nothing: the job was accepted, and may have been live in the meantime.
+    Inconclusive,
+    /// The job had never been accepted as of this time, when its live record was looked up and was missing too.
+    NeverAccepted { as_of: Micros, goal: LookupGoal },
 }
 
-/// Why a call to the state service was made.
+/// The purpose of a call to the state service.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
-    FormerLife,
-    ReleaseFormer,
+    /// Reads the registration that a former process of this controller may have left.
+    FindFormerRegistration,
+    ReleaseFormerLease,
+    /// Creates the lease for a new registration.
     Lease,
     Register {
         lease: u64,
     },
+    /// Loads a page of the records.
     Load,
+    /// Waits for changes of the records.
     Follow,
+    /// Renews the lease.
     Renew,
-    Lead,
+    TakeLeadership,
     Evict,
     Grant,
     Accept {
         request: RequestId,
         spec: Box<JobSpec>,
     },
-    /// Is the job live? If not, is it over?
-    LookLive {
-        question: Question,
-        wanted: Wanted,
+    /// Looks up whether a job is live; if not, its final record is looked up next.
+    LookUpLive {
+        query: JobQuery,
+        goal: LookupGoal,
     },
-    /// Are these jobs live?
+    /// Checks in one transaction whether these jobs are live.
     CheckLive {
-        polls: Vec<Question>,
+        polls: Vec<JobQuery>,
     },
-    LookFinal {
-        question: Question,
-        /// What to do if it is not over either.
-        missing: Missing,
+    /// Looks up a job's final record.
+    LookUpFinal {
+        query: JobQuery,
+        /// The meaning of a missing final record.
+        if_not_found: IfNotFound,
     },
     Withdraw {
-        question: Question,
+        query: JobQuery,
         tasks: u32,
     },
     Complete {
@@ -90,14 +96,14 @@
         request: String,
     },
     Cleanup,
-    Finals,
+    ReadFinals,
     Quota,
     Uninformed {
         record: BTreeSet<Incarnation>,
     },
 }
 
-/// Why a call to the cloud was made.
+/// The purpose of a call to the cloud.
 #[derive(Clone, Debug)]
 pub(crate) enum CloudPurpose {
     Types,
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -39,13 +39,14 @@
             return self.ledger.is_fully_known(name, me);
         }
         // Its owner may have started tasks of its former jobs until it applied this view.
-        (machine.resolved || self.ledger.is_fully_known(name, me)) && self.spoken(machine) >= self.view_stamp
+        (machine.resolved || self.ledger.is_fully_known(name, me))
+            && self.reported_revision(machine) >= self.view_stamp
     }
 
     /// Finishes the takeover of the jobs of which every machine that could run them is accounted for, so that their
     /// tasks may be started.
     pub(super) fn check_takeover(&mut self) {
-        if !self.taking_over || self.blind() {
+        if !self.taking_over || self.has_unreadable_blocks() {
             return;
         }
         let me = self.life();
@@ -89,7 +90,7 @@
             self.query_witnesses();
         }
         if all_accounted || !finished.is_empty() {
-            self.soon_status();
+            self.schedule_status();
             self.place_due = true;
         }
     }
@@ -144,7 +145,7 @@
         let open =
             self.machines.iter().filter(|(_, m)| !(m.unused() || m.resolved && self.owner_is_registered(m)));
         let fully_known = open.filter(|(name, _)| self.ledger.is_fully_known_except_from(name, &me, &asker));
-        let machines = fully_known.map(|(_, m)| self.word(m)).collect();
+        let machines = fully_known.map(|(_, m)| self.machine_status(m)).collect();
         let testimony = PeerMessage::Testimony { stamp: me.1, asker: asker.1, question, machines };
         self.effects.push(Effect::Send(Some(asker.0), testimony));
     }
@@ -159,7 +160,7 @@
             if self.machines.get(&status.machine).is_none_or(|m| m.resolved) {
                 continue;
             }
-            self.may_be_there(status);
+            self.add_possible_tasks(status);
             if let Some(m) = self.machines.get_mut(&status.machine).filter(|m| m.addr.is_empty()) {
                 m.addr.clone_from(&status.addr);
             }
@@ -213,7 +214,7 @@
             self.status_due = Some(self.now);
         }
         if self.announcements.confirmed_through() != confirmed_before {
-            self.speak();
+            self.send_direct_calls();
         }
     }
 
@@ -276,7 +277,7 @@
                 self.uninformed = (UninformedRecord { node, peers }, revision);
             }
             self.announcements.record_committed(self.now, &record);
-            self.speak();
+            self.send_direct_calls();
         }
     }
 }
