--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -1,5 +1,5 @@
-//! How this controller takes part in admission: its parts of the state service's limits, its word to
-//! the others, and the leader's plans.
+//! Admission of submissions and of calls to the state service: this controller's part of the service's rate limits, its
+//! load reports, and the leader's rate plans.
 
 use std::collections::HashMap;
 
@@ -13,138 +13,140 @@
 use crate::protocol::peer::PeerMessage;
 use crate::protocol::units::Micros;
 
-/// What is kept of the store's limits for clocks and for calls counted later than they were sent.
-const MARGIN: f64 = 0.95;
-/// The leader's part of the changes that the store takes: grants and rentals are the leader's, and where
-/// many controllers share the changes, an even part would not do for one grant a second.
-const LEADERS_WRITES: f64 = 1.0 / 3.0;
-/// The part of the limits that the leader leases by plans. The rest is always each controller's own.
-const LEASED: f64 = 0.25;
-/// The part of its changes that a controller spends on new submissions: those accepted must be able to
-/// end.
-const FOR_SUBMISSIONS: f64 = 0.6;
-/// How often controllers speak of their doors, and the leader plans.
-const WORDS_EVERY: Micros = Micros::from_millis(500);
-const PLANS_EVERY: Micros = Micros::from_secs(1);
+/// The usable part of the state service's limits. The rest is a margin for clock differences and for calls that the service
+/// counts later than they were sent.
+const LIMIT_MARGIN: f64 = 0.95;
+/// The leader's part of the write limit. The leader writes grants and rentals, and with many controllers an even part would
+/// not allow one grant per second.
+const LEADER_WRITE_SHARE: f64 = 1.0 / 3.0;
+/// The part of the limits that the leader's plans lease to controllers. The rest is divided statically.
+const LEASED_SHARE: f64 = 0.25;
+/// The part of a controller's writes that new submissions may use. The rest is for recording the progress and the end of
+/// accepted jobs.
+const SUBMISSION_WRITE_SHARE: f64 = 0.6;
+/// How often controllers send load reports.
+const LOAD_REPORT_INTERVAL: Micros = Micros::from_millis(500);
+/// How often the leader publishes a rate plan.
+const PLAN_INTERVAL: Micros = Micros::from_secs(1);
 
 impl Controller {
-    /// Whether a plan is in force here, appointments that are still to be kept, and what has been
-    /// offered, taken and turned away of each team and class.
-    pub fn at_the_door(&self) -> (bool, usize, Vec<(Flow, Row)>) {
-        let rows = self.door.flows.iter().map(|(flow, row)| (flow, row.clone()));
-        (self.held.in_force(self.now).is_some(), self.door.appointments(), rows.collect())
+    /// For the metrics: whether a rate plan is in force here, the number of open retry slots, and by team and class how many
+    /// submissions were offered, accepted and deferred.
+    pub fn admission_metrics(&self) -> (bool, usize, Vec<(Flow, Row)>) {
+        let rows = self.submission_limiter.flows.iter().map(|(flow, row)| (flow, row.clone()));
+        (self.held_lease.in_force(self.now).is_some(), self.submission_limiter.appointments(), rows.collect())
     }
 
-    /// As the leader has divided the pools: demand and share of the teams and classes that want most, and
-    /// how long the oldest job of each has been waiting for its first task, in seconds.
+    /// For the metrics of the leader: demand and share of the teams and classes with the highest demand, and for how many
+    /// seconds the oldest job of each has been waiting for its first task.
     pub fn pool_shares(&self) -> Vec<(&FlowShare, f64)> {
-        let mut shares: Vec<&FlowShare> = self.lead.iter().flat_map(|l| &l.shares).collect();
+        let mut shares: Vec<&FlowShare> = self.leader_state.iter().flat_map(|l| &l.shares).collect();
         if shares.is_empty() {
             return Vec::new();
         }
         let mut oldest: HashMap<(&str, &str), f64> = HashMap::new();
-        for job in self.jobs.values().filter(|j| j.on.is_empty()) {
+        for job in self.jobs.values().filter(|j| j.placements.is_empty()) {
             let waits = oldest.entry((&job.spec.team, &job.spec.class)).or_default();
-            *waits = waits.max(self.now.since(job.since).as_secs_f64());
+            *waits = waits.max(self.now.since(job.known_since).as_secs_f64());
         }
         shares.sort_by(|a, b| b.demand.total_cmp(&a.demand));
         let waits = |s: &FlowShare| oldest.get(&(s.team.as_str(), s.class.as_str())).copied();
         shares.into_iter().take(ROWS).map(|s| (s, waits(s).unwrap_or(0.0))).collect()
     }
 
-    fn count(&self) -> f64 {
+    fn controller_count(&self) -> f64 {
         self.settings.everyone().len() as f64
     }
 
-    /// What the leader's plans divide: nothing where there is one controller.
+    /// The rates that the leader's plans divide; zero if there is only one controller.
     pub(super) fn leased_rates(&self) -> Rates {
-        let leased = if self.count() > 1.0 { LEASED } else { 0.0 };
-        let part = |limit: f64| (limit * MARGIN * leased * 1e3) as u64;
+        let leased = if self.controller_count() > 1.0 { LEASED_SHARE } else { 0.0 };
+        let part = |limit: f64| (limit * LIMIT_MARGIN * leased * 1e3) as u64;
         let state = self.settings.params.state;
         Rates { changes: part(state.write_rps), calls: part(state.rps) }
     }
 
-    /// Sets the rates of calls: this controller's own part, and what it holds by a plan in force.
+    /// Sets the rates of calls to the state service: this controller's static part plus what it holds by a plan in force.
     pub(super) fn set_rates(&mut self) {
-        let (count, state) = (self.count(), self.settings.params.state);
-        let own = if count > 1.0 { MARGIN * (1.0 - LEASED) } else { MARGIN };
-        let leaders = LEADERS_WRITES.max(1.0 / count);
-        let leads = self.lead.is_some() || count == 1.0;
+        let (count, state) = (self.controller_count(), self.settings.params.state);
+        let own = if count > 1.0 { LIMIT_MARGIN * (1.0 - LEASED_SHARE) } else { LIMIT_MARGIN };
+        let leaders = LEADER_WRITE_SHARE.max(1.0 / count);
+        let leads = self.leader_state.is_some() || count == 1.0;
         let part = if leads { leaders } else { (1.0 - leaders) / (count - 1.0) };
-        let held = self.held.rates(self.now);
+        let held = self.held_lease.rates(self.now);
         let calls = state.rps * own / count + held.calls as f64 / 1e3;
         let writes = state.write_rps * own * part + held.changes as f64 / 1e3;
-        self.own_rates = (state.rps * own / count, state.write_rps * own * part);
-        self.calls.set_rates(self.now, calls, writes);
+        self.base_rates = (state.rps * own / count, state.write_rps * own * part);
+        self.store_calls.set_rates(self.now, calls, writes);
     }
 
-    /// What can be let in at this controller's door now.
+    /// This controller's present capacity for new submissions.
     pub(super) fn capacity(&self) -> Capacity {
         Capacity {
-            per_s: self.calls.writes_per_s() * FOR_SUBMISSIONS,
-            behind: self.calls.delay(Urgency::Acceptance),
+            per_s: self.store_calls.writes_per_s() * SUBMISSION_WRITE_SHARE,
+            behind: self.store_calls.delay(Urgency::Acceptance),
         }
     }
 
-    /// Tells the others what is offered here, and as the leader makes the next plan.
+    /// Sends this controller's load report and, if it is the leader, publishes the next rate plan, as each is due.
     pub(super) fn admission_tick(&mut self) {
         self.set_rates();
-        self.door.follow(self.held.in_force(self.now));
-        if self.now >= self.word_at && self.entitled() && self.count() > 1.0 {
-            self.word_at = self.now + WORDS_EVERY;
-            let word = self.door_word();
-            let plans = self.lead.as_mut().and_then(|l| l.planner.as_mut());
+        self.submission_limiter.follow(self.held_lease.in_force(self.now));
+        if self.now >= self.next_load_report_at && self.entitled() && self.controller_count() > 1.0 {
+            self.next_load_report_at = self.now + LOAD_REPORT_INTERVAL;
+            let word = self.build_load_report();
+            let plans = self.leader_state.as_mut().and_then(|l| l.planner.as_mut());
             if let Some(planner) = plans {
                 planner.heard(self.now, &self.settings.member, word.clone());
             }
             self.effects.push(Effect::Send(None, PeerMessage::Door(word)));
         }
-        if self.lead.as_ref().is_some_and(|l| self.now >= l.plan_at) && self.entitled() {
-            self.plan_admission();
+        if self.leader_state.as_ref().is_some_and(|l| self.now >= l.plan_at) && self.entitled() {
+            self.publish_rate_plan();
         }
     }
 
-    fn door_word(&mut self) -> Word {
-        let (calls, changes) = self.calls.wanted(self.now);
+    fn build_load_report(&mut self) -> Word {
+        let (calls, changes) = self.store_calls.wanted(self.now);
         let beyond = |wanted: f64, own: f64| ((wanted - own).max(0.0) * 1e3) as u64;
         Word {
-            life: self.lease.as_ref().map_or(0, |l| l.stamp),
+            life: self.lease.as_ref().map_or(0, |l| l.registration),
             clock: self.now,
-            plan: self.held.number(),
-            holds: self.held.rates(self.now),
+            plan: self.held_lease.number(),
+            holds: self.held_lease.rates(self.now),
             wants: Rates {
-                changes: beyond(changes, self.own_rates.1),
-                calls: beyond(calls, self.own_rates.0),
+                changes: beyond(changes, self.base_rates.1),
+                calls: beyond(calls, self.base_rates.0),
             },
-            offered: self.door.flows.offered(self.now),
-            appointments: self.door.tell(self.now),
+            offered: self.submission_limiter.flows.offered(self.now),
+            appointments: self.submission_limiter.tell(self.now),
         }
     }
 
-    fn plan_admission(&mut self) {
-        let members: Vec<(String, u64)> = self.nodes.iter().map(|(m, s)| (m.clone(), *s)).collect();
-        let submissions = self.settings.params.state.write_rps * MARGIN * FOR_SUBMISSIONS;
-        let Some(lead) = &mut self.lead else { return };
-        lead.plan_at = self.now + PLANS_EVERY;
+    fn publish_rate_plan(&mut self) {
+        let members: Vec<(String, u64)> = self.registrations.iter().map(|(m, s)| (m.clone(), *s)).collect();
+        let submissions = self.settings.params.state.write_rps * LIMIT_MARGIN * SUBMISSION_WRITE_SHARE;
+        let Some(lead) = &mut self.leader_state else { return };
+        lead.plan_at = self.now + PLAN_INTERVAL;
         let Some(planner) = &mut lead.planner else { return };
         let plan = planner.plan(self.now, &members, submissions);
         self.effects.push(Effect::Send(None, PeerMessage::Plan(plan.clone())));
-        self.plan_said(&plan);
+        self.handle_rate_plan(&plan);
     }
 
-    /// Another controller's word on its door.
-    pub(super) fn door_said(&mut self, from: &str, word: Word) {
-        self.door.told(self.now, &word.appointments);
-        if let Some(planner) = self.lead.as_mut().and_then(|l| l.planner.as_mut()) {
+    /// Handles another controller's load report.
+    pub(super) fn handle_load_report(&mut self, from: &str, word: Word) {
+        self.submission_limiter.told(self.now, &word.appointments);
+        if let Some(planner) = self.leader_state.as_mut().and_then(|l| l.planner.as_mut()) {
             planner.heard(self.now, from, word);
         }
     }
 
-    /// A plan, which counts if it is the recorded leader's.
-    pub(super) fn plan_said(&mut self, plan: &Plan) {
+    /// Applies a rate plan if it is from the recorded leader.
+    pub(super) fn handle_rate_plan(&mut self, plan: &Plan) {
         let leader = self.leader.as_ref().map_or(0, |l| l.2);
-        let life = self.lease.as_ref().map_or(0, |l| l.stamp);
-        if self.held.take(self.now, (&self.settings.member, life), leader, plan) {
+        let life = self.lease.as_ref().map_or(0, |l| l.registration);
+        if self.held_lease.take(self.now, (&self.settings.member, life), leader, plan) {
             self.set_rates();
         }
     }
--- a/src/coordination/backfill.rs
+++ b/src/coordination/backfill.rs
@@ -21,7 +21,7 @@
 use marblewalk_admission::pool::Turn;
 
 use crate::coordination::Controller;
-use crate::coordination::eligibility::{Cards, HeldBack, allows};
+use crate::coordination::eligibility::{AcceleratorPolicy, GangHold, allows};
 use crate::coordination::model::Job;
 use crate::coordination::volume_plan::limits;
 use crate::protocol::job::{JobSpec, Priority, Shape};
@@ -112,7 +112,7 @@
 impl Controller {
     /// Gives volumes to waiting jobs that have none and fit into what the others' leave.
     pub(super) fn backfill(&mut self, volumes: &mut Vec<Volume>) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let mut backfill = std::mem::take(&mut lead.backfill);
         self.keep_backfilled(&mut backfill, volumes);
         let waiting = self.backfill_candidates(&backfill, volumes);
@@ -120,17 +120,17 @@
             self.name_backfilled(&mut backfill, volumes, waiting);
         }
         self.lower_for_those_in_line(&backfill, volumes);
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.backfill = backfill;
         }
     }
 
     /// Backfills those of the waiting jobs for which there is room.
     fn name_backfilled(&self, backfill: &mut Backfill, volumes: &mut Vec<Volume>, waiting: Vec<String>) {
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader_state else { return };
         let holds = self.now.since(lead.since).0 % CYCLE.0 < HOLD.0;
         let mut idle = self.idle(volumes);
-        let cards = self.cards(self.machines.values().filter(|m| self.serving(m)));
+        let cards = self.accelerator_policy(self.machines.values().filter(|m| self.serving(m)));
         let mut line = self.part_for_overdue(backfill);
         let mut beside_gangs = self.backfilled_beside_gangs(backfill);
         let mut held_teams = BTreeSet::new();
@@ -237,13 +237,13 @@
                 && job.unfinished() > 0
                 && job.wait.waited(self.now) >= BACKFILL_AFTER
                 && !with_volume.contains(id)
-                && !self.held(id)
-                && !self.mistaken(id)
+                && !self.awaits_retry(id)
+                && !self.is_broken(id)
                 && !backfill.given_up.contains_key(id)
         };
         let waiting = self.jobs.iter().filter(|(id, job)| waits(id, job));
         let mut waiting: Vec<_> =
-            waiting.map(|(id, job)| (job.wait.since, self.precedence(job), id.clone())).collect();
+            waiting.map(|(id, job)| (job.wait.unplaced_since, self.precedence(job), id.clone())).collect();
         waiting.sort();
         let mut waiting: Vec<String> = waiting.into_iter().map(|(.., id)| id).collect();
         let last = backfill.resume_behind.as_ref().and_then(|last| waiting.iter().position(|id| id == last));
@@ -262,7 +262,7 @@
             let expected = if self.is_stalled(id) { 0 } else { volume.saturating_sub(job.placed()) };
             idle.take(&job.spec, job.spec.need().times(u64::from(expected)));
         }
-        let left = self.lead.iter().flat_map(|lead| &lead.left_by_plan);
+        let left = self.leader_state.iter().flat_map(|lead| &lead.left_by_plan);
         let free = left.filter_map(|(name, left)| {
             let machine = self.machines.get(name).filter(|m| self.serving(m))?;
             Some((name.clone(), left.min(machine.free())))
@@ -361,7 +361,7 @@
             zone: spec.zone.clone(),
             spot: spec.spot,
             one_zone: spec.one_zone,
-            overdue: Cards::lets_in_after(job.wait.waited(self.now)),
+            overdue: AcceleratorPolicy::is_overdue(job.wait.waited(self.now)),
         }
     }
 
@@ -369,22 +369,22 @@
     fn take_places(
         &self,
         rooms: &mut BTreeMap<String, Resources>,
-        cards: Cards,
+        cards: AcceleratorPolicy,
         spec: &JobSpec,
         tasks: u64,
     ) -> bool {
-        let cards = cards.after(self.waited(&spec.id));
-        let closed = HeldBack::from(self, &self.reserved, spec);
+        let cards = cards.for_wait(self.waited(&spec.id));
+        let closed = GangHold::from(self, &self.gang_reservations, spec);
         let mut zones: BTreeMap<&str, Vec<(String, u64)>> = BTreeMap::new();
         let mut chosen = None;
         for (name, room) in rooms.iter().filter(|(_, room)| spec.need().fits(**room)) {
-            let Some(m) = self.machines.get(name).filter(|m| allows(spec, m) && !closed.holds(m)) else {
+            let Some(m) = self.machines.get(name).filter(|m| allows(spec, m) && !closed.covers(m)) else {
                 continue;
             };
             let zone = if spec.one_zone { m.row.zone.as_str() } else { "" };
             let places = zones.entry(zone).or_default();
             let before: u64 = places.iter().map(|(_, n)| n).sum();
-            let here = cards.times(spec, m, self.room_for(spec, name, *room)).min(tasks - before);
+            let here = cards.tasks_that_fit(spec, m, self.room_for(spec, name, *room)).min(tasks - before);
             if here > 0 {
                 places.push((name.clone(), here));
             }
@@ -403,16 +403,16 @@
 
     /// Whether a job makes no use of its volume, as the leader has seen it.
     pub(super) fn is_stalled(&self, id: &str) -> bool {
-        self.lead.as_ref().is_some_and(|l| l.stalls.is_stalled(id))
+        self.leader_state.as_ref().is_some_and(|l| l.stalls.is_stalled(id))
     }
 
     /// Notes which jobs below their volume start nothing though their team's limit has room for them at their owner.
     pub(super) fn note_stalls(&mut self) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let mut stalls = std::mem::take(&mut lead.stalls);
-        stalls.retain(|id| self.jobs.get(id).is_some_and(|j| j.lacking() > 0));
+        stalls.retain(|id| self.jobs.get(id).is_some_and(|j| j.remaining_volume() > 0));
         let mut left_of_share = HashMap::new();
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.lacking() > 0) {
+        for (id, job) in self.jobs.iter().filter(|(_, j)| j.remaining_volume() > 0) {
             let Some(owner) = job.owner.as_deref() else { continue };
             let left = left_of_share
                 .entry((owner, job.spec.team.as_str()))
@@ -422,7 +422,7 @@
             let has_room = left.is_none_or(|left| Resources { memory: 0, ..need }.fits(left));
             stalls.observe(self.now, id, job.started(), has_room);
         }
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.stalls = stalls;
         }
     }
--- a/src/coordination/blocks.rs
+++ b/src/coordination/blocks.rs
@@ -4,7 +4,7 @@
 
 use crate::bookkeeping::records::BlockRow;
 use crate::coordination::Controller;
-use crate::coordination::eligibility::{Cards, HeldBack, allows, keeps_dear};
+use crate::coordination::eligibility::{AcceleratorPolicy, GangHold, allows, keeps_costly_machine};
 use crate::coordination::leader::Unplaced;
 use crate::coordination::model::{Job, Machine};
 use crate::protocol::job::JobSpec;
@@ -71,10 +71,10 @@
         let mut moves: BTreeMap<String, String> = BTreeMap::new();
         let mut unplaced = Vec::new();
         let mut promised = BTreeSet::new();
-        let cards = self.cards(self.machines.values().filter(|m| self.serving(m)));
+        let cards = self.accelerator_policy(self.machines.values().filter(|m| self.serving(m)));
         // Gangs come together whole or not at all: a part that waits for the rest would only idle.
         let mut reserved: Vec<(String, String)> = Vec::new();
-        let whole = |j: &Job| j.is_gang() && j.on.is_empty() && !j.spec.spread;
+        let whole = |j: &Job| j.is_gang() && j.placements.is_empty() && !j.spec.spread;
         for short in order.iter_mut().filter(|s| whole(s.job)) {
             match self.gang_places(short.id, short.job, short.owner, &spots, &reserved, cards) {
                 Ok(places) => {
@@ -91,7 +91,7 @@
                 Err(zone) => {
                     promised.extend(self.kept_for_gang(short.job, zone.as_deref(), &spots));
                     if let Some(zone) = zone
-                        && !self.mistaken(short.id)
+                        && !self.is_broken(short.id)
                         && reserved.len() < self.zones_reservable(self.overdue(short.job))
                     {
                         reserved.push((zone, short.id.clone()));
@@ -121,11 +121,11 @@
         let left_by_plan = with_room.map(|spot| (spot.name.to_owned(), spot.room)).collect();
         self.rescue(&mut moves);
         self.regrant(&mut moves);
-        for (name, m) in self.machines.iter().filter(|(_, m)| m.renew && self.holds(m)) {
+        for (name, m) in self.machines.iter().filter(|(_, m)| m.token_renewal_needed && self.holds(m)) {
             moves.entry(name.clone()).or_insert_with(|| m.row.owner.clone());
         }
-        self.reserved = reserved;
-        let Some(lead) = &mut self.lead else { return Default::default() };
+        self.gang_reservations = reserved;
+        let Some(lead) = &mut self.leader_state else { return Default::default() };
         lead.left_by_plan = left_by_plan;
         lead.unplaced = unplaced;
         lead.promised = promised;
@@ -135,17 +135,17 @@
 
     /// The machines that work can be planned on, by name.
     fn spots(&self) -> Vec<Spot<'_>> {
-        let Some(lead) = &self.lead else { return Vec::new() };
+        let Some(lead) = &self.leader_state else { return Vec::new() };
         let settling = |name: &String| lead.moved.get(name).is_some_and(|at| self.now.since(*at) < SETTLE);
         let mut spots = Vec::new();
         for (name, machine) in &self.machines {
             let moved = settling(name);
-            let fresh = machine.unused()
+            let fresh = machine.never_granted()
                 && !machine.row.returning
                 && lead.strays.contains_key(name)
-                && self.everyone_applied(machine.stamp);
+                && self.everyone_applied(machine.grant_revision);
             // One on its way to a new owner will be there shortly.
-            let comes = || moved && !machine.unused() && self.holds(machine) && !machine.row.returning;
+            let comes = || moved && !machine.never_granted() && self.holds(machine) && !machine.row.returning;
             if fresh || self.serving(machine) || comes() {
                 let room = if fresh { machine.supply } else { machine.free() };
                 let (displaced, held) = (Resources::default(), machine.row.owner.as_str());
@@ -157,15 +157,21 @@
 
     /// The jobs that are to have more tasks than they have places, in order of precedence.
     fn short_jobs(&self, spots: &[Spot<'_>]) -> Vec<Short<'_>> {
-        let short = self.jobs.iter().filter(|(_, j)| j.lacking() > 0);
-        let short = short.filter(|(id, _)| !self.held(id));
+        let short = self.jobs.iter().filter(|(_, j)| j.remaining_volume() > 0);
+        let short = short.filter(|(id, _)| !self.awaits_retry(id));
         let mut order: Vec<Short> = short
             .filter_map(|(id, job)| {
                 let zones = self.zones_left(id, job, spots.iter().map(|s| (s.machine, s.room)));
-                Some(Short { id, job, owner: job.owner.as_ref()?, count: u64::from(job.lacking()), zones })
+                Some(Short {
+                    id,
+                    job,
+                    owner: job.owner.as_ref()?,
+                    count: u64::from(job.remaining_volume()),
+                    zones,
+                })
             })
             .collect();
-        order.sort_by_cached_key(|s| self.placing_precedence(s.job));
+        order.sort_by_cached_key(|s| self.placement_precedence(s.job));
         order
     }
 
@@ -176,13 +182,13 @@
         spots: &mut [Spot<'_>],
         own: bool,
         reserved: &[(String, String)],
-        cards: Cards,
+        cards: AcceleratorPolicy,
     ) -> Vec<usize> {
         let spec = &short.job.spec;
         let need = spec.need();
         // What its owner can make room for counts as room.
         let displaces = self.may_displace(spec);
-        let closed = HeldBack::from(self, reserved, spec);
+        let closed = GangHold::from(self, reserved, spec);
         let mut options = Vec::new();
         for (i, spot) in spots.iter().enumerate() {
             // Most machines are full: the cheap check first.
@@ -192,13 +198,21 @@
             }
             if (displaces || need.fits(self.room_for(spec, spot.name, spot.room)))
                 && allows(spec, spot.machine)
-                && !closed.holds(spot.machine)
+                && !closed.covers(spot.machine)
             {
                 let foreign = !own && !spot.held.is_empty();
                 let cards_idle = spot.machine.supply.gpu > 0 && spec.gpus == 0.0;
                 let busy = foreign && !spot.machine.idle();
-                let doubt = self.blame.doubt(short.id, spot.name);
-                let key = (doubt, cards_idle, keeps_dear(spec, spot.machine), !fits, busy, spot.room.cpu, i);
+                let doubt = self.fault_attribution.doubt(short.id, spot.name);
+                let key = (
+                    doubt,
+                    cards_idle,
+                    keeps_costly_machine(spec, spot.machine),
+                    !fits,
+                    busy,
+                    spot.room.cpu,
+                    i,
+                );
                 options.push(key);
             }
         }
@@ -232,8 +246,15 @@
     }
 
     /// How many tasks of a job a machine takes in the room it has.
-    fn slots(&self, spec: &JobSpec, name: &str, machine: &Machine, room: Resources, cards: Cards) -> u64 {
-        cards.after(self.waited(&spec.id)).times(spec, machine, self.room_for(spec, name, room))
+    fn slots(
+        &self,
+        spec: &JobSpec,
+        name: &str,
+        machine: &Machine,
+        room: Resources,
+        cards: AcceleratorPolicy,
+    ) -> u64 {
+        cards.for_wait(self.waited(&spec.id)).tasks_that_fit(spec, machine, self.room_for(spec, name, room))
     }
 
     /// Where all tasks of a gang fit: where its owner has the room already, or else in the zone that
@@ -245,11 +266,11 @@
         owner: &str,
         spots: &[Spot<'_>],
         reserved: &[(String, String)],
-        cards: Cards,
+        cards: AcceleratorPolicy,
     ) -> Result<Vec<(usize, u64)>, Option<String>> {
         let spec = &job.spec;
         let size = u64::from(spec.tasks);
-        let closed = HeldBack::from(self, reserved, spec);
+        let closed = GangHold::from(self, reserved, spec);
         let mut zones: BTreeMap<&str, Vec<Offer>> = BTreeMap::new();
         for (i, spot) in spots.iter().enumerate().filter(|(_, s)| spec.need().fits(s.room)) {
             let m = spot.machine;
@@ -258,12 +279,12 @@
                 continue;
             }
             let slots = self.slots(spec, spot.name, m, spot.room, cards);
-            if slots > 0 && !closed.holds(m) {
+            if slots > 0 && !closed.covers(m) {
                 let zone = if spec.one_zone { m.row.zone.as_str() } else { "" };
                 let dear = m.supply.gpu > 0 && spec.gpus == 0.0;
                 let busy = foreign && !m.idle();
                 zones.entry(zone).or_default().push(Offer {
-                    doubt: self.blame.doubt(id, spot.name),
+                    doubt: self.fault_attribution.doubt(id, spot.name),
                     dear,
                     foreign,
                     busy,
@@ -278,7 +299,7 @@
         let fitting = zones.values().filter(|rows| total(rows, false) >= size);
         let Some(rows) = fitting.min_by_key(|rows| (total(rows, true) < size, total(rows, false))) else {
             // The zone stays the same from round to round, or room would be held back in all of them.
-            let before = self.reserved.iter().find(|(_, j)| j == id).map(|(zone, _)| zone.clone());
+            let before = self.gang_reservations.iter().find(|(_, j)| j == id).map(|(zone, _)| zone.clone());
             let most = zones.iter().max_by_key(|(_, rows)| total(rows, false));
             return Err(before.or_else(|| most.map(|(zone, _)| (*zone).to_owned())));
         };
@@ -325,12 +346,12 @@
     }
 
     fn overdue(&self, job: &Job) -> bool {
-        self.now.since(job.since).as_secs_f64() > self.tuning.longest_wait_s
+        self.now.since(job.known_since).as_secs_f64() > self.tuning.longest_wait_s
     }
 
     pub(super) fn heard_elsewhere(&mut self, machine: String, by: String) {
         let now = self.now;
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.heard.insert(machine, (by, now));
         }
     }
@@ -341,23 +362,24 @@
     /// One that is heard now here, now there, and never takes what any of them says, hears none: moved from one to
     /// the next it was never resolved, nor returned, and held its tasks for ever.
     fn rescue(&mut self, moves: &mut BTreeMap<String, String>) {
-        let mut rescued = self.lead.as_mut().map(|l| std::mem::take(&mut l.rescued)).unwrap_or_default();
-        rescued.retain(|name, _| self.machines.get(name).is_some_and(|m| !m.resolved || m.lost));
+        let mut rescued =
+            self.leader_state.as_mut().map(|l| std::mem::take(&mut l.rescued)).unwrap_or_default();
+        rescued.retain(|name, _| self.machines.get(name).is_some_and(|m| !m.resolved || m.unresponsive));
         self.rescue_cut_off(&mut rescued, moves);
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.rescued = rescued;
         }
     }
 
     fn rescue_cut_off(&self, rescued: &mut BTreeMap<String, u32>, moves: &mut BTreeMap<String, String>) {
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader_state else { return };
         let silent = (self.report_every.as_secs_f64() * 2.0 + 1.0) as u32;
         for (name, (by, at)) in &lead.heard {
-            let recent = self.now.since(*at) < Micros::from_secs(6) && self.nodes.contains_key(by);
-            let Some(m) = self.machines.get(name).filter(|m| !m.unused() && !m.row.returning) else {
+            let recent = self.now.since(*at) < Micros::from_secs(6) && self.registrations.contains_key(by);
+            let Some(m) = self.machines.get(name).filter(|m| !m.never_granted() && !m.row.returning) else {
                 continue;
             };
-            let word = self.peers.get(&m.row.owner).map_or(Micros::MAX, |p| self.now.since(p.heard));
+            let word = self.peers.get(&m.row.owner).map_or(Micros::MAX, |p| self.now.since(p.last_heard));
             let unheard = self.dark(m) >= silent || word > Micros::from_secs(u64::from(silent));
             let times = rescued.get(name).copied().unwrap_or(0);
             let another = m.row.owner != *by && !lead.moved.contains_key(name);
@@ -382,7 +404,7 @@
         let counts = self.zone_counts(id);
         if spec.spread {
             let most = u64::from(spec.tasks.div_ceil(2));
-            let mut zones: Vec<String> = self.types.values().flat_map(|t| t.zones.clone()).collect();
+            let mut zones: Vec<String> = self.machine_types.values().flat_map(|t| t.zones.clone()).collect();
             zones.extend(counts.keys().cloned());
             let left = |z: &String| most.saturating_sub(u64::from(counts.get(z).copied().unwrap_or(0)));
             return Some(zones.into_iter().map(|z| (left(&z), z)).map(|(n, z)| (z, n)).collect());
--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -1,7 +1,7 @@
 //! Direct calls to workers: what is started and stopped without waiting for their next reports, and what their replies prove.
 
 use crate::coordination::machines::MOST_ORDERS;
-use crate::coordination::model::{Pending, TaskOn};
+use crate::coordination::model::{Pending, PlacedTask};
 use crate::coordination::start_gate::StartGate;
 use crate::coordination::{Controller, Effect};
 use crate::protocol::units::Micros;
@@ -20,36 +20,42 @@
     /// Sends what is planned, and what is to be stopped, straight to the workers, rather than with the
     /// answers to their next reports, and asks machines that have just been granted how they stand.
     pub(super) fn speak(&mut self) {
-        let Some(proof) = self.proof().filter(|_| self.placing) else { return };
+        let Some(proof) = self.authorization().filter(|_| self.is_view_member) else { return };
         let now = self.now;
         let recent = Micros(self.report_every.0 * 2);
         let overdue = self.latest_report() + OVERDUE;
-        let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
+        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
         let gate = StartGate::new(self.settled(), self.permits_in_force(), &self.jobs);
         for (name, m) in &mut self.machines {
             let mine = m.row.node == stamp && m.row.owner == self.settings.member;
             let known = m.session != 0 || !m.resolved;
-            if !mine || m.talking || m.addr.is_empty() || !known || now < m.talk_after || m.renew {
+            if !mine
+                || m.call_in_flight
+                || m.addr.is_empty()
+                || !known
+                || now < m.next_call_at
+                || m.token_renewal_needed
+            {
                 continue;
             }
             // One never heard is most likely in its first session; if not, the reply tells.
             let (session, token) = (m.session.max(1), m.row.token);
             let mut orders = Vec::new();
-            let unheard = !m.lost && m.heard.is_some_and(|at| now.since(at) > overdue);
-            if m.resolved && (unheard || m.hearing.deaf()) {
+            let unheard = !m.unresponsive && m.last_heard.is_some_and(|at| now.since(at) > overdue);
+            if m.resolved && (unheard || m.delivery.deaf()) {
                 // Without orders: is it there at all?
-                m.asked = true;
-                m.talk_after = now + Micros::from_secs(1);
+                m.probe_in_flight = true;
+                m.next_call_at = now + Micros::from_secs(1);
             } else if m.resolved {
-                if m.session_at.is_none() || m.heard.is_none_or(|at| now.since(at) > recent) {
+                if m.session_seen_at.is_none() || m.last_heard.is_none_or(|at| now.since(at) > recent) {
                     continue;
                 }
                 // Room is made before it is used. A stop that arrives late finds its attempt gone.
                 for (id, t) in m.tasks.iter_mut().take(MOST_ORDERS) {
-                    let grace = t.stop.filter(|_| !t.told && !t.ended() && !t.planned());
+                    let grace = t.stop_grace.filter(|_| !t.stop_sent && !t.ended() && !t.planned());
                     if let Some(grace) = grace.filter(|g| t.state != TaskState::Saving || *g == Micros::ZERO)
                     {
-                        t.told = true;
+                        t.stop_sent = true;
                         self.counters.stops += 1;
                         let (task, grace_s) = (id.text(), grace.as_secs_f64());
                         orders.push(Order::Stop { task, attempt: t.attempt, grace_s });
@@ -58,7 +64,7 @@
                 for (id, t) in m.tasks.iter_mut().take(MOST_ORDERS) {
                     if let Some(permit) = gate.permit(name, id, t, &mut self.counters) {
                         t.pending = Some(Pending::Direct { session, token, permit, repeated: None });
-                        t.since = now;
+                        t.started_at = now;
                         self.counters.starts += 1;
                         tracing::debug!(
                             machine = name,
@@ -68,7 +74,7 @@
                         );
                         self.conclusions.note_start(now, name, id, t.attempt);
                         orders.push(Order::Start { task: id.text(), attempt: t.attempt });
-                        m.starting.push(id.clone());
+                        m.starts_in_call.push(id.clone());
                     }
                 }
                 if orders.is_empty() {
@@ -76,9 +82,9 @@
                 }
             } else {
                 // Without orders: the token alone fences the former owner's, and the reply says all.
-                m.talk_after = now + Micros::from_secs(1);
+                m.next_call_at = now + Micros::from_secs(1);
             }
-            m.talking = true;
+            m.call_in_flight = true;
             tracing::trace!(machine = name, token, session, ?orders, "called");
             let orders = proof.order(token, session, orders);
             self.effects.push(Effect::Orders { machine: name.clone(), addr: m.addr.clone(), orders });
@@ -95,19 +101,19 @@
             return;
         }
         let Some(m) = self.machines.get_mut(name) else { return };
-        m.talking = false;
+        m.call_in_flight = false;
         if !matches!(reply, DirectReply::Unclear | DirectReply::NotSent) {
-            if m.hearing.deaf() {
+            if m.delivery.deaf() {
                 tracing::info!(machine = name, "hears again");
-                m.apart = false;
+                m.quarantined = false;
             }
-            m.hearing.hears();
+            m.delivery.hears();
         }
-        let asked = std::mem::take(&mut m.asked);
-        let starting = std::mem::take(&mut m.starting);
+        let asked = std::mem::take(&mut m.probe_in_flight);
+        let starting = std::mem::take(&mut m.starts_in_call);
         let silent = matches!(reply, DirectReply::Unclear | DirectReply::NotSent);
-        m.unanswered = if silent && !m.resolved { m.unanswered + 1 } else { 0 };
-        m.lost |= silent && (asked || m.unanswered >= UNANSWERED && m.heard.is_none());
+        m.unanswered_calls = if silent && !m.resolved { m.unanswered_calls + 1 } else { 0 };
+        m.unresponsive |= silent && (asked || m.unanswered_calls >= UNANSWERED && m.last_heard.is_none());
         let first_contact = m.session == 0;
         match &reply {
             DirectReply::Done(_) => {}
@@ -136,8 +142,8 @@
                         "a call with starts was not carried out"
                     );
                 }
-                m.talk_after = if first_contact && !silent { now } else { now + ASK_AGAIN };
-                if m.lost {
+                m.next_call_at = if first_contact && !silent { now } else { now + ASK_AGAIN };
+                if m.unresponsive {
                     self.soon_status();
                 }
                 self.drop_disowned(name);
@@ -145,10 +151,10 @@
             }
             DirectReply::Unclear if asked => self.soon_status(),
             DirectReply::Unclear => {
-                m.talk_after = now + if starting.is_empty() { ASK_AGAIN } else { Micros::from_secs(3) };
+                m.next_call_at = now + if starting.is_empty() { ASK_AGAIN } else { Micros::from_secs(3) };
                 // Also where a report has shown the tasks since: an answer may have brought them, and this call comes yet.
-                let unclear = |t: &TaskOn| matches!(t.pending, Some(Pending::Direct { .. }));
-                m.renew |= !starting.is_empty() || m.tasks.values().any(unclear);
+                let unclear = |t: &PlacedTask| matches!(t.pending, Some(Pending::Direct { .. }));
+                m.token_renewal_needed |= !starting.is_empty() || m.tasks.values().any(unclear);
                 self.soon_status();
             }
         }
--- a/src/coordination/displacement.rs
+++ b/src/coordination/displacement.rs
@@ -4,7 +4,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::eligibility::allows;
-use crate::coordination::model::{Machine, TaskOn};
+use crate::coordination::model::{Machine, PlacedTask};
 use crate::coordination::placement::Rooms;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::units::{Micros, Resources};
@@ -22,11 +22,11 @@
         &'a self,
         spec: &'a JobSpec,
         machine: &'a Machine,
-    ) -> impl Iterator<Item = (&'a TaskId, &'a TaskOn)> {
+    ) -> impl Iterator<Item = (&'a TaskId, &'a PlacedTask)> {
         machine.tasks.iter().filter(move |(id, t)| {
             let other = self.jobs.get(&id.job).map(|j| &j.spec);
             let lower = other.is_some_and(|o| o.priority < spec.priority && o.shape == Shape::Array);
-            !t.ended() && t.stop.is_none() && lower
+            !t.ended() && t.stop_grace.is_none() && lower
         })
     }
 
@@ -69,8 +69,8 @@
         for (_, _, name) in options {
             let m = &self.machines[&name];
             let here = zones.entry(m.row.zone.clone()).or_default();
-            let mut lower: Vec<(&TaskId, &TaskOn)> = self.yielding(spec, m).collect();
-            lower.sort_by_key(|(task, t)| (t.since, *task));
+            let mut lower: Vec<(&TaskId, &PlacedTask)> = self.yielding(spec, m).collect();
+            lower.sort_by_key(|(task, t)| (t.started_at, *task));
             let mut room = rooms.soon[&name];
             while short > 0 && (!spec.spread || *here < most) {
                 let mut taken = Vec::new();
@@ -97,7 +97,7 @@
             let grace =
                 self.jobs.get(&task.job).map_or(Micros::ZERO, |j| j.spec.save() + Micros::from_secs(1));
             if let Some(t) = self.machines.get_mut(&name).and_then(|m| m.tasks.get_mut(&task)) {
-                t.stop = Some(grace);
+                t.stop_grace = Some(grace);
             }
             self.drop_planned(&name, |t| *t == task);
         }
--- a/src/coordination/eligibility.rs
+++ b/src/coordination/eligibility.rs
@@ -1,75 +1,75 @@
-//! Where a job's tasks may run: what its description allows, and which machines it leaves to others.
+//! Which machines a job's tasks may run on: those that its description allows, less those held back for other jobs.
 
 use crate::coordination::Controller;
 use crate::coordination::model::{Job, Machine};
 use crate::protocol::job::JobSpec;
 use crate::protocol::units::{Micros, Resources};
 
-/// Plain work that has had nothing running for so long is kept off accelerators' machines no more.
-const KEPT_OFF_AT_MOST: Micros = Micros::from_secs(45);
-/// Accelerators count as spare while more than one in so many is free.
-const SPARE_PART: u64 = 4;
+/// A job without accelerators that has had nothing running for this long may use any accelerator machine.
+const MAX_ACCELERATOR_HOLD: Micros = Micros::from_secs(45);
+/// Accelerators count as spare while at least one in this many is free.
+const SPARE_DIVISOR: u64 = 4;
 
-/// Whether a task would keep a machine that costs more than it need: an idle one with accelerators that
-/// it does not use, or an ordinary one where a cheap one would do. Left idle, it can be returned, and
-/// room is left there for work that must have it.
-pub(super) fn keeps_dear(spec: &JobSpec, machine: &Machine) -> bool {
+/// Whether a task would occupy a machine that is more expensive than it needs: an idle accelerator machine, if it uses no
+/// accelerators, or an on-demand machine, if it may run on a spot machine. If left idle, such a machine can be returned or
+/// used by work that requires it.
+pub(super) fn keeps_costly_machine(spec: &JobSpec, machine: &Machine) -> bool {
     (spec.gpus == 0.0 && machine.supply.gpu > 0 && machine.idle()) || (spec.spot && !machine.row.spot)
 }
 
-/// What plain work leaves of accelerator machines to the accelerators' own.
+/// How much of accelerator machines jobs without accelerators leave to jobs that use them.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Cards {
-    /// Processors that one accelerator's work takes, by the largest live job that uses any.
-    per_card: u64,
-    /// Teams are guaranteed accelerators, so that the machines stand there anyway, and a good part of
-    /// these has no work.
-    spare: bool,
-    /// The job in question has waited for too long to be kept off any machine.
+pub(super) struct AcceleratorPolicy {
+    /// Processors, in thousandths, to leave free for each free accelerator: the most that a live job uses per accelerator.
+    cpu_per_accelerator: u64,
+    /// Teams are guaranteed accelerators, so that the machines are retained anyway, and many accelerators are free.
+    many_spare: bool,
+    /// The job has waited for so long that it may use any machine.
     overdue: bool,
 }
 
-impl Cards {
-    /// The same for a job that has had nothing running for so long.
-    pub(super) fn after(self, waited: Micros) -> Cards {
-        Cards { overdue: Cards::lets_in_after(waited), ..self }
+impl AcceleratorPolicy {
+    /// The policy for a job that has had nothing running for `waited`.
+    pub(super) fn for_wait(self, waited: Micros) -> AcceleratorPolicy {
+        AcceleratorPolicy { overdue: AcceleratorPolicy::is_overdue(waited), ..self }
     }
 
-    /// Whether a job that has had nothing running for so long is kept off no machine.
-    pub(super) fn lets_in_after(waited: Micros) -> bool {
-        waited >= KEPT_OFF_AT_MOST
+    /// Whether a job that has had nothing running for `waited` may use any machine.
+    pub(super) fn is_overdue(waited: Micros) -> bool {
+        waited >= MAX_ACCELERATOR_HOLD
     }
 
-    /// Work without accelerators may use what accelerator work leaves of a machine that it has in use,
-    /// but does not keep such a machine for itself, which costs several times as much, unless the
-    /// machine is there and paid for anyway.
-    pub(super) fn keep_off(self, spec: &JobSpec, machine: &Machine, room: Resources) -> bool {
-        let open = self.overdue || self.idles(machine);
-        if spec.gpus > 0.0 || machine.supply.gpu == 0 || spec.types.is_some() || open {
+    /// Whether a job may not start a task in the free `room` of a machine, to leave it to jobs that use accelerators.
+    ///
+    /// A job without accelerators may use what accelerator work leaves free on a machine. It may not occupy an accelerator
+    /// machine alone, which costs several times as much as another one, unless that machine is retained and paid for anyway.
+    pub(super) fn excludes(self, spec: &JobSpec, machine: &Machine, room: Resources) -> bool {
+        let unrestricted = self.overdue || self.is_spare(machine);
+        if spec.gpus > 0.0 || machine.supply.gpu == 0 || spec.types.is_some() || unrestricted {
             return false;
         }
-        let cards_in_use = machine.tasks.values().any(|t| !t.ended() && t.need.gpu > 0);
-        !cards_in_use || spec.need().cpu + room.gpu / 1000 * self.per_card > room.cpu
+        let accelerators_in_use = machine.tasks.values().any(|t| !t.ended() && t.need.gpu > 0);
+        !accelerators_in_use || spec.need().cpu + room.gpu / 1000 * self.cpu_per_accelerator > room.cpu
     }
 
-    /// A standing machine without work for its accelerators, of which there are plenty.
-    fn idles(self, machine: &Machine) -> bool {
-        self.spare && !machine.row.spot && machine.tasks.values().all(|t| t.ended() || t.need.gpu == 0)
+    /// Whether a machine is on-demand and has no accelerator work, while many accelerators are spare.
+    fn is_spare(self, machine: &Machine) -> bool {
+        self.many_spare && !machine.row.spot && machine.tasks.values().all(|t| t.ended() || t.need.gpu == 0)
     }
 
-    /// How many tasks of a plain job a machine takes beside the work of its accelerators.
-    pub(super) fn times(self, spec: &JobSpec, machine: &Machine, mut room: Resources) -> u64 {
-        if self.keep_off(spec, machine, room) {
+    /// How many tasks of a job fit into the free `room` of a machine, beside what is left to accelerator work.
+    pub(super) fn tasks_that_fit(self, spec: &JobSpec, machine: &Machine, mut room: Resources) -> u64 {
+        if self.excludes(spec, machine, room) {
             return 0;
         }
-        if spec.gpus == 0.0 && machine.supply.gpu > 0 && !self.overdue && !self.idles(machine) {
-            room.cpu = room.cpu.saturating_sub(room.gpu / 1000 * self.per_card);
+        if spec.gpus == 0.0 && machine.supply.gpu > 0 && !self.overdue && !self.is_spare(machine) {
+            room.cpu = room.cpu.saturating_sub(room.gpu / 1000 * self.cpu_per_accelerator);
         }
         spec.need().times_in(room)
     }
 }
 
-/// Whether a job's description allows a machine, apart from its other tasks.
+/// Whether a job's description allows a machine, without regard to where the job's other tasks are.
 pub(super) fn allows(spec: &JobSpec, machine: &Machine) -> bool {
     spec.types.as_ref().is_none_or(|t| t.contains(&machine.row.kind))
         && spec.zone.as_ref().is_none_or(|z| *z == machine.row.zone)
@@ -77,39 +77,49 @@
         && spec.need().fits(machine.supply)
 }
 
-/// Whether one more task of a job may be in a zone where so many of its tasks are, of so many in all.
-pub(super) fn zone_open(spec: &JobSpec, here: u32, all: u32) -> bool {
+/// Whether one more task of a job may be in a zone that has `here` of the job's `all` placed tasks.
+pub(super) fn zone_has_headroom(spec: &JobSpec, here: u32, all: u32) -> bool {
     (!spec.one_zone || all == here) && (!spec.spread || here < spec.tasks.div_ceil(2))
 }
 
-/// Room that is held back from a job: zone, or none for all, and the gang that comes before it and
-/// fits nowhere.
-pub(super) struct HeldBack<'a>(Vec<(&'a str, &'a JobSpec)>);
+/// Machines held back from a job for gangs that have precedence and fit nowhere yet: zone, or empty for all zones, and the
+/// gang's description.
+pub(super) struct GangHold<'a>(Vec<(&'a str, &'a JobSpec)>);
 
-impl<'a> HeldBack<'a> {
-    pub(super) fn from(all: &'a Controller, reserved: &'a [(String, String)], spec: &JobSpec) -> Self {
-        let before = |gang: &JobSpec| {
+impl<'a> GangHold<'a> {
+    pub(super) fn from(controller: &'a Controller, reserved: &'a [(String, String)], spec: &JobSpec) -> Self {
+        let has_precedence = |gang: &JobSpec| {
             gang.id != spec.id && gang.priority >= spec.priority && (gang.gpus > 0.0) == (spec.gpus > 0.0)
         };
-        let gangs =
-            reserved.iter().filter_map(|(zone, id)| Some((zone.as_str(), all.jobs.get(id)?.spec.as_ref())));
-        HeldBack(gangs.filter(|(_, gang)| before(gang)).collect())
+        let gangs = reserved
+            .iter()
+            .filter_map(|(zone, id)| Some((zone.as_str(), controller.jobs.get(id)?.spec.as_ref())));
+        GangHold(gangs.filter(|(_, gang)| has_precedence(gang)).collect())
     }
 
-    pub(super) fn holds(&self, machine: &Machine) -> bool {
-        let here = |zone: &str| zone.is_empty() || *zone == machine.row.zone;
-        self.0.iter().any(|(zone, gang)| here(zone) && allows(gang, machine))
+    pub(super) fn covers(&self, machine: &Machine) -> bool {
+        let includes = |zone: &str| zone.is_empty() || *zone == machine.row.zone;
+        self.0.iter().any(|(zone, gang)| includes(zone) && allows(gang, machine))
     }
 }
 
 impl Controller {
-    /// What plain work leaves to accelerators on these machines.
-    pub(super) fn cards<'a>(&self, machines: impl Iterator<Item = &'a Machine>) -> Cards {
-        let per = |j: &Job| (j.spec.cpus * 1e3 / j.spec.gpus) as u64;
-        let per_card = self.jobs.values().filter(|j| j.spec.gpus > 0.0).map(per).max().unwrap_or(0);
+    /// The policy for accelerators on the given machines.
+    pub(super) fn accelerator_policy<'a>(
+        &self,
+        machines: impl Iterator<Item = &'a Machine>,
+    ) -> AcceleratorPolicy {
+        let cpu_per_gpu = |j: &Job| (j.spec.cpus * 1e3 / j.spec.gpus) as u64;
+        let cpu_per_accelerator =
+            self.jobs.values().filter(|j| j.spec.gpus > 0.0).map(cpu_per_gpu).max().unwrap_or(0);
         let guaranteed = self.settings.params.teams.iter().any(|t| t.gpus > 0.0);
-        let with_cards = machines.filter(|m| guaranteed && m.supply.gpu > 0);
-        let (free, all) = with_cards.fold((0, 0), |(free, all), m| (free + m.free().gpu, all + m.supply.gpu));
-        Cards { per_card, spare: free > 0 && free * SPARE_PART >= all, overdue: false }
+        let with_accelerators = machines.filter(|m| guaranteed && m.supply.gpu > 0);
+        let (free, all) =
+            with_accelerators.fold((0, 0), |(free, all), m| (free + m.free().gpu, all + m.supply.gpu));
+        AcceleratorPolicy {
+            cpu_per_accelerator,
+            many_spare: free > 0 && free * SPARE_DIVISOR >= all,
+            overdue: false,
+        }
     }
 }
--- a/src/coordination/events.rs
+++ b/src/coordination/events.rs
@@ -1,4 +1,4 @@
-//! What a controller is told, and what it asks to be done: events and times go in, effects come out.
+//! The inputs and outputs of a controller: the events that it handles and the effects that it requests.
 
 use crate::protocol::cloud::{CloudCall, CloudReply};
 use crate::protocol::job::{JobSpec, JobState};
@@ -6,12 +6,12 @@
 use crate::protocol::store::{StoreCall, StoreReply};
 use crate::protocol::worker::{DirectOrders, DirectReply, Report, ReportAnswer};
 
-/// Names a request from outside that waits for its [`Answer`].
+/// Identifies an external request that waits for its [`Answer`].
 pub type RequestId = u64;
-/// Names a call to the state service or the cloud.
+/// Identifies a call to the state service or the cloud.
 pub type CallId = u64;
 
-/// What has happened.
+/// An input to a controller.
 #[derive(Debug)]
 pub enum Event {
     /// Time has passed.
@@ -19,11 +19,11 @@
     Store(CallId, StoreReply),
     Cloud(CallId, CloudReply),
     Peer(String, PeerMessage),
-    /// A controller refused a connection.
-    Refused(String),
+    /// The named controller refused a connection.
+    ConnectionRefused(String),
     Report(RequestId, Report),
-    /// A worker's reply to direct orders under a token.
-    Worker {
+    /// A worker's reply to direct orders sent under `token`.
+    WorkerReply {
         machine: String,
         token: u64,
         reply: DirectReply,
@@ -33,7 +33,7 @@
     Withdraw(RequestId, String),
 }
 
-/// What is to be done.
+/// An action that the caller of a controller is to carry out.
 #[derive(Debug)]
 pub enum Effect {
     Store(CallId, StoreCall),
@@ -45,16 +45,16 @@
         addr: String,
         orders: DirectOrders,
     },
-    /// To one controller, or to all others.
+    /// A message to the named controller, or to all others if none is named.
     Send(Option<String>, PeerMessage),
 }
 
-/// The answer to a request from outside.
+/// The answer to an external request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Orders(ReportAnswer),
-    /// Report elsewhere: to the member named, or to the next one.
-    Elsewhere(Option<String>),
+    /// The worker is to report to another controller: the one named, or the next one in its list.
+    Redirect(Option<String>),
     Job {
         created: bool,
         id: String,
@@ -63,7 +63,7 @@
         running: u32,
     },
     NotFound,
-    Impossible(&'static str),
-    /// Not now: come back after so many seconds.
-    Later(u32),
+    Rejected(&'static str),
+    /// The request is deferred; the client should retry after this many seconds.
+    RetryLater(u32),
 }
--- a/src/coordination/failures.rs
+++ b/src/coordination/failures.rs
@@ -1,4 +1,4 @@
-//! Tasks that fail: what it says of their jobs and machines, and what follows.
+//! Task failures: attributing them to jobs or machines, quarantining machines and delaying retries of broken jobs.
 
 use crate::coordination::model::Job;
 use crate::coordination::{Controller, Micros};
@@ -6,51 +6,58 @@
 use crate::protocol::worker::{Cause, TaskId, TaskState};
 use marblewalk_blame::Standing;
 
-/// A replica that has run for so long on another machine shows that its service is in order. Of tasks that end by
-/// themselves only the end shows it: a mistake may come out in the last second.
-const RUNS_WELL: Micros = Micros::from_secs(60);
+/// A service counts as healthy if one of its replicas has run this long on another machine. Other jobs only count as healthy
+/// once a task has completed, because a fault in the job may show in a task's last second.
+const HEALTHY_REPLICA_AGE: Micros = Micros::from_secs(60);
 
 impl Controller {
-    /// A task has ended on a machine, as its holder has it from the worker or has told.
-    pub(super) fn note_outcome(&mut self, name: &str, task: &TaskId, cause: Cause) {
+    /// Records how a task ended on a machine, as reported by the worker or by the machine's owner.
+    pub(super) fn record_outcome(&mut self, name: &str, task: &TaskId, cause: Cause) {
         match cause {
-            Cause::Done if self.blame.nothing() => {}
+            Cause::Done if self.fault_attribution.nothing() => {}
             Cause::Done => {
-                self.blame.succeeded(&task.job, name);
-                self.judge(name, &task.job);
+                self.fault_attribution.succeeded(&task.job, name);
+                self.update_quarantine(name, &task.job);
             }
             Cause::Error => {
                 let Some(job) = self.jobs.get(&task.job) else { return };
-                let well = !job.done.is_empty() || self.runs_elsewhere(job, task, name);
-                self.blame.failed(self.now, &task.job, name, well);
-                self.judge(name, &task.job);
+                let healthy = !job.done.is_empty() || self.replica_runs_elsewhere(job, task, name);
+                self.fault_attribution.failed(self.now, &task.job, name, healthy);
+                self.update_quarantine(name, &task.job);
             }
             _ => {}
         }
     }
 
-    fn runs_elsewhere(&self, job: &Job, task: &TaskId, name: &str) -> bool {
+    /// Whether a replica of a service runs well on a machine other than `name`.
+    fn replica_runs_elsewhere(&self, job: &Job, task: &TaskId, name: &str) -> bool {
         job.spec.shape == Shape::Service
-            && job.on.iter().flat_map(|(index, places)| places.iter().map(move |m| (index, m))).any(
+            && job.placements.iter().flat_map(|(index, places)| places.iter().map(move |m| (index, m))).any(
                 |(i, m)| {
                     let other = self.machines.get(m).filter(|_| m != name);
                     let on = other.and_then(|m| m.tasks.get(&TaskId { job: task.job.clone(), index: *i }));
-                    on.is_some_and(|t| t.state == TaskState::Running && self.now.since(t.since) > RUNS_WELL)
+                    on.is_some_and(|t| {
+                        t.state == TaskState::Running && self.now.since(t.started_at) > HEALTHY_REPLICA_AGE
+                    })
                 },
             )
     }
 
-    /// Sets own machines apart, or takes them up again, that an outcome says something of.
-    fn judge(&mut self, name: &str, job: &str) {
-        let mut names = self.blame.failed_on(job);
+    /// Quarantines own machines or ends their quarantine after an outcome on `name`: checks that machine and all machines on
+    /// which the job has failed.
+    fn update_quarantine(&mut self, name: &str, job: &str) {
+        let mut names = self.fault_attribution.failed_on(job);
         names.push(name.to_owned());
         for name in names {
-            let faulty = self.blame.faulty(&name);
-            let own = self.machines.get(&name).is_some_and(|m| m.apart != faulty && self.owns(m));
+            let faulty = self.fault_attribution.faulty(&name);
+            let own = self.machines.get(&name).is_some_and(|m| m.quarantined != faulty && self.owns(m));
             if let Some(machine) = self.machines.get_mut(&name).filter(|_| own) {
-                machine.apart = faulty;
+                machine.quarantined = faulty;
                 if faulty {
-                    tracing::warn!(machine = name, "set apart: tasks of jobs that run elsewhere fail there");
+                    tracing::warn!(
+                        machine = name,
+                        "quarantined: tasks of jobs that run elsewhere fail there"
+                    );
                 }
                 self.soon_status();
                 self.soon_round();
@@ -58,35 +65,40 @@
         }
     }
 
-    /// Own machines that are set apart.
-    pub fn machines_apart(&self) -> usize {
-        self.machines.values().filter(|m| m.apart && self.owns(m)).count()
+    /// Number of own machines that are quarantined.
+    pub fn quarantined_machine_count(&self) -> usize {
+        self.machines.values().filter(|m| m.quarantined && self.owns(m)).count()
     }
 
-    /// Own machines whose reports come while nothing that they are told arrives.
-    pub fn machines_deaf(&self) -> usize {
-        self.machines.values().filter(|m| m.hearing.deaf() && self.owns(m)).count()
+    /// Number of own machines whose reports arrive while they receive no answers or orders.
+    pub fn non_receiving_machine_count(&self) -> usize {
+        self.machines.values().filter(|m| m.delivery.deaf() && self.owns(m)).count()
     }
 
-    /// Jobs that fail wherever they go, as far as this controller has heard.
-    pub fn jobs_mistaken(&self) -> usize {
-        if self.blame.nothing() { 0 } else { self.jobs.keys().filter(|id| self.mistaken(id)).count() }
+    /// Number of jobs that fail on every machine, as far as this controller knows.
+    pub fn broken_job_count(&self) -> usize {
+        if self.fault_attribution.nothing() {
+            0
+        } else {
+            self.jobs.keys().filter(|id| self.is_broken(id)).count()
+        }
     }
 
-    /// A job fails wherever it goes.
-    pub(super) fn mistaken(&self, id: &str) -> bool {
-        !self.blame.nothing() && matches!(self.blame.job(id), Standing::Mistaken { .. })
+    /// Whether a job fails on every machine.
+    pub(super) fn is_broken(&self, id: &str) -> bool {
+        !self.fault_attribution.nothing()
+            && matches!(self.fault_attribution.job(id), Standing::Mistaken { .. })
     }
 
-    /// A job that fails wherever it goes waits for its next try: until then it is as if it were not there.
-    pub(super) fn held(&self, id: &str) -> bool {
-        !self.blame.nothing()
-            && matches!(self.blame.job(id), Standing::Mistaken { until } if until > self.now)
+    /// Whether a broken job waits for its next try. Until then it is not considered for placement.
+    pub(super) fn awaits_retry(&self, id: &str) -> bool {
+        !self.fault_attribution.nothing()
+            && matches!(self.fault_attribution.job(id), Standing::Mistaken { until } if until > self.now)
     }
 
-    /// How many of a job's tasks are worth starting: of one that fails wherever it goes, one shows enough.
-    pub(super) fn worth_trying(&self, id: &str, job: &Job) -> u32 {
+    /// How many of a job's tasks are worth starting. For a broken array one task is enough to see whether it still fails.
+    pub(super) fn tasks_worth_starting(&self, id: &str, job: &Job) -> u32 {
         let all = job.unfinished();
-        if job.spec.shape == Shape::Array && all > 1 && self.mistaken(id) { 1 } else { all }
+        if job.spec.shape == Shape::Array && all > 1 && self.is_broken(id) { 1 } else { all }
     }
 }
--- a/src/coordination/finals.rs
+++ b/src/coordination/finals.rs
@@ -1,14 +1,17 @@
-//! Final states, which never change: whoever knows one needs nobody to answer with it.
+//! Final states of jobs: caching them, announcing them to the other controllers, and answering users with them.
 //!
-//! A controller tells the others what it has recorded or found in the records, and reads what was recorded before its
-//! time page by page. Else each question about a job that is over costs two requests at each controller that has not
-//! been asked before: after an end of all, a thousand such jobs would go unanswered for longer than their users wait.
+//! A final state never changes, so a controller that knows one can answer with it without asking the state service. A
+//! controller announces to the others the ends that it has recorded or found in the records, and reads the ends recorded
+//! before it joined page by page. Otherwise each query about an ended job would cost two requests at every controller that
+//! has not been asked before: after a restart of all controllers, queries about a thousand such jobs would stay unanswered
+//! for longer than their users wait.
 //!
-//! A withdrawal is confirmed to its user only when every controller knows of it or is silent: from then on no task of
-//! the job may start, and whoever does not know may start one. Until then the request waits, and is turned away when
-//! its user would not wait longer. It is settled, too, once so much time has passed that a controller which has not
-//! read of it acts no more (`knowledge.rs`). That a job is done waits for the others as well, but no longer than a
-//! second: no rule hangs on it but that no controller may give an older answer.
+//! A withdrawal is confirmed to its user only when it is *settled*: every controller knows of it or is inactive. After the
+//! confirmation no task of the job may start, and a controller that does not know of the withdrawal might start one. Until
+//! then the request waits, and it is deferred when its user would not wait longer. A withdrawal is also settled once a
+//! controller that has not read it must be inactive (see `knowledge.rs`). The answer that a job is done waits for the other
+//! controllers as well, but for a second at most, because the only rule that depends on it is that no controller may give
+//! an older answer afterwards.
 
 use std::collections::BTreeSet;
 
@@ -22,260 +25,286 @@
 use crate::protocol::store::{StoreCall, StoreReply};
 use crate::protocol::units::Micros;
 
-/// Time left to other work for each state read, and after a page that did not come. A page holds a thousand at most.
-const EACH: Micros = Micros(500);
-const RETRY: Micros = Micros::from_secs(1);
-/// Final states told with one status; further ones go with the next.
-const MOST_TOLD: usize = 500;
-/// How long the word that a job is done waits at most until all know of it: a check of another controller may be under
-/// way that still found it live. Its user expects the word within 3 s.
-const DONE_HELD: Micros = Micros::from_secs(1);
-/// Least time between two looks at who waits for an end to be settled.
-const AWAITING_SPACING: Micros = Micros::from_millis(10);
-/// Requests that may wait for an end to be settled.
-const MOST_AWAITING: usize = 400;
+/// Pause of the scan for each final state read, and after a failed read. A page has at most a thousand entries.
+const SCAN_DELAY_PER_ENTRY: Micros = Micros(500);
+const SCAN_RETRY_DELAY: Micros = Micros::from_secs(1);
+/// Maximum number of ends in one status; further ones go with the next.
+const MAX_ENDS_PER_STATUS: usize = 500;
+/// How long the answer that a job is done waits at most until every controller knows of it, because a check by another one
+/// that found the job live may still be in flight. Users expect the answer within 3 s.
+const MAX_DONE_DELAY: Micros = Micros::from_secs(1);
+/// Minimum time between two checks of the requests that wait for an end to be settled.
+const MIN_END_CHECK_INTERVAL: Micros = Micros::from_millis(10);
+/// Number of requests that may wait for an end to be settled.
+const MAX_END_WAITERS: usize = 400;
 
-/// The end of a job that not all others are known to know of.
+/// The end of a job that some other controllers may not know of.
 #[derive(Debug)]
-pub(crate) struct Spreading {
+pub(crate) struct UnsettledEnd {
     state: Final,
     tasks: u32,
-    /// The revision that recorded it, or a later one.
+    /// The revision that recorded the end, or a later one.
     revision: u64,
-    /// From then on nobody acts who does not know of it; of a job that is done, from when on it is told anyway.
-    silent_at: Micros,
-    /// Whether this controller tells the others, and with which status it last did; 0: not yet.
-    tell: bool,
-    told_in: u64,
+    /// Time from which the end counts as settled in any case. For a withdrawal, every controller that does not know of it
+    /// is inactive by then; that a job is done is answered from then on even if another controller does not know.
+    settled_at: Micros,
+    /// Whether this controller announces the end to the others.
+    announce: bool,
+    /// Number of the last status that announced the end; 0 if none has.
+    announced_in_status: u64,
 }
 
-/// How a controller has come to know of a job's end.
+/// How this controller learned of a job's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Source {
-    /// It has recorded it, or has found its record where a user asked: the others are told.
+pub(super) enum EndSource {
+    /// It recorded the end, or looked up its record for a user. It announces the end to the others.
     Records,
-    /// It has heard it from another, who tells all.
+    /// From another controller, which announces it to all.
     Peer,
-    /// It has read it among many.
-    Pages,
+    /// From the scan of final states.
+    Scan,
 }
 
-/// A user who is to be told of an end that is not settled.
+/// A user's request that waits until a job's end is settled.
 #[derive(Debug)]
-pub(crate) struct Awaiting {
+pub(crate) struct EndWaiter {
     request: RequestId,
     job: String,
-    until: Micros,
+    deadline: Micros,
 }
 
-/// How far the recorded final states have been read.
+/// Progress of the scan of recorded final states.
 #[derive(Debug, Default)]
-pub(crate) struct Reading {
-    after: String,
-    next: Micros,
-    asked: bool,
-    over: bool,
+pub(crate) struct FinalStatesScan {
+    /// Last key that has been read.
+    cursor: String,
+    next_read_at: Micros,
+    /// The request for a page is in flight.
+    in_flight: bool,
+    /// The last page has been read.
+    finished: bool,
 }
 
 impl Controller {
-    /// A job is over, by the record of this revision or a former one.
-    pub(super) fn learned_end(&mut self, id: &str, end: FinalRecord, revision: u64, source: Source) {
-        self.finals.insert(id, end.state, end.tasks);
-        let tell = source == Source::Records;
-        if let Some(known) = self.spreading.get_mut(id) {
+    /// Stores a job's final state, which was recorded at `revision` or earlier, and tracks whether all controllers know it.
+    pub(super) fn record_end(&mut self, id: &str, end: FinalRecord, revision: u64, source: EndSource) {
+        self.final_states.insert(id, end.state, end.tasks);
+        let announce = source == EndSource::Records;
+        if let Some(known) = self.unsettled_ends.get_mut(id) {
             known.revision = known.revision.min(revision);
-            known.tell |= tell;
+            known.announce |= announce;
             return;
         }
-        // What is read among many was recorded a while ago; only a withdrawal must be known to all for certain.
-        if source == Source::Pages && end.state == Final::Done || self.known_to_all(revision, None) {
+        // Ends found by the scan were recorded a while ago. Only for withdrawals it must be certain that all know them.
+        if source == EndSource::Scan && end.state == Final::Done || self.known_to_all(revision, None) {
             return;
         }
-        if self.spreading.len() == self.tuning.final_cache.max(1) {
-            self.spreading.shift_remove_index(0);
+        if self.unsettled_ends.len() == self.tuning.final_cache.max(1) {
+            self.unsettled_ends.shift_remove_index(0);
         }
-        let silent_at = match end.state {
-            Final::Withdrawn => self.silent_without(revision),
-            Final::Done => self.now + DONE_HELD,
+        let settled_at = match end.state {
+            Final::Withdrawn => self.read_by_all_at(revision),
+            Final::Done => self.now + MAX_DONE_DELAY,
         };
-        if self.now >= silent_at && !tell {
+        if self.now >= settled_at && !announce {
             return;
         }
         let (state, tasks) = (end.state, end.tasks);
-        let spreading = Spreading { state, tasks, revision, silent_at, tell, told_in: 0 };
-        self.spreading.insert(id.to_owned(), spreading);
-        if tell && state == Final::Withdrawn {
-            self.status_due = Some(self.now);
-            self.follow_at = self.follow_at.map(|_| self.now);
-        } else if tell {
+        let unsettled = UnsettledEnd { state, tasks, revision, settled_at, announce, announced_in_status: 0 };
+        self.unsettled_ends.insert(id.to_owned(), unsettled);
+        if announce && state == Final::Withdrawn {
+            self.status_due_at = Some(self.now);
+            self.next_follow_at = self.next_follow_at.map(|_| self.now);
+        } else if announce {
             self.soon_status();
         }
     }
 
-    /// Another controller knows that a job is over, which holds for ever: the job's tasks end here too, without
-    /// waiting for the change to be followed, which the store may refuse this controller for a long time.
-    pub(super) fn told_end(&mut self, ended: &Ended) {
+    /// Applies an end announced by another controller. As an end is final, the job's tasks are stopped at once, without
+    /// waiting for the change in the records, which the state service may not deliver to this controller for a long time.
+    pub(super) fn apply_peer_end(&mut self, ended: &Ended) {
         let end = FinalRecord { state: ended.state, tasks: ended.tasks };
-        self.learned_end(&ended.job, end, ended.revision, Source::Peer);
+        self.record_end(&ended.job, end, ended.revision, EndSource::Peer);
         self.retire(&ended.job);
     }
 
-    /// All registered controllers have followed the store up to this revision, or have taken in the status of this
-    /// number. Who registers later loads what is behind it.
-    fn known_to_all(&self, revision: u64, told_in: Option<u64>) -> bool {
-        let heard = |member: &String, node: u64| {
-            let told = told_in.filter(|n| *n > 0);
-            told.is_some_and(|n| self.statuses_heard.get(member).is_some_and(|h| h.0 == node && h.1 >= n))
+    /// Whether every registered controller has applied the changes up to `revision`, or has received the status numbered
+    /// `announced_in_status`. A controller that registers later loads records that are at least as recent.
+    fn known_to_all(&self, revision: u64, announced_in_status: Option<u64>) -> bool {
+        let received = |member: &String, registration: u64| {
+            let status = announced_in_status.filter(|n| *n > 0);
+            status.is_some_and(|n| {
+                self.status_acks.get(member).is_some_and(|ack| ack.0 == registration && ack.1 >= n)
+            })
         };
-        let mut others = self.nodes.iter().filter(|(member, _)| *member != self.me());
+        let mut others = self.registrations.iter().filter(|(member, _)| *member != self.own_name());
         self.phase == Phase::Active
-            && self.applied >= revision
+            && self.applied_revision >= revision
             && !self.evicted_may_act()
-            && others.all(|(member, node)| {
-                heard(member, *node) || self.word_of(member, *node).is_some_and(|s| s.applied >= revision)
+            && others.all(|(member, registration)| {
+                received(member, *registration)
+                    || self.word_of(member, *registration).is_some_and(|s| s.applied >= revision)
             })
     }
 
-    /// Every controller knows of this end, or acts no more.
-    fn end_settled(&self, end: &Spreading) -> bool {
-        self.now >= end.silent_at || self.known_to_all(end.revision, Some(end.told_in))
+    /// Whether every controller knows of this end or is inactive.
+    fn is_end_settled(&self, end: &UnsettledEnd) -> bool {
+        self.now >= end.settled_at || self.known_to_all(end.revision, Some(end.announced_in_status))
     }
 
-    /// Jobs that are over, of which no user is told yet since another controller may not know.
-    pub fn ends_unsettled(&self) -> usize {
-        self.spreading.values().filter(|s| !self.end_settled(s)).count()
+    /// Number of ended jobs whose end is not answered to users yet because another controller may not know of it.
+    pub fn unsettled_end_count(&self) -> usize {
+        self.unsettled_ends.values().filter(|s| !self.is_end_settled(s)).count()
     }
 
-    /// Answers with a job's end: at once, or when it is settled.
+    /// Answers with a job's final state, at once or as soon as the end is settled.
     pub(super) fn answer_end(
         &mut self,
         request: RequestId,
         id: &str,
         state: Final,
         tasks: u32,
-        until: Micros,
+        deadline: Micros,
     ) {
-        let unsettled = self.spreading.get(id).is_some_and(|s| !self.end_settled(s));
+        let unsettled = self.unsettled_ends.get(id).is_some_and(|s| !self.is_end_settled(s));
         if !unsettled {
             return self.answer(request, final_answer(id, state, tasks));
         }
-        if self.awaiting.len() >= MOST_AWAITING {
-            return self.answer(request, Answer::Later(1));
+        if self.end_waiters.len() >= MAX_END_WAITERS {
+            return self.answer(request, Answer::RetryLater(1));
         }
-        self.awaiting.push(Awaiting { request, job: id.to_owned(), until });
+        self.end_waiters.push(EndWaiter { request, job: id.to_owned(), deadline });
     }
 
-    /// Answers those whose jobs' ends are settled by now, and turns away those who would wait no longer.
-    pub(super) fn answer_awaiting(&mut self) {
-        if self.awaiting.is_empty() || self.now < self.awaiting_at {
+    /// Answers the waiting requests whose jobs' ends are settled by now, and defers those whose deadline has passed.
+    pub(super) fn answer_end_waiters(&mut self) {
+        if self.end_waiters.is_empty() || self.now < self.next_end_check_at {
             return;
         }
-        self.awaiting_at = self.now + AWAITING_SPACING;
-        for one in std::mem::take(&mut self.awaiting) {
-            match self.finals.get(&one.job) {
-                Some((state, tasks)) if self.now < one.until => {
-                    self.answer_end(one.request, &one.job, state, tasks, one.until);
+        self.next_end_check_at = self.now + MIN_END_CHECK_INTERVAL;
+        for waiter in std::mem::take(&mut self.end_waiters) {
+            match self.final_states.get(&waiter.job) {
+                Some((state, tasks)) if self.now < waiter.deadline => {
+                    self.answer_end(waiter.request, &waiter.job, state, tasks, waiter.deadline);
                 }
-                _ => self.answer(one.request, Answer::Later(1)),
+                _ => self.answer(waiter.request, Answer::RetryLater(1)),
             }
         }
     }
 
-    /// What to tell the others with a status: with each what is new, and with the `regular` ones again what not all are
-    /// known to know, for a status may be lost.
-    pub(super) fn ends_to_tell(&mut self, regular: bool) -> Vec<Ended> {
-        if self.spreading.is_empty() {
+    /// The ends to announce in the next status. Every status announces new ones; a `regular` status repeats those that some
+    /// controllers may not know of, because a status may be lost.
+    pub(super) fn ends_to_announce(&mut self, regular: bool) -> Vec<Ended> {
+        if self.unsettled_ends.is_empty() {
             return Vec::new();
         }
-        let mut spreading = std::mem::take(&mut self.spreading);
-        spreading.retain(|_, s| {
-            if s.tell { s.told_in == 0 || !self.known_to_all(s.revision, None) } else { !self.end_settled(s) }
+        let mut unsettled = std::mem::take(&mut self.unsettled_ends);
+        unsettled.retain(|_, s| {
+            if s.announce {
+                s.announced_in_status == 0 || !self.known_to_all(s.revision, None)
+            } else {
+                !self.is_end_settled(s)
+            }
         });
-        let due = |s: &Spreading| s.tell && (regular || s.told_in == 0);
-        let chosen = choose(&spreading, due);
-        self.mark_told(&mut spreading, &chosen);
-        let told = ended(&spreading, &chosen);
-        self.spreading = spreading;
-        told
+        let due = |s: &UnsettledEnd| s.announce && (regular || s.announced_in_status == 0);
+        let chosen = select_ends(&unsettled, due);
+        self.mark_ends_announced(&mut unsettled, &chosen);
+        let announced = to_ended_messages(&unsettled, &chosen);
+        self.unsettled_ends = unsettled;
+        announced
     }
 
-    /// All ends that this controller tells, for a status to all: taken in, it proves that all before it were. Whatever
-    /// does not fit is told anew.
-    pub(super) fn all_ends(&mut self) -> Vec<Ended> {
-        let mut spreading = std::mem::take(&mut self.spreading);
-        let chosen = choose(&spreading, |s| s.tell);
-        tell_others_anew(&mut spreading, &chosen);
-        self.mark_told(&mut spreading, &chosen);
-        let told = ended(&spreading, &chosen);
-        self.spreading = spreading;
-        told
+    /// All ends that this controller announces, for a full broadcast status. Its receipt confirms all earlier statuses as
+    /// well, so ends that do not fit have to be announced again.
+    pub(super) fn all_ends_for_broadcast(&mut self) -> Vec<Ended> {
+        let mut unsettled = std::mem::take(&mut self.unsettled_ends);
+        let chosen = select_ends(&unsettled, |s| s.announce);
+        reannounce_unselected(&mut unsettled, &chosen);
+        self.mark_ends_announced(&mut unsettled, &chosen);
+        let announced = to_ended_messages(&unsettled, &chosen);
+        self.unsettled_ends = unsettled;
+        announced
     }
 
-    /// The same for a status to a single controller. It says nothing to the others, who may have confirmed its number: they
-    /// are still to be told what none of them has been.
-    pub(super) fn all_ends_for_one(&mut self) -> Vec<Ended> {
-        let chosen = choose(&self.spreading, |s| s.tell);
-        tell_others_anew(&mut self.spreading, &chosen);
-        ended(&self.spreading, &chosen)
+    /// The same for a status to a single controller.
+    ///
+    /// It has the number of the last broadcast, which the other controllers may have confirmed without receiving these ends.
+    /// Therefore the ends are not marked as announced in it.
+    pub(super) fn all_ends_for_unicast(&mut self) -> Vec<Ended> {
+        let chosen = select_ends(&self.unsettled_ends, |s| s.announce);
+        reannounce_unselected(&mut self.unsettled_ends, &chosen);
+        to_ended_messages(&self.unsettled_ends, &chosen)
     }
 
-    fn mark_told(&self, spreading: &mut IndexMap<String, Spreading>, chosen: &[String]) {
+    fn mark_ends_announced(&self, unsettled: &mut IndexMap<String, UnsettledEnd>, chosen: &[String]) {
         for id in chosen {
-            if let Some(end) = spreading.get_mut(id) {
-                end.told_in = self.status_sequence;
+            if let Some(end) = unsettled.get_mut(id) {
+                end.announced_in_status = self.status_sequence;
             }
         }
     }
 
-    /// Some users wait until the others have confirmed what they are told.
-    pub(super) fn ends_owed(&self) -> bool {
-        self.spreading.values().any(|s| s.tell && s.state == Final::Withdrawn && !self.end_settled(s))
+    /// Whether a withdrawal that this controller announces is not settled yet.
+    pub(super) fn has_unconfirmed_withdrawals(&self) -> bool {
+        self.unsettled_ends
+            .values()
+            .any(|s| s.announce && s.state == Final::Withdrawn && !self.is_end_settled(s))
     }
 
-    /// Another controller has taken in this one's statuses up to this number.
-    pub(super) fn status_heard(&mut self, (member, node): (String, u64), sequence: u64) {
-        let heard = self.statuses_heard.entry(member).or_insert((node, 0));
-        *heard = if heard.0 == node { (node, heard.1.max(sequence)) } else { (node, sequence) };
+    /// Another controller has received this one's statuses up to `sequence`.
+    pub(super) fn status_acknowledged(&mut self, (member, registration): (String, u64), sequence: u64) {
+        let ack = self.status_acks.entry(member).or_insert((registration, 0));
+        *ack = if ack.0 == registration {
+            (registration, ack.1.max(sequence))
+        } else {
+            (registration, sequence)
+        };
     }
 
-    /// Under the next registration nothing has been told, and what others have heard counts for nothing.
-    pub(super) fn forget_told_ends(&mut self) {
-        self.statuses_heard.clear();
-        self.spreading.retain(|_, s| s.state == Final::Withdrawn && s.silent_at > self.now);
-        self.spreading.values_mut().for_each(|s| s.told_in = 0);
+    /// Resets announcements and acknowledgements, which do not carry over to the next registration.
+    pub(super) fn reset_end_announcements(&mut self) {
+        self.status_acks.clear();
+        self.unsettled_ends.retain(|_, s| s.state == Final::Withdrawn && s.settled_at > self.now);
+        self.unsettled_ends.values_mut().for_each(|s| s.announced_in_status = 0);
     }
 
-    /// Reads the next page of what was recorded before this controller's time, as long as there is memory for it.
-    pub(super) fn read_finals(&mut self) {
-        let reading = &self.reading_finals;
-        if reading.over || reading.asked || self.now < reading.next || !self.entitled() || self.finals.full()
+    /// Requests the next page of the final states that were recorded before this controller joined, unless the cache is
+    /// full.
+    pub(super) fn read_final_states(&mut self) {
+        let reading = &self.final_states_scan;
+        if reading.finished
+            || reading.in_flight
+            || self.now < reading.next_read_at
+            || !self.entitled()
+            || self.final_states.full()
         {
             return;
         }
         let call = StoreCall::List {
             prefix: records::FINISHED.to_owned(),
-            after: self.reading_finals.after.clone(),
+            after: self.final_states_scan.cursor.clone(),
         };
-        self.reading_finals.asked = true;
-        // Before the questions, of which a page answers hundreds.
-        self.store(Urgency::Completion, Purpose::Finals, call);
+        self.final_states_scan.in_flight = true;
+        // More urgent than users' queries, because a page answers hundreds of them.
+        self.enqueue_store_call(Urgency::Completion, Purpose::Finals, call);
     }
 
-    pub(super) fn finals_read(&mut self, reply: StoreReply) {
-        self.reading_finals.asked = false;
-        self.reading_finals.next = self.now + RETRY;
+    pub(super) fn handle_final_states_reply(&mut self, reply: StoreReply) {
+        self.final_states_scan.in_flight = false;
+        self.final_states_scan.next_read_at = self.now + SCAN_RETRY_DELAY;
         let StoreReply::Page(page) = reply else { return };
-        self.reading_finals.next = self.now + Micros(EACH.0 * page.entries.len() as u64);
+        self.final_states_scan.next_read_at =
+            self.now + Micros(SCAN_DELAY_PER_ENTRY.0 * page.entries.len() as u64);
         for entry in &page.entries {
             if let Some(id) = entry.key.strip_prefix(records::FINISHED)
                 && let Ok(record) = entry.value.read::<FinalRecord>()
             {
-                self.learned_end(id, record, entry.stamp, Source::Pages);
+                self.record_end(id, record, entry.stamp, EndSource::Scan);
             }
         }
         match page.entries.last() {
-            Some(last) if page.more => self.reading_finals.after.clone_from(&last.key),
-            _ => self.reading_finals.over = true,
+            Some(last) if page.more => self.final_states_scan.cursor.clone_from(&last.key),
+            _ => self.final_states_scan.finished = true,
         }
     }
 }
@@ -285,23 +314,26 @@
     Answer::Job { created: false, id: id.to_owned(), state: JobState::Final(state), done, running: 0 }
 }
 
-/// The ends that are due, as many as a status holds: those told longest ago.
-fn choose(spreading: &IndexMap<String, Spreading>, due: impl Fn(&Spreading) -> bool) -> Vec<String> {
-    let mut due: Vec<(&String, &Spreading)> = spreading.iter().filter(|(_, end)| due(end)).collect();
-    due.sort_by_key(|(_, end)| end.told_in);
-    due.into_iter().take(MOST_TOLD).map(|(id, _)| id.clone()).collect()
+/// Jobs whose ends are due, as many as fit into one status, with those announced longest ago first.
+fn select_ends(
+    unsettled: &IndexMap<String, UnsettledEnd>,
+    due: impl Fn(&UnsettledEnd) -> bool,
+) -> Vec<String> {
+    let mut due: Vec<(&String, &UnsettledEnd)> = unsettled.iter().filter(|(_, end)| due(end)).collect();
+    due.sort_by_key(|(_, end)| end.announced_in_status);
+    due.into_iter().take(MAX_ENDS_PER_STATUS).map(|(id, _)| id.clone()).collect()
 }
 
-/// Ends that a status which tells all has no room for are told anew.
-fn tell_others_anew(spreading: &mut IndexMap<String, Spreading>, chosen: &[String]) {
+/// Marks the ends that did not fit into a full status as not announced.
+fn reannounce_unselected(unsettled: &mut IndexMap<String, UnsettledEnd>, chosen: &[String]) {
     let chosen: BTreeSet<&String> = chosen.iter().collect();
-    let left = spreading.iter_mut().filter(|(id, end)| end.tell && !chosen.contains(id));
-    left.for_each(|(_, end)| end.told_in = 0);
+    let left = unsettled.iter_mut().filter(|(id, end)| end.announce && !chosen.contains(id));
+    left.for_each(|(_, end)| end.announced_in_status = 0);
 }
 
-/// Ends as a status tells them.
-fn ended(spreading: &IndexMap<String, Spreading>, chosen: &[String]) -> Vec<Ended> {
-    let ends = chosen.iter().filter_map(|id| Some((id, spreading.get(id)?)));
+/// The chosen ends in the form in which a status carries them.
+fn to_ended_messages(unsettled: &IndexMap<String, UnsettledEnd>, chosen: &[String]) -> Vec<Ended> {
+    let ends = chosen.iter().filter_map(|id| Some((id, unsettled.get(id)?)));
     ends.map(|(id, end)| Ended {
         job: id.clone(),
         state: end.state,
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -7,7 +7,7 @@
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, BlockRow};
 use crate::coordination::eligibility::allows;
-use crate::coordination::model::{Job, Machine, TaskOn};
+use crate::coordination::model::{Job, Machine, PlacedTask};
 use crate::coordination::{CloudPurpose, Controller, Purpose};
 use crate::protocol::cloud::{CloudCall, MachineType, Rental};
 use crate::protocol::job::{JobSpec, Shape};
@@ -78,15 +78,16 @@
 impl Controller {
     /// Every controller reads the machine types: submissions are checked against them.
     pub(super) fn types_tick(&mut self) {
-        let due = match self.types_at {
+        let due = match self.machine_types_requested_at {
             None => true,
             Some(at) => {
-                self.now.since(at) >= if self.types.is_empty() { Micros::from_secs(1) } else { TYPES_EVERY }
+                self.now.since(at)
+                    >= if self.machine_types.is_empty() { Micros::from_secs(1) } else { TYPES_EVERY }
             }
         };
         if due {
-            self.types_at = Some(self.now);
-            self.cloud(Urgency::Acceptance, CloudPurpose::Types, CloudCall::Types);
+            self.machine_types_requested_at = Some(self.now);
+            self.enqueue_cloud_call(Urgency::Acceptance, CloudPurpose::Types, CloudCall::Types);
         }
     }
 
@@ -96,8 +97,8 @@
         if self.blind() {
             return;
         }
-        let Some(lead) = &mut self.lead else { return };
-        if lead.fleet.returned.contains_key(&machine) || !self.types.contains_key(&kind) {
+        let Some(lead) = &mut self.leader_state else { return };
+        if lead.fleet.returned.contains_key(&machine) || !self.machine_types.contains_key(&kind) {
             return;
         }
         let row = BlockRow {
@@ -110,7 +111,7 @@
             returning: false,
             token: 0,
         };
-        let held = self.machines.get(&machine).is_some_and(|m| !m.unused());
+        let held = self.machines.get(&machine).is_some_and(|m| !m.never_granted());
         if !held && lead.strays.insert(machine, (row, now)).is_none() {
             self.soon_round();
         }
@@ -118,13 +119,13 @@
 
     /// A machine that is on its way up, or up and not yet granted.
     pub(super) fn coming(&self, machine: &Machine) -> bool {
-        machine.unused() && !machine.row.returning
+        machine.never_granted() && !machine.row.returning
     }
 
     pub(super) fn fleet_tick(&mut self) {
         let now = self.now;
         let quiet = self.jobs.is_empty();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         lead.fleet.quiet_since = quiet.then(|| lead.fleet.quiet_since.unwrap_or(now));
         for (_, times) in lead.fleet.arrivals.values_mut() {
             times.retain(|(at, _)| now.since(*at) < LOOK_BACK);
@@ -132,7 +133,7 @@
         lead.strays.retain(|_, (_, at)| now.since(*at) < Micros::from_secs(10));
         lead.fleet.returned.retain(|_, at| now.since(*at) < Micros::from_secs(120));
         let machines = &self.machines;
-        lead.strays.retain(|name, _| machines.get(name).is_none_or(Machine::unused));
+        lead.strays.retain(|name, _| machines.get(name).is_none_or(Machine::never_granted));
         // Names are used once: of machines that have left the records nothing more is asked.
         lead.heard.retain(|name, _| machines.contains_key(name));
         lead.fleet.failed.retain(|name| machines.contains_key(name));
@@ -141,7 +142,11 @@
             lead.fleet.listed_at = Some(now);
             lead.fleet.listed_to.clear();
             lead.fleet.gone.retain(|name| self.machines.contains_key(name));
-            self.cloud(Urgency::Rest, CloudPurpose::List, CloudCall::List { after: String::new() });
+            self.enqueue_cloud_call(
+                Urgency::Rest,
+                CloudPurpose::List,
+                CloudCall::List { after: String::new() },
+            );
         }
         self.repeat_rentals();
         self.record_arrivals();
@@ -150,7 +155,7 @@
 
     /// Rented machines enter the records, held by nobody until they report.
     fn record_arrivals(&mut self) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         if lead.granting {
             return;
         }
@@ -167,7 +172,7 @@
                 conditions: vec![self.entitlement()],
                 writes: vec![Write::delete(records::rental(&request))],
             };
-            self.store(
+            self.enqueue_store_call(
                 Urgency::Completion,
                 Purpose::RentalClosed { request },
                 StoreCall::Commit(transaction),
@@ -177,31 +182,31 @@
 
     /// Whether the cloud lists a machine no more, and nobody has heard it since a report was due.
     fn is_gone(&self, name: &str, m: &Machine) -> bool {
-        let passed_over = self.lead.as_ref().is_some_and(|l| l.fleet.gone.contains(name));
+        let passed_over = self.leader_state.as_ref().is_some_and(|l| l.fleet.gone.contains(name));
         let heard = m.resolved && f64::from(self.dark(m)) <= self.latest_report().as_secs_f64();
         passed_over && !heard
     }
 
     /// Why a machine should be returned, if so.
     fn unwanted(&self, name: &str, m: &Machine, idle_most: Micros) -> Option<&'static str> {
-        let boot = || self.types.get(&m.row.kind).map_or(60.0, |t| t.boot_s);
+        let boot = || self.machine_types.get(&m.row.kind).map_or(60.0, |t| t.boot_s);
         let lease_s = self.worker_lease.as_secs_f64() as u32;
-        let failed = self.lead.as_ref().is_some_and(|l| l.fleet.failed.contains(name));
+        let failed = self.leader_state.as_ref().is_some_and(|l| l.fleet.failed.contains(name));
         if self.is_gone(name, m) {
             Some("gone")
         } else if failed {
             Some("failed")
-        } else if m.unused() && self.now.since(m.since).as_secs_f64() > boot() * 2.2 + 10.0 {
+        } else if m.never_granted() && self.now.since(m.known_since).as_secs_f64() > boot() * 2.2 + 10.0 {
             Some("slow to boot")
-        } else if m.apart {
+        } else if m.quarantined {
             Some("faulty")
-        } else if !m.unused() && m.resolved && self.dark(m) > lease_s + 25 {
+        } else if !m.never_granted() && m.resolved && self.dark(m) > lease_s + 25 {
             Some("silent")
-        } else if !m.unused()
+        } else if !m.never_granted()
             && m.up
             && m.resolved
             && m.tasks.is_empty()
-            && !m.notice
+            && !m.preemption_notice
             && self.now.since(m.idle_since) > idle_most
         {
             Some("idle")
@@ -216,13 +221,13 @@
         let idle_most = Micros::from_secs_f64(self.tuning.idle_return_s * patience);
         let mut idle_names = Vec::new();
         let mut names = Vec::new();
-        let Some(lead) = self.lead.as_ref().filter(|l| !l.granting) else { return };
+        let Some(lead) = self.leader_state.as_ref().filter(|l| !l.granting) else { return };
         // A new leader hears the others first, but what is gone holds jobs back until it leaves the records.
         let new = self.now.since(lead.since) < Micros::from_secs(4);
         if new && lead.fleet.gone.is_empty() {
             return;
         }
-        let unreachable = self.unreachable();
+        let unreachable = self.unreachable_machines();
         for (name, m) in &self.machines {
             if m.row.returning || new && !self.is_gone(name, m) {
                 continue;
@@ -247,7 +252,7 @@
         // What is marked in the records is returned, and leaves the records once the cloud says so.
         let marked: Vec<String> =
             self.machines.iter().filter(|(_, m)| m.row.returning).map(|(n, _)| n.clone()).collect();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let gone: BTreeSet<String> =
             marked.iter().filter(|n| lead.fleet.returned.contains_key(*n)).cloned().collect();
         let ask: Vec<String> = marked
@@ -258,7 +263,11 @@
         if !ask.is_empty() {
             lead.fleet.returning.extend(ask.iter().cloned());
             self.counters.returns += ask.len() as u64;
-            self.cloud(Urgency::Withdrawal, CloudPurpose::Return(ask.clone()), CloudCall::Return(ask));
+            self.enqueue_cloud_call(
+                Urgency::Withdrawal,
+                CloudPurpose::Return(ask.clone()),
+                CloudCall::Return(ask),
+            );
         }
         if !gone.is_empty() {
             self.grant(BTreeMap::new(), Vec::new(), gone, None);
@@ -278,10 +287,10 @@
         for name in idle {
             let m = &self.machines[&name];
             // A gang may be waiting for this machine and for one that is still on its way up.
-            if self.lead.as_ref().is_some_and(|l| l.promised.contains(&name)) {
+            if self.leader_state.as_ref().is_some_and(|l| l.promised.contains(&name)) {
                 continue;
             }
-            if self.kept.contains_key(&name) {
+            if self.fast_start_reservations.contains_key(&name) {
                 continue;
             }
             let short = |goal: Resources, has: Resources| {
@@ -303,7 +312,7 @@
 
     /// No job has been live for a while: then nothing is kept warm, guarantee or not.
     fn nothing_to_do(&self) -> bool {
-        let quiet = self.lead.as_ref().and_then(|l| l.fleet.quiet_since);
+        let quiet = self.leader_state.as_ref().and_then(|l| l.fleet.quiet_since);
         quiet.is_some_and(|at| self.now.since(at) > QUIET)
     }
 
@@ -311,9 +320,9 @@
     pub(super) fn size_fleet(&mut self) {
         let now = self.now;
         self.note_demand();
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader_state else { return };
         // A new leader first hears what there is.
-        if self.types.is_empty()
+        if self.machine_types.is_empty()
             || now.since(lead.since) < HEAR_FIRST
             || now.since(lead.fleet.rented_at) < Micros::from_millis(500)
         {
@@ -326,11 +335,11 @@
             .map(|m| (m.row.kind.clone(), m.row.zone.clone(), m.row.spot, m.supply))
             .collect();
         for r in lead.fleet.open.values() {
-            let supply = self.types.get(&r.kind).map(MachineType::supply).unwrap_or_default();
+            let supply = self.machine_types.get(&r.kind).map(MachineType::supply).unwrap_or_default();
             coming.extend((0..r.count).map(|_| (r.kind.clone(), r.zone.clone(), r.spot, supply)));
         }
         for r in lead.fleet.arrived.iter().filter(|r| !self.machines.contains_key(&r.machine)) {
-            let supply = self.types.get(&r.kind).map(MachineType::supply).unwrap_or_default();
+            let supply = self.machine_types.get(&r.kind).map(MachineType::supply).unwrap_or_default();
             coming.push((r.kind.clone(), r.zone.clone(), r.spot, supply));
         }
         let mut wanted: BTreeMap<(String, String, bool), f64> = BTreeMap::new();
@@ -339,7 +348,7 @@
             let Some(job) = self.jobs.get(&u.job).filter(|j| self.worth_renting_for(&u.job, j)) else {
                 continue;
             };
-            let waiting = u64::from(self.worth_trying(&u.job, job).saturating_sub(job.placed()));
+            let waiting = u64::from(self.tasks_worth_starting(&u.job, job).saturating_sub(job.placed()));
             self.want_for(
                 &job.spec,
                 u.count.max(waiting),
@@ -354,8 +363,8 @@
         let counted: BTreeSet<&String> = lead.unplaced.iter().map(|u| &u.job).collect();
         let others = self.jobs.iter().filter(|(id, _)| !counted.contains(id));
         for (id, job) in others.filter(|(id, j)| self.worth_renting_for(id, j)) {
-            let waiting = self.worth_trying(id, job).saturating_sub(job.placed());
-            if waiting > 0 && (job.spec.floor() == 1 || job.on.is_empty()) {
+            let waiting = self.tasks_worth_starting(id, job).saturating_sub(job.placed());
+            if waiting > 0 && (job.spec.floor() == 1 || job.placements.is_empty()) {
                 let zones = self.zones_left(id, job, std::iter::empty());
                 self.want_for(
                     &job.spec,
@@ -372,8 +381,8 @@
             self.want_for(&spec, count, None, &mut coming, &mut turnover, &mut wanted);
         }
         // Room to keep for classes that no machine could boot in time for.
-        for (class, spec) in &self.quick {
-            let there = self.kept.values().filter(|c| *c == class).count();
+        for (class, spec) in &self.fast_start_jobs {
+            let there = self.fast_start_reservations.values().filter(|c| *c == class).count();
             let lacking = self.slots_kept(spec).saturating_sub(there) as u64;
             self.want_for(
                 spec,
@@ -397,7 +406,7 @@
                 left -= count;
             }
         }
-        if asked && let Some(lead) = &mut self.lead {
+        if asked && let Some(lead) = &mut self.leader_state {
             lead.fleet.rented_at = now;
         }
     }
@@ -405,11 +414,14 @@
     /// For a job that fails wherever it goes nothing is rented, unless there is nowhere to try it.
     fn worth_renting_for(&self, id: &str, job: &Job) -> bool {
         let anywhere = || self.machines.values().any(|m| self.serving(m) && allows(&job.spec, m));
-        !self.mistaken(id) || !self.held(id) && !anywhere()
+        !self.is_broken(id) || !self.awaits_retry(id) && !anywhere()
     }
 
     fn refused(&self, key: &(String, String, bool)) -> bool {
-        self.lead.as_ref().and_then(|l| l.fleet.refused.get(key)).is_some_and(|(until, _)| *until > self.now)
+        self.leader_state
+            .as_ref()
+            .and_then(|l| l.fleet.refused.get(key))
+            .is_some_and(|(until, _)| *until > self.now)
     }
 
     /// Places of a job's tasks on machines that are coming; the rest is to be rented.
@@ -468,10 +480,13 @@
         }
         let mut options = Vec::new();
         let mut cheapest = f64::INFINITY;
-        for t in self.types.values().filter(|t| type_ok(&t.name) && need.fits(t.supply())) {
+        for t in self.machine_types.values().filter(|t| type_ok(&t.name) && need.fits(t.supply())) {
             if spec.gpus == 0.0
                 && t.gpus > 0.0
-                && self.types.values().any(|o| o.gpus == 0.0 && type_ok(&o.name) && need.fits(o.supply()))
+                && self
+                    .machine_types
+                    .values()
+                    .any(|o| o.gpus == 0.0 && type_ok(&o.name) && need.fits(o.supply()))
             {
                 continue;
             }
@@ -509,9 +524,12 @@
     /// Places that tasks of the same kind of need hold now, and will leave. Services do not.
     fn places_taken(&self, spec: &JobSpec) -> usize {
         let need = spec.need();
-        let serving = self.machines.values().filter(|m| m.up && !m.row.returning && !m.apart && !m.notice);
+        let serving = self
+            .machines
+            .values()
+            .filter(|m| m.up && !m.row.returning && !m.quarantined && !m.preemption_notice);
         let services = self.jobs.values().any(|j| j.spec.shape == Shape::Service);
-        let alike = |(id, t): &(&TaskId, &TaskOn)| {
+        let alike = |(id, t): &(&TaskId, &PlacedTask)| {
             !t.ended()
                 && (t.need.gpu > 0) == (need.gpu > 0)
                 && t.need.cpu * 2 >= need.cpu
@@ -524,8 +542,8 @@
     fn want_guarantee(&self, wanted: &mut BTreeMap<(String, String, bool), f64>) {
         let goals = self.guaranteed();
         let mut has = self.standing_supply();
-        for r in self.lead.iter().flat_map(|l| l.fleet.open.values()) {
-            if let Some(t) = self.types.get(&r.kind) {
+        for r in self.leader_state.iter().flat_map(|l| l.fleet.open.values()) {
+            if let Some(t) = self.machine_types.get(&r.kind) {
                 let coming = t.supply().times(u64::from(r.count));
                 has.1 = has.1.plus(coming);
                 if !r.spot {
@@ -541,7 +559,7 @@
                     continue;
                 }
                 let best = self
-                    .types
+                    .machine_types
                     .values()
                     .filter(|t| (t.gpus > 0.0) == accelerated)
                     .flat_map(|t| t.zones.iter().map(move |z| (t, z)))
--- a/src/coordination/fleet_demand.rs
+++ b/src/coordination/fleet_demand.rs
@@ -36,7 +36,7 @@
         let root = |x: f64| (DEVIATIONS * x.sqrt()) as u64;
         let swing = Resources { cpu: root(cpu), gpu: root(gpu), memory: 0 };
         let now = self.now;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let fade = (-now.since(lead.fleet.asked_at).as_secs_f64() / REMEMBERED).exp();
         lead.fleet.asked_at = now;
         lead.fleet.swing = lead.fleet.swing.scaled(fade).max(swing);
@@ -52,7 +52,7 @@
     /// Notes a new job, for what is to be expected of its class.
     pub(super) fn note_arrival(&mut self, spec: &JobSpec) {
         let now = self.now;
-        if let Some(lead) = &mut self.lead
+        if let Some(lead) = &mut self.leader_state
             && spec.shape == Shape::Array
             && spec.estimate_s > 0.0
         {
@@ -70,7 +70,7 @@
     /// beyond those for which there is room now, as far as their teams' guarantees go: only guaranteed
     /// work must not wait, and machines for other work are cheaper rented once it is there.
     pub(super) fn expected(&self) -> Vec<(JobSpec, u64)> {
-        let Some(lead) = &self.lead else { return Vec::new() };
+        let Some(lead) = &self.leader_state else { return Vec::new() };
         let mut left = self.unused_guarantee();
         let serving = || self.machines.values().filter(|m| self.serving(m));
         let mut expected = Vec::new();
@@ -104,7 +104,7 @@
         let ok = |t: &&MachineType| {
             spec.types.as_ref().is_none_or(|names| names.contains(&t.name)) && spec.need().fits(t.supply())
         };
-        self.types.values().filter(ok).map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
+        self.machine_types.values().filter(ok).map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 
     /// What each team asks for now: by jobs that need ordinary machines, and by all.
@@ -126,7 +126,7 @@
     pub(super) fn guaranteed(&self) -> (Resources, Resources) {
         let mut sum = (Resources::default(), Resources::default());
         let mut limit = Resources::default();
-        let Some(lead) = &self.lead else { return sum };
+        let Some(lead) = &self.leader_state else { return sum };
         for team in &self.settings.params.teams {
             let Some((ordinary, all)) = lead.fleet.asked.get(&team.name) else { continue };
             let most = Resources::need(team.cpus, team.gpus, 0.0);
@@ -139,7 +139,8 @@
 
     /// Machines up or coming that can be counted on: ordinary ones, and all.
     pub(super) fn standing_supply(&self) -> (Resources, Resources) {
-        let stay = self.machines.values().filter(|m| !m.row.returning && !m.apart && !m.notice);
+        let stay =
+            self.machines.values().filter(|m| !m.row.returning && !m.quarantined && !m.preemption_notice);
         stay.fold(Default::default(), |(ordinary, all): (Resources, Resources), m| {
             (if m.row.spot { ordinary } else { ordinary.plus(m.supply) }, all.plus(m.supply))
         })
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs start whole and stop whole.
+//! Gang scheduling: all tasks of a gang are started together and stopped together.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,31 +10,32 @@
 use crate::protocol::worker::{TaskId, TaskState};
 
 impl Controller {
-    /// Starts all tasks of a gang, or none and says why. No task of an earlier attempt may be left.
+    /// Plans starts of all tasks of a gang and returns their number, or plans none and returns the reason. If tasks of the
+    /// gang are still placed, only replacements for missing ones of the same attempt are planned.
     pub(super) fn place_gang(&mut self, id: &str, rooms: &mut Rooms) -> Result<usize, WaitReason> {
         let Some(job) = self.jobs.get(id) else { return Ok(0) };
         let spec = job.spec.clone();
         if self.wanted(job) < spec.tasks {
             return Err(WaitReason::NotAdmitted);
         }
-        if !job.on.is_empty() {
-            return Ok(self.complete_gang(id, &spec, rooms));
+        if !job.placements.is_empty() {
+            return Ok(self.replace_missing_gang_tasks(id, &spec, rooms));
         }
-        let total = spec.need();
+        let need = spec.need();
         let n = u64::from(spec.tasks);
-        let whole = total.times(n);
+        let total = need.times(n);
         let mut allowance = self.allowance(&spec);
-        if let Some(reason) = allowance.refusal(whole) {
+        if let Some(reason) = allowance.refusal(total) {
             return Err(reason);
         }
         let mut zones: Vec<Option<String>> = vec![None];
         if spec.one_zone {
             let machines = rooms.free.keys().filter_map(|m| self.machines.get(m));
-            let named: BTreeSet<&String> = machines.map(|m| &m.row.zone).collect();
-            zones = named.into_iter().map(|z| Some(z.clone())).collect();
+            let names: BTreeSet<&String> = machines.map(|m| &m.row.zone).collect();
+            zones = names.into_iter().map(|z| Some(z.clone())).collect();
         }
         let size = spec.tasks as usize;
-        // Of the zones where all fit, the one that is left with least: a large gang may come next.
+        // Best fit: of the zones that have room for the gang, the one with the least room, as a larger gang may come next.
         let mut best: Option<(usize, Vec<String>)> = None;
         for zone in zones {
             let only = zone.as_deref().map_or(Only::All, Only::Zone);
@@ -46,7 +47,7 @@
             }
         }
         let Some((_, chosen)) = best else { return Err(WaitReason::NoMachine) };
-        rooms.take(&chosen, total);
+        rooms.take(&chosen, need);
         let attempt = self.next_attempt(id);
         for (index, name) in chosen.iter().enumerate() {
             self.plan(id, index as u32, attempt, name, &mut allowance);
@@ -54,20 +55,20 @@
         Ok(size)
     }
 
-    /// A gang that has not started may lack a task whose start was lost or refused: a replacement
-    /// with the same attempt number completes it.
-    fn complete_gang(&mut self, id: &str, spec: &JobSpec, rooms: &mut Rooms) -> usize {
+    /// Plans replacements for missing tasks of a gang that has not begun to run, with the gang's attempt number. A task is
+    /// missing if its start was lost or refused.
+    fn replace_missing_gang_tasks(&mut self, id: &str, spec: &JobSpec, rooms: &mut Rooms) -> usize {
         let Some(job) = self.jobs.get(id) else { return 0 };
         let mut attempts = BTreeSet::new();
-        for (index, places) in &job.on {
+        for (index, places) in &job.placements {
             for t in places.iter().filter_map(|m| self.machines.get(m)?.tasks.get(&TaskId::new(id, *index))) {
-                if !matches!(t.state, TaskState::Fetching | TaskState::Waiting) || t.stop.is_some() {
+                if !matches!(t.state, TaskState::Fetching | TaskState::Waiting) || t.stop_grace.is_some() {
                     return 0;
                 }
                 attempts.insert(t.attempt);
             }
         }
-        let missing: Vec<u32> = (0..spec.tasks).filter(|i| !job.on.contains_key(i)).collect();
+        let missing: Vec<u32> = (0..spec.tasks).filter(|i| !job.placements.contains_key(i)).collect();
         let (Some(attempt), 1) = (attempts.first().copied(), attempts.len()) else { return 0 };
         let mut allowance = self.allowance(spec);
         let most = spec.need().times_in(allowance.room()).min(missing.len() as u64);
@@ -79,23 +80,23 @@
         names.len()
     }
 
-    /// A gang stops as a whole: when one of its tasks is being stopped, or its machine is about to be
-    /// taken, all are told, so that what they have done is saved.
-    pub(super) fn stop_gangs(&mut self) {
+    /// Stops all tasks of a gang if one of them is being stopped, or if its machine has a preemption notice, so that all
+    /// tasks save their state.
+    pub(super) fn propagate_gang_stops(&mut self) {
         let mut stops: Vec<(String, TaskId, Micros)> = Vec::new();
         for (id, job) in &self.jobs {
-            if !job.is_gang() || job.spec.tasks < 2 || job.owner.as_deref() != Some(self.me()) {
+            if !job.is_gang() || job.spec.tasks < 2 || job.owner.as_deref() != Some(self.own_name()) {
                 continue;
             }
             let tasks: Vec<(&String, TaskId)> = job
-                .on
+                .placements
                 .iter()
                 .flat_map(|(i, places)| places.iter().map(|m| (m, TaskId::new(id, *i))))
                 .collect();
             let stopped = tasks.iter().any(|(m, t)| {
-                self.machines
-                    .get(*m)
-                    .is_some_and(|m| m.notice || m.tasks.get(t).is_some_and(|t| t.stop.is_some()))
+                self.machines.get(*m).is_some_and(|m| {
+                    m.preemption_notice || m.tasks.get(t).is_some_and(|t| t.stop_grace.is_some())
+                })
             });
             if stopped {
                 let grace = job.spec.save() + Micros::from_secs(1);
@@ -106,8 +107,8 @@
             if let Some(t) = self.machines.get_mut(&name).and_then(|m| m.tasks.get_mut(&task))
                 && !t.ended()
             {
-                t.stop.get_or_insert(grace);
-                self.stops_abroad = true;
+                t.stop_grace.get_or_insert(grace);
+                self.remote_stops_pending = true;
             }
         }
     }
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -1,4 +1,6 @@
-//! Users' requests. Any controller serves them: the state service decides, not the one asked.
+//! Users' requests: submissions, queries and withdrawals.
+//!
+//! Every controller serves them, because their outcome is decided by transactions of the state service.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +9,7 @@
 
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, FinalRecord};
-use crate::coordination::finals::Source;
+use crate::coordination::finals::EndSource;
 use crate::coordination::knowledge::Liveness;
 use crate::coordination::{Answer, Controller, Missing, Phase, Purpose, Question, RequestId, Wanted};
 use crate::protocol::job::{Final, JobSpec, JobState};
@@ -15,75 +17,75 @@
 use crate::protocol::units::Micros;
 use crate::protocol::worker::TaskState;
 
-/// Least time between two checks of the jobs that users have asked about.
-const POLL_SPACING: Micros = Micros::from_millis(200);
-/// Reads that may wait for the state service before further ones are sent away.
-const MOST_READS: usize = 40;
-/// Withdrawals that may.
-const MOST_WITHDRAWALS: usize = 200;
-/// How long a user waits: for an answer to a question, and to a submission or a withdrawal, less the time on the way.
-const ASKED_PATIENCE: Micros = Micros::from_millis(1_700);
-const SUBMITTED_PATIENCE: Micros = Micros::from_millis(3_300);
-/// Users' questions that may wait for the next check.
-const MOST_POLLS: usize = 400;
+/// Minimum time between two checks of polled jobs against the state service.
+const MIN_POLL_CHECK_INTERVAL: Micros = Micros::from_millis(200);
+/// Number of queued reads of the state service from which on further ones are deferred.
+const MAX_WAITING_READS: usize = 40;
+/// The same for withdrawals.
+const MAX_WAITING_WITHDRAWALS: usize = 200;
+/// How long users wait for the answer to a query, and to a submission or withdrawal, less the time in transit.
+const QUERY_TIMEOUT: Micros = Micros::from_millis(1_700);
+const SUBMISSION_TIMEOUT: Micros = Micros::from_millis(3_300);
+/// Number of polls that may wait for the next check.
+const MAX_POLLS: usize = 400;
 
 impl Controller {
-    /// Whether a read for a user is worth making: it would be answered before the user gives up.
-    fn open_for_reads(&self) -> bool {
-        self.entitled() && self.calls.reads_waiting() < MOST_READS
+    /// Whether a read for a user would be answered before the user gives up.
+    fn accepts_reads(&self) -> bool {
+        self.entitled() && self.store_calls.reads_waiting() < MAX_WAITING_READS
     }
 
-    /// Nobody can be served, whoever it is: users come back spread over some seconds.
-    fn turn_all_away(&mut self, request: RequestId) {
+    /// Defers a request when none can be served. The random delay spreads the retries over some seconds.
+    fn defer_with_jitter(&mut self, request: RequestId) {
         let seconds = self.rng.random_range(1..=4);
-        self.answer(request, Answer::Later(seconds));
+        self.answer(request, Answer::RetryLater(seconds));
     }
 
-    /// What a user asks of a job, who waits so long.
-    fn question(&self, request: RequestId, job: String, patience: Micros) -> Question {
+    /// A query about a job whose user waits for `patience`.
+    fn new_query(&self, request: RequestId, job: String, patience: Micros) -> Question {
         Question { request, job, until: self.now + patience }
     }
 
-    /// The job's end, as it is told to a user; and whether there was one to tell.
-    fn answer_known_end(&mut self, q: &Question) -> bool {
-        let Some((state, tasks)) = self.finals.get(&q.job) else { return false };
-        self.answer_end(q.request, &q.job, state, tasks, q.until);
+    /// Answers with the job's final state if it is known. Returns whether it is.
+    fn answer_if_ended(&mut self, question: &Question) -> bool {
+        let Some((state, tasks)) = self.final_states.get(&question.job) else { return false };
+        self.answer_end(question.request, &question.job, state, tasks, question.until);
         true
     }
 
-    pub(super) fn submitted(&mut self, request: RequestId, spec: Box<JobSpec>) {
-        let question = self.question(request, spec.id.clone(), SUBMITTED_PATIENCE);
-        if self.answer_known_end(&question) {
+    pub(super) fn handle_submission(&mut self, request: RequestId, spec: Box<JobSpec>) {
+        let question = self.new_query(request, spec.id.clone(), SUBMISSION_TIMEOUT);
+        if self.answer_if_ended(&question) {
             return;
         }
-        if !self.entitled() || self.types.is_empty() {
-            return self.turn_all_away(request);
+        if !self.entitled() || self.machine_types.is_empty() {
+            return self.defer_with_jitter(request);
         }
         if self.jobs.contains_key(&spec.id) {
-            // Known here, but it may be over by now: the store says.
-            return self.look_live(question, Wanted::State);
+            // The job may have ended since the applied revision, so the state service is asked.
+            return self.look_up_live(question, Wanted::State);
         }
-        if let Some(why) = self.impossible(&spec) {
-            tracing::debug!(job = spec.id, why, "cannot run");
-            // One accepted by another controller must not be refused here, whatever has changed since.
-            if self.open_for_reads() {
-                return self.look_live(question, Wanted::Refusal(why));
+        if let Some(why) = self.infeasible_reason(&spec) {
+            tracing::debug!(job = spec.id, why, "rejected: the job can never run");
+            // If another controller has accepted the job, it must not be rejected here, even if settings have changed.
+            if self.accepts_reads() {
+                return self.look_up_live(question, Wanted::Refusal(why));
             }
-            return self.answer(request, Answer::Later(1));
+            return self.answer(request, Answer::RetryLater(1));
         }
         let Ok(value) = serde_json::to_value(&*spec) else {
-            return self.answer(request, Answer::Later(1));
+            return self.answer(request, Answer::RetryLater(1));
         };
         let size = value.to_string().len();
         if size as f64 > self.settings.params.state.value_kb * 1024.0 - 64.0 {
-            return self.answer(request, Answer::Impossible("the description is too long to keep"));
+            return self.answer(request, Answer::Rejected("the description is too long to keep"));
         }
         let capacity = self.capacity();
-        let verdict = self.door.offer(self.now, &spec.id, &spec.team, &spec.class, capacity);
+        let verdict = self.submission_limiter.offer(self.now, &spec.id, &spec.team, &spec.class, capacity);
         if let Verdict::Turned(reason, wait) = verdict {
-            tracing::debug!(job = spec.id, class = spec.class, ?reason, "turned away");
+            tracing::debug!(job = spec.id, class = spec.class, ?reason, "submission deferred");
             let seconds = (wait.as_secs_f64().ceil() as u32).clamp(1, 30);
-            return self.answer(request, Answer::Later(seconds));
+            return self.answer(request, Answer::RetryLater(seconds));
         }
         let transaction = Transaction {
             conditions: vec![
@@ -94,11 +96,11 @@
             writes: vec![Write::put(records::live(&spec.id), value)],
         };
         let purpose = Purpose::Accept { request, spec };
-        self.store(Urgency::Acceptance, purpose, StoreCall::Commit(transaction));
+        self.enqueue_store_call(Urgency::Acceptance, purpose, StoreCall::Commit(transaction));
     }
 
-    /// Why a job can never run here, if so.
-    fn impossible(&self, spec: &JobSpec) -> Option<&'static str> {
+    /// Why a job can never run on this deployment; `None` if it can.
+    fn infeasible_reason(&self, spec: &JobSpec) -> Option<&'static str> {
         let params = &self.settings.params;
         let Some(team) = params.teams.iter().find(|t| t.name == spec.team) else {
             return Some("unknown team");
@@ -108,21 +110,22 @@
             spec.types.as_ref().is_none_or(|names| names.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         };
-        if !self.types.values().filter(allowed).any(|t| need.fits(t.supply())) {
+        if !self.machine_types.values().filter(allowed).any(|t| need.fits(t.supply())) {
             return Some("no allowed machine type is large enough for a task");
         }
-        let together = u64::from(spec.floor());
-        let over = |each: u64, limit: f64| limit > 0.0 && (each * together) as f64 > limit * 1e3 + 1e-6;
-        if over(need.cpu, team.cpus_max) || over(need.gpu, team.gpus_max) {
+        let simultaneous = u64::from(spec.floor());
+        let exceeds =
+            |each: u64, limit: f64| limit > 0.0 && (each * simultaneous) as f64 > limit * 1e3 + 1e-6;
+        if exceeds(need.cpu, team.cpus_max) || exceeds(need.gpu, team.gpus_max) {
             return Some("more than the team's limit");
         }
-        if spec.spread && (spec.one_zone || spec.zone.is_some()) && together > 1 {
+        if spec.spread && (spec.one_zone || spec.zone.is_some()) && simultaneous > 1 {
             return Some("tasks that must run together can't be both apart and in one zone");
         }
         None
     }
 
-    pub(super) fn accept_replied(&mut self, request: RequestId, spec: JobSpec, reply: StoreReply) {
+    pub(super) fn handle_accept_reply(&mut self, request: RequestId, spec: JobSpec, reply: StoreReply) {
         match reply {
             StoreReply::Committed { .. } => {
                 self.counters.accepted += 1;
@@ -131,135 +134,139 @@
                         job = spec.id,
                         class = spec.class,
                         tasks = spec.tasks,
-                        node = lease.stamp,
-                        "accepted"
+                        node = lease.registration,
+                        "job accepted"
                     );
                 }
-                // The watch will bring it; ask at once rather than after the usual pause.
-                self.follow_at = self.follow_at.map(|_| self.now);
+                // Request changes at once, without the usual pause, to read the job's record.
+                self.next_follow_at = self.next_follow_at.map(|_| self.now);
                 let state = JobState::Queued;
                 self.answer(request, Answer::Job { created: true, id: spec.id, state, done: 0, running: 0 });
             }
             StoreReply::Conflict { failed } => {
-                let me = records::node(self.me());
+                let me = records::node(self.own_name());
                 if failed.contains(&records::finished(&spec.id)) {
-                    let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
-                    self.look_final(question, Missing::Nothing);
+                    let question = self.new_query(request, spec.id, SUBMISSION_TIMEOUT);
+                    self.look_up_final(question, Missing::Nothing);
                 } else if failed.contains(&records::live(&spec.id)) {
-                    let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
-                    self.look_live(question, Wanted::State);
+                    let question = self.new_query(request, spec.id, SUBMISSION_TIMEOUT);
+                    self.look_up_live(question, Wanted::State);
                 } else {
                     debug_assert!(failed.contains(&me));
-                    self.answer(request, Answer::Later(1));
+                    self.answer(request, Answer::RetryLater(1));
                 }
             }
-            _ => self.answer(request, Answer::Later(1)),
+            _ => self.answer(request, Answer::RetryLater(1)),
         }
     }
 
-    pub(super) fn queried(&mut self, request: RequestId, job: String) {
-        let question = self.question(request, job, ASKED_PATIENCE);
-        if self.answer_known_end(&question) {
+    pub(super) fn handle_query(&mut self, request: RequestId, job: String) {
+        let question = self.new_query(request, job, QUERY_TIMEOUT);
+        if self.answer_if_ended(&question) {
             return;
         }
         if self.phase != Phase::Active || !self.entitled() {
-            return self.answer(request, Answer::Later(1));
+            return self.answer(request, Answer::RetryLater(1));
         }
         if self.jobs.contains_key(&question.job) {
-            self.polls.push(question);
-            if self.polls.len() > MOST_POLLS {
-                self.turn_a_poll_away();
+            self.pending_polls.push(question);
+            if self.pending_polls.len() > MAX_POLLS {
+                self.defer_newest_poll();
             }
-        } else if self.open_for_reads() {
-            self.look_live(question, Wanted::State);
+        } else if self.accepts_reads() {
+            self.look_up_live(question, Wanted::State);
         } else {
-            self.answer(request, Answer::Later(1));
+            self.answer(request, Answer::RetryLater(1));
         }
     }
 
-    /// Of more questions than can be answered, the one whose user has waited least is turned away.
-    fn turn_a_poll_away(&mut self) {
-        let newest =
-            (0..self.polls.len()).max_by_key(|i| (self.door.asked(self.now, &self.polls[*i].job), *i));
+    /// Defers the poll whose user has waited least.
+    fn defer_newest_poll(&mut self) {
+        let newest = (0..self.pending_polls.len())
+            .max_by_key(|i| (self.submission_limiter.asked(self.now, &self.pending_polls[*i].job), *i));
         if let Some(i) = newest {
-            let Question { request, job, .. } = self.polls.swap_remove(i);
-            self.door.unanswered(self.now, &job);
-            self.answer(request, Answer::Later(1));
+            let Question { request, job, .. } = self.pending_polls.swap_remove(i);
+            self.submission_limiter.unanswered(self.now, &job);
+            self.answer(request, Answer::RetryLater(1));
         }
     }
 
-    /// Asks the store whether the jobs that users have asked about are still live, many at a time: a
-    /// read for every poll would take more than this controller's part of the requests.
+    /// Checks in one transaction whether the polled jobs are still live. A read for each poll would exceed this controller's
+    /// part of the request limit.
     pub(super) fn check_polls(&mut self) {
-        if self.polls.is_empty() || self.now < self.polls_at {
+        if self.pending_polls.is_empty() || self.now < self.next_poll_check_at {
             return;
         }
-        self.polls_at = self.now + POLL_SPACING;
-        let most = self.settings.params.state.txn_ops * 4;
-        if self.polls.len() > most {
-            let (now, door) = (self.now, &self.door);
-            self.polls.sort_by_cached_key(|q| door.asked(now, &q.job));
+        self.next_poll_check_at = self.now + MIN_POLL_CHECK_INTERVAL;
+        let max_jobs = self.settings.params.state.txn_ops * 4;
+        if self.pending_polls.len() > max_jobs {
+            let (now, door) = (self.now, &self.submission_limiter);
+            self.pending_polls.sort_by_cached_key(|q| door.asked(now, &q.job));
         }
         let mut conditions: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut asked = 0;
-        for Question { job, .. } in &self.polls {
-            if conditions.len() == most && !conditions.contains_key(job.as_str()) {
+        let mut checked = 0;
+        for Question { job, .. } in &self.pending_polls {
+            if conditions.len() == max_jobs && !conditions.contains_key(job.as_str()) {
                 break;
             }
-            // No key has this stamp: a job that has gone in the meantime is looked up.
-            let stamp = self.jobs.get(job).map_or(u64::MAX >> 1, |j| j.stamp);
+            // No record has this revision, so the condition fails and a job that has ended in the meantime is looked up.
+            let stamp = self.jobs.get(job).map_or(u64::MAX >> 1, |j| j.accepted_revision);
             conditions.insert(job, stamp);
-            asked += 1;
+            checked += 1;
         }
         let conditions = conditions.into_iter().map(|(job, stamp)| Condition::new(records::live(job), stamp));
         let transaction = Transaction { conditions: conditions.collect(), writes: Vec::new() };
-        let polls = self.polls.drain(..asked).collect();
-        self.store(Urgency::Rest, Purpose::CheckLive { polls }, StoreCall::Commit(transaction));
+        let polls = self.pending_polls.drain(..checked).collect();
+        self.enqueue_store_call(Urgency::Rest, Purpose::CheckLive { polls }, StoreCall::Commit(transaction));
     }
 
-    pub(super) fn checked_live(&mut self, polls: Vec<Question>, sent: Micros, reply: StoreReply) {
+    pub(super) fn handle_poll_check_reply(&mut self, polls: Vec<Question>, sent: Micros, reply: StoreReply) {
         for question in polls {
             match &reply {
                 StoreReply::Committed { .. } => {
-                    self.door.answered(&question.job);
+                    self.submission_limiter.answered(&question.job);
                     self.answer_live(question, sent, None);
                 }
                 StoreReply::Conflict { failed } if failed.contains(&records::live(&question.job)) => {
-                    self.look_final(question, Missing::Nothing);
+                    self.look_up_final(question, Missing::Nothing);
                 }
-                // Nothing was said of the others: they are asked about again.
-                StoreReply::Conflict { .. } => self.polls.push(question),
+                // A failed transaction shows nothing about the jobs that it does not name; they are checked again.
+                StoreReply::Conflict { .. } => self.pending_polls.push(question),
                 _ => {
-                    self.door.unanswered(self.now, &question.job);
-                    self.answer(question.request, Answer::Later(1));
+                    self.submission_limiter.unanswered(self.now, &question.job);
+                    self.answer(question.request, Answer::RetryLater(1));
                 }
             }
         }
     }
 
-    pub(super) fn withdrawal(&mut self, request: RequestId, job: String) {
-        let question = self.question(request, job, SUBMITTED_PATIENCE);
-        if self.answer_known_end(&question) {
+    pub(super) fn handle_withdrawal(&mut self, request: RequestId, job: String) {
+        let question = self.new_query(request, job, SUBMISSION_TIMEOUT);
+        if self.answer_if_ended(&question) {
             return;
         }
-        if !self.entitled() || self.calls.waiting(Urgency::Withdrawal) >= MOST_WITHDRAWALS {
-            return self.answer(request, Answer::Later(1));
+        if !self.entitled() || self.store_calls.waiting(Urgency::Withdrawal) >= MAX_WAITING_WITHDRAWALS {
+            return self.answer(request, Answer::RetryLater(1));
         }
-        self.look_live(question, Wanted::Withdrawal);
+        self.look_up_live(question, Wanted::Withdrawal);
     }
 
-    fn look_live(&mut self, question: Question, wanted: Wanted) {
+    fn look_up_live(&mut self, question: Question, wanted: Wanted) {
         let key = records::live(&question.job);
         let urgency = if wanted == Wanted::Withdrawal { Urgency::Withdrawal } else { Urgency::Rest };
-        self.store(urgency, Purpose::LookLive { question, wanted }, StoreCall::Get { key });
+        self.enqueue_store_call(urgency, Purpose::LookLive { question, wanted }, StoreCall::Get { key });
     }
 
-    fn look_final(&mut self, question: Question, missing: Missing) {
+    fn look_up_final(&mut self, question: Question, missing: Missing) {
         let key = records::finished(&question.job);
-        self.store(Urgency::Acceptance, Purpose::LookFinal { question, missing }, StoreCall::Get { key });
+        self.enqueue_store_call(
+            Urgency::Acceptance,
+            Purpose::LookFinal { question, missing },
+            StoreCall::Get { key },
+        );
     }
 
-    pub(super) fn looked_live(
+    pub(super) fn handle_live_lookup_reply(
         &mut self,
         question: Question,
         wanted: Wanted,
@@ -269,23 +276,23 @@
         match reply {
             StoreReply::Found { value, stamp } if wanted == Wanted::Withdrawal => {
                 let tasks = value.get("Pieces").and_then(|p| p.as_u64()).unwrap_or(0) as u32;
-                self.withdraw(question, stamp, tasks);
+                self.commit_withdrawal(question, stamp, tasks);
             }
             StoreReply::Found { stamp, .. } => self.answer_live(question, sent, Some(stamp)),
-            // Not live at that moment: then it is over, or was never accepted.
-            StoreReply::Missing => self.look_final(question, Missing::Unknown { as_of: sent, wanted }),
-            _ => self.answer(question.request, Answer::Later(1)),
+            // The job was not live then: it has ended, or was never accepted.
+            StoreReply::Missing => self.look_up_final(question, Missing::Unknown { as_of: sent, wanted }),
+            _ => self.answer(question.request, Answer::RetryLater(1)),
         }
     }
 
-    fn withdraw(&mut self, question: Question, stamp: u64, tasks: u32) {
+    fn commit_withdrawal(&mut self, question: Question, record_revision: u64, tasks: u32) {
         let record = FinalRecord { state: Final::Withdrawn, tasks };
         let Ok(value) = serde_json::to_value(record) else {
-            return self.answer(question.request, Answer::Later(1));
+            return self.answer(question.request, Answer::RetryLater(1));
         };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::live(&question.job), stamp),
+                Condition::new(records::live(&question.job), record_revision),
                 Condition::new(records::finished(&question.job), 0),
                 self.entitlement(),
             ],
@@ -294,82 +301,86 @@
                 Write::put(records::finished(&question.job), value),
             ],
         };
-        self.store(
+        self.enqueue_store_call(
             Urgency::Withdrawal,
             Purpose::Withdraw { question, tasks },
             StoreCall::Commit(transaction),
         );
     }
 
-    pub(super) fn looked_final(&mut self, question: Question, missing: Missing, reply: StoreReply) {
+    pub(super) fn handle_final_lookup_reply(
+        &mut self,
+        question: Question,
+        missing: Missing,
+        reply: StoreReply,
+    ) {
         match reply {
             StoreReply::Found { value, stamp } => match serde_json::from_value::<FinalRecord>(value) {
                 Ok(record) => {
-                    self.learned_end(&question.job, record, stamp, Source::Records);
+                    self.record_end(&question.job, record, stamp, EndSource::Records);
                     self.retire(&question.job);
-                    self.answer_known_end(&question);
+                    self.answer_if_ended(&question);
                 }
-                Err(_) => self.answer(question.request, Answer::Later(1)),
+                Err(_) => self.answer(question.request, Answer::RetryLater(1)),
             },
             StoreReply::Missing => match missing {
-                // Only one that was not live, and was not over either afterwards, had never been accepted by then. A
-                // withdrawal that failed because its controller had been evicted was looked up here, and answered with
-                // 404.
-                Missing::Unknown { as_of, wanted } if self.recent(as_of) => {
+                // A job was never accepted only if it was not live, and after that had no final record either. Without the
+                // first check, a withdrawal that failed because its controller had been evicted was answered with 404.
+                Missing::Unknown { as_of, wanted } if self.is_recent(as_of) => {
                     let answer = match wanted {
-                        Wanted::Refusal(why) => Answer::Impossible(why),
+                        Wanted::Refusal(why) => Answer::Rejected(why),
                         _ => Answer::NotFound,
                     };
                     self.answer(question.request, answer);
                 }
                 Missing::Unknown { wanted, .. } if self.now < question.until => {
-                    self.look_live(question, wanted);
+                    self.look_up_live(question, wanted);
                 }
-                _ => self.answer(question.request, Answer::Later(1)),
+                _ => self.answer(question.request, Answer::RetryLater(1)),
             },
-            _ => self.answer(question.request, Answer::Later(1)),
+            _ => self.answer(question.request, Answer::RetryLater(1)),
         }
     }
 
-    pub(super) fn withdraw_replied(&mut self, question: Question, tasks: u32, reply: StoreReply) {
+    pub(super) fn handle_withdraw_reply(&mut self, question: Question, tasks: u32, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => {
                 let end = FinalRecord { state: Final::Withdrawn, tasks };
-                self.learned_end(&question.job, end, revision, Source::Records);
-                // Its tasks are ended wherever they are found, for no live job has them.
+                self.record_end(&question.job, end, revision, EndSource::Records);
+                // The job's tasks are stopped wherever they are found, because no live job has them.
                 self.retire(&question.job);
-                self.answer_known_end(&question);
+                self.answer_if_ended(&question);
             }
-            StoreReply::Conflict { .. } => self.look_final(question, Missing::Nothing),
-            _ => self.answer(question.request, Answer::Later(1)),
+            StoreReply::Conflict { .. } => self.look_up_final(question, Missing::Nothing),
+            _ => self.answer(question.request, Answer::RetryLater(1)),
         }
     }
 
-    /// Tells of a job that the store has shown to be live, by a request sent then; `stamp`: of its record, where the
-    /// reply names it.
-    fn answer_live(&mut self, question: Question, sent: Micros, stamp: Option<u64>) {
-        if self.answer_known_end(&question) {
+    /// Answers a query about a job that the state service showed as live, in reply to a request sent at `sent`.
+    /// `record_revision` is the revision of the job's record, if the reply contains it.
+    fn answer_live(&mut self, question: Question, sent: Micros, record_revision: Option<u64>) {
+        if self.answer_if_ended(&question) {
             return;
         }
-        match self.liveness(&question.job, sent, stamp) {
+        match self.liveness(&question.job, sent, record_revision) {
             Liveness::Live => {
-                let answer = self.live_answer(&question.job);
+                let answer = self.build_live_answer(&question.job);
                 self.answer(question.request, answer);
             }
-            Liveness::Left => self.look_final(question, Missing::Nothing),
+            Liveness::Ended => self.look_up_final(question, Missing::Nothing),
             Liveness::Uncertain if self.now < question.until && self.entitled() => {
                 if self.jobs.contains_key(&question.job) {
-                    self.polls.push(question);
+                    self.pending_polls.push(question);
                 } else {
-                    self.look_live(question, Wanted::State);
+                    self.look_up_live(question, Wanted::State);
                 }
             }
-            Liveness::Uncertain => self.answer(question.request, Answer::Later(1)),
+            Liveness::Uncertain => self.answer(question.request, Answer::RetryLater(1)),
         }
     }
 
-    /// The state of a job that is live. Its counts are for display.
-    fn live_answer(&self, id: &str) -> Answer {
+    /// The state of a live job. Its task counts are for display only.
+    fn build_live_answer(&self, id: &str) -> Answer {
         let Some(job) = self.jobs.get(id) else {
             return Answer::Job {
                 created: false,
@@ -379,7 +390,7 @@
                 running: 0,
             };
         };
-        let running = job.on.iter().filter(|(index, places)| {
+        let running = job.placements.iter().filter(|(index, places)| {
             let task = crate::protocol::worker::TaskId::new(id, **index);
             let mut tasks = places.iter().filter_map(|m| self.machines.get(m)?.tasks.get(&task));
             tasks.any(|t| t.state == TaskState::Running && t.pending.is_none())
--- a/src/coordination/lapses.rs
+++ b/src/coordination/lapses.rs
@@ -3,23 +3,23 @@
 use std::collections::BTreeMap;
 
 use crate::coordination::removal::Removal;
-use crate::coordination::{Controller, DRIFT, Phase, SLACK};
+use crate::coordination::{CLOCK_DRIFT, Controller, LEASE_SLACK, Phase};
 use crate::protocol::units::Micros;
 
 impl Controller {
     /// Notices machines that have been silent for so long that their tasks are certainly gone.
     pub(super) fn machines_tick(&mut self) {
-        self.stop_gangs();
-        self.retired.retain(|_, job| !job.on.is_empty());
+        self.propagate_gang_stops();
+        self.retired.retain(|_, job| !job.placements.is_empty());
         // By then a cancelled job's tasks must be gone.
         let over = Micros::from_secs_f64(self.settings.params.workers.cancel_s);
-        while self.removed.front().is_some_and(|(at, ..)| self.now.since(*at) > over) {
-            self.removed.pop_front();
+        while self.recently_removed.front().is_some_and(|(at, ..)| self.now.since(*at) > over) {
+            self.recently_removed.pop_front();
         }
-        let silence = self.worker_lease + self.worker_lease.mul_f64(DRIFT) + SLACK + SLACK;
+        let silence = self.worker_lease + self.worker_lease.mul_f64(CLOCK_DRIFT) + LEASE_SLACK + LEASE_SLACK;
         let others = self.others_applied();
-        let (now, followed) = (self.now, self.followed_at);
-        let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
+        let (now, followed) = (self.now, self.replica_as_of);
+        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
         let mut lapsed = Vec::new();
         for (name, machine) in &mut self.machines {
             let own = machine.row.node == stamp && machine.row.owner == self.settings.member;
@@ -27,12 +27,14 @@
                 continue;
             }
             // No other controller can answer a machine under a grant older than what all have seen.
-            let nobody_else = others.is_some_and(|revision| revision >= machine.stamp);
-            machine.former_gone = machine.former_gone.or(nobody_else.then_some(now));
-            let Some(former) = machine.former_gone else { continue };
+            let nobody_else = others.is_some_and(|revision| revision >= machine.grant_revision);
+            machine.former_owners_gone_since =
+                machine.former_owners_gone_since.or(nobody_else.then_some(now));
+            let Some(former) = machine.former_owners_gone_since else { continue };
             // Under a resolved grant nobody else's answer counts. A session lasts a lease from its
             // beginning even if no report of it is ever answered.
-            let mut last = machine.answered.unwrap_or(former).max(machine.session_at.unwrap_or_default());
+            let mut last =
+                machine.last_answered.unwrap_or(former).max(machine.session_seen_at.unwrap_or_default());
             if !machine.resolved {
                 last = last.max(former);
             }
@@ -50,14 +52,14 @@
             tracing::info!(machine = name, "silent beyond its lease: its tasks are gone");
             // A planned start has not been sent and can wait for the next session.
             self.replace_tasks(&name, BTreeMap::new(), Removal::LeaseExpired);
-            self.ledger.told(&name, &self.life(), true);
+            self.machine_knowledge.told(&name, &self.incarnation(), true);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.resolved = true;
-                machine.known = true;
+                machine.ever_resolved = true;
                 // Whatever the ended session still has to say comes too late.
-                if machine.heard.is_some() {
+                if machine.last_heard.is_some() {
                     machine.session += 1;
-                    machine.session_at = None;
+                    machine.session_seen_at = None;
                     machine.tally = 0;
                 }
             }
@@ -65,7 +67,7 @@
         self.check_adoption();
         self.soon_status();
         self.soon_round();
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// Up to which revision all other controllers that may act have followed the store: those that are
@@ -74,7 +76,7 @@
         if self.phase != Phase::Active || self.evicted_may_act() {
             return None;
         }
-        let others = self.nodes.iter().filter(|(member, _)| *member != self.me());
+        let others = self.registrations.iter().filter(|(member, _)| *member != self.own_name());
         others
             .map(|(member, node)| {
                 let status = self.peers.get(member)?.status.as_ref()?;
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -14,7 +14,7 @@
 use crate::coordination::eligibility::allows;
 use crate::coordination::fleet::Fleet;
 use crate::coordination::model::{Job, Machine};
-use crate::coordination::stalls::Stalls;
+use crate::coordination::stalls::StallTracker;
 use crate::coordination::{Controller, Effect, Purpose, rules};
 use crate::protocol::job::JobSpec;
 use crate::protocol::peer::{PeerMessage, Volume};
@@ -70,7 +70,7 @@
     /// Jobs that are given what the volumes leave idle.
     pub backfill: Backfill,
     /// Jobs that make no use of their volumes.
-    pub stalls: Stalls,
+    pub stalls: StallTracker,
     /// Divides what is leased of the store's limits.
     pub planner: Option<Planner>,
     pub plan_at: Micros,
@@ -90,17 +90,17 @@
 
 impl Controller {
     pub(super) fn leadership_changed(&mut self) {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
-        let mine = self.leader.as_ref().is_some_and(|l| l.0 == self.me() && l.1 == stamp && stamp != 0);
-        if mine && self.lead.is_none() {
+        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
+        let mine = self.leader.as_ref().is_some_and(|l| l.0 == self.own_name() && l.1 == stamp && stamp != 0);
+        if mine && self.leader_state.is_none() {
             tracing::info!("leading");
             let stamp = self.leader.as_ref().map_or(0, |l| l.2);
             let planner = Some(Planner::new(self.now, stamp, self.leased_rates()));
-            self.lead = Some(Leading { since: self.now, planner, ..Default::default() });
-            self.volumes_heard = self.now;
+            self.leader_state = Some(Leading { since: self.now, planner, ..Default::default() });
+            self.volumes_received_at = self.now;
             self.resume_rentals();
         } else if !mine {
-            self.lead = None;
+            self.leader_state = None;
         }
         self.set_rates();
     }
@@ -109,26 +109,26 @@
     /// so rounds keep a distance.
     pub(super) fn soon_round(&mut self) {
         let now = self.now;
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             let soon = (now + Micros::from_millis(50)).max(lead.round_done + SPACING);
             lead.round_at = lead.round_at.min(soon);
         }
     }
 
     pub(super) fn leader_tick(&mut self) {
-        if self.lead.is_none() || !self.entitled() {
+        if self.leader_state.is_none() || !self.entitled() {
             return;
         }
         self.fleet_tick();
-        if self.lead.as_ref().is_some_and(|l| l.awaits_words) && self.may_divide() {
+        if self.leader_state.as_ref().is_some_and(|l| l.awaits_words) && self.may_divide() {
             self.soon_round();
         }
-        if self.lead.as_ref().is_none_or(|l| self.now < l.round_at) {
+        if self.leader_state.as_ref().is_none_or(|l| self.now < l.round_at) {
             return;
         }
         if self.view_is_old() {
             self.renew_view();
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader_state {
                 lead.round_at = self.now + SPACING;
             }
             return;
@@ -136,7 +136,7 @@
         let regular = Micros::from_secs_f64(self.tuning.round_s);
         let now = self.now;
         self.round();
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.round += 1;
             lead.round_done = now;
             // `soon_round` may bring this forward, but not below the spacing.
@@ -145,17 +145,17 @@
     }
 
     fn view_is_old(&self) -> bool {
-        let members: Vec<(String, u64)> = self.nodes.iter().map(|(m, s)| (m.clone(), *s)).collect();
+        let members: Vec<(String, u64)> = self.registrations.iter().map(|(m, s)| (m.clone(), *s)).collect();
         self.view.members != members
     }
 
     pub(super) fn holds(&self, machine: &Machine) -> bool {
-        self.nodes.get(&machine.row.owner) == Some(&machine.row.node)
+        self.registrations.get(&machine.row.owner) == Some(&machine.row.node)
     }
 
     /// Names the registered controllers as members and grants them the machines of those that left.
     fn renew_view(&mut self) {
-        let members: Vec<(String, u64)> = self.nodes.iter().map(|(m, s)| (m.clone(), *s)).collect();
+        let members: Vec<(String, u64)> = self.registrations.iter().map(|(m, s)| (m.clone(), *s)).collect();
         let mut moves = BTreeMap::new();
         self.regrant(&mut moves);
         self.grant(moves, Vec::new(), BTreeSet::new(), Some(ViewRecord { members }));
@@ -164,11 +164,11 @@
     /// Machines of controllers that have left go to those that are there. A grant may not have room
     /// for all of them, so that some are still to be granted after the view has changed.
     pub(super) fn regrant(&self, moves: &mut BTreeMap<String, String>) {
-        let left = |m: &Machine| !m.unused() && !self.holds(m);
+        let left = |m: &Machine| !m.never_granted() && !self.holds(m);
         if !self.machines.values().any(left) {
             return;
         }
-        let mut counts: BTreeMap<&str, usize> = self.nodes.keys().map(|m| (m.as_str(), 0)).collect();
+        let mut counts: BTreeMap<&str, usize> = self.registrations.keys().map(|m| (m.as_str(), 0)).collect();
         for machine in self.machines.values().filter(|m| self.holds(m)) {
             *counts.entry(&machine.row.owner).or_default() += 1;
         }
@@ -196,10 +196,10 @@
         let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
         // One grant at a time, and a new view before all else: on a large fleet there is always a machine to
         // be returned, and a controller that was back waited 1.4 s for its view behind them.
-        if self.lead.as_ref().is_none_or(|l| l.granting) || view.is_none() && self.view_is_old() {
+        if self.leader_state.as_ref().is_none_or(|l| l.granting) || view.is_none() && self.view_is_old() {
             return false;
         }
-        let mut token = self.counter.0;
+        let mut token = self.token_counter.0;
         // A row grows when its machine is granted, and a value that has become too long could never be
         // written again: each row is given the room that it may come to need.
         let names = self.names_bytes(&added) + blocks::FRAME_BYTES;
@@ -233,7 +233,7 @@
                     token += 1;
                     row.token = token;
                     row.owner = to.clone();
-                    row.node = self.nodes.get(to).copied().unwrap_or(0);
+                    row.node = self.registrations.get(to).copied().unwrap_or(0);
                 }
             }
         }
@@ -255,7 +255,7 @@
                     && (changed.contains(*n) || changed.len() < budget)
             });
             let unused =
-                |n: &usize| !lengths.contains_key(n) && !self.unreadable.contains(&records::blocks(*n));
+                |n: &usize| !lengths.contains_key(n) && !self.unreadable_keys.contains(&records::blocks(*n));
             let n = open.map(|(n, _)| *n).unwrap_or_else(|| (0..).find(unused).unwrap_or(0));
             let used = lengths.entry(n).or_insert(names);
             let more = if changed.contains(&n) { text } else { *used + text };
@@ -282,21 +282,21 @@
         if let Some(view) = view
             && let Ok(value) = serde_json::to_value(view)
         {
-            transaction.conditions.push(Condition::new(records::VIEW, self.view_stamp));
+            transaction.conditions.push(Condition::new(records::VIEW, self.view_revision));
             transaction.writes.push(Write::put(records::VIEW, value));
         }
         if transaction.writes.is_empty() {
             return false;
         }
-        if token != self.counter.0 || !new.is_empty() {
-            transaction.conditions.push(Condition::new(records::COUNTER, self.counter.1));
+        if token != self.token_counter.0 || !new.is_empty() {
+            transaction.conditions.push(Condition::new(records::COUNTER, self.token_counter.1));
             transaction.writes.push(Write::put(records::COUNTER, token.into()));
         }
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.granting = true;
         }
         self.counters.grants += 1;
-        self.store(Urgency::Entitlement, Purpose::Grant, StoreCall::Commit(transaction));
+        self.enqueue_store_call(Urgency::Entitlement, Purpose::Grant, StoreCall::Commit(transaction));
         true
     }
 
@@ -305,7 +305,7 @@
         let others = self.settings.members.iter().map(|m| m.member.as_str());
         let rows = self.machines.values().map(|m| &m.row).chain(added);
         let used = rows.flat_map(|r| [r.kind.as_str(), r.zone.as_str()]);
-        let names: BTreeSet<&str> = others.chain([self.me(), ""]).chain(used).collect();
+        let names: BTreeSet<&str> = others.chain([self.own_name(), ""]).chain(used).collect();
         names.into_iter().map(blocks::name_bytes).sum()
     }
 
@@ -313,8 +313,8 @@
         let granted = matches!(reply, StoreReply::Committed { .. });
         self.counters.grant_conflicts += u64::from(!granted);
         // The next grant is worked out from what the watch shows, so it asks at once.
-        self.follow_at = self.follow_at.map(|_| self.now);
-        if let Some(lead) = &mut self.lead {
+        self.next_follow_at = self.next_follow_at.map(|_| self.now);
+        if let Some(lead) = &mut self.leader_state {
             lead.granting = false;
             lead.round_at = if granted {
                 lead.regranting.succeeded();
@@ -328,17 +328,17 @@
     /// Machines that work can be planned on, as their owners last said.
     pub(super) fn serving(&self, machine: &Machine) -> bool {
         !machine.row.returning
-            && !machine.apart
-            && !machine.notice
+            && !machine.quarantined
+            && !machine.preemption_notice
             && self.holds(machine)
             && machine.up
-            && !machine.lost
+            && !machine.unresponsive
             && self.dark(machine) < 10
     }
 
     /// How the whole deployment stands, for the operators' log.
     fn describe_round(&self, volumes: &[Volume]) {
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader_state else { return };
         let count = |f: &dyn Fn(&Machine) -> bool| self.machines.values().filter(|m| f(m)).count();
         let tasks = |f: &dyn Fn(&Job) -> u32| self.jobs.values().map(f).sum::<u32>();
         tracing::info!(
@@ -362,26 +362,26 @@
         let (mut volumes, shares) = self.volumes();
         self.note_stalls();
         self.backfill(&mut volumes);
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.shares = shares;
         }
-        if self.lead.as_ref().is_some_and(|l| self.now >= l.described + DESCRIBE_EVERY) {
+        if self.leader_state.as_ref().is_some_and(|l| self.now >= l.described + DESCRIBE_EVERY) {
             self.describe_round(&volumes);
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader_state {
                 lead.described = self.now;
             }
         }
         let leader = self.leader.as_ref().map_or(0, |l| l.2);
-        let round = self.lead.as_ref().map_or(0, |l| l.round);
+        let round = self.leader_state.as_ref().map_or(0, |l| l.round);
         let kept = self.choose_kept();
         let surplus = self.find_surplus(&volumes);
-        let reserved = self.reserved.clone();
+        let reserved = self.gang_reservations.clone();
         self.take_volumes(&volumes, kept.clone(), reserved.clone());
         let message =
             PeerMessage::Volumes { leader, round, volumes, kept, reserved, surplus: surplus.clone() };
         self.effects.push(Effect::Send(None, message));
         self.stop_surplus(&surplus);
-        if self.lead.as_ref().is_some_and(|l| l.granting) {
+        if self.leader_state.as_ref().is_some_and(|l| l.granting) {
             return;
         }
         self.check_usage();
@@ -391,7 +391,7 @@
         let (moves, added) = self.plan_blocks();
         if !moves.is_empty() || !added.is_empty() {
             let settled = self.now;
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader_state {
                 for name in moves.keys() {
                     lead.moved.insert(name.clone(), settled);
                 }
@@ -409,7 +409,7 @@
     fn find_surplus(&mut self, volumes: &[Volume]) -> Vec<(String, u32)> {
         let now = self.now;
         let wait = Micros::from_secs_f64(self.tuning.surplus_wait_s);
-        let Some(lead) = &mut self.lead else { return Vec::new() };
+        let Some(lead) = &mut self.leader_state else { return Vec::new() };
         let waiting: BTreeMap<String, u64> = lead.unplaced.iter().map(|u| (u.job.clone(), u.count)).collect();
         lead.starved.retain(|job, _| waiting.contains_key(job));
         for job in waiting.keys() {
@@ -450,7 +450,7 @@
     /// that fetch images fastest, whose room is free or will be as less urgent tasks end.
     fn choose_kept(&self) -> Vec<(String, String)> {
         let mut kept: Vec<(String, String)> = Vec::new();
-        for (class, spec) in &self.quick {
+        for (class, spec) in &self.fast_start_jobs {
             let need = spec.need();
             let mut options: Vec<(bool, u64, u64, &String)> = Vec::new();
             let fits = |m: &Machine| (spec.gpus > 0.0 || m.supply.gpu == 0) && allows(spec, m);
@@ -459,9 +459,9 @@
                 let stays =
                     m.tasks.iter().filter(|(id, t)| !t.ended() && self.jobs.get(&id.job).is_none_or(urgent));
                 let room = stays.fold(m.supply, |room, (_, t)| room.minus(t.need));
-                let Some(kind) = self.types.get(&m.row.kind) else { continue };
+                let Some(kind) = self.machine_types.get(&m.row.kind) else { continue };
                 if need.fits(room) {
-                    let was = self.kept.get(name) == Some(class);
+                    let was = self.fast_start_reservations.get(name) == Some(class);
                     options.push((
                         !was,
                         (1e6 / kind.fetch_gb_per_s.max(1e-3)) as u64,
@@ -490,16 +490,18 @@
     /// Every registered controller has said that it has seen this revision.
     pub(super) fn everyone_applied(&self, revision: u64) -> bool {
         let seen = |m: &str, node| self.word_of(m, node).is_some_and(|s| s.applied >= revision);
-        self.nodes.iter().all(|(m, node)| (m == self.me() && self.applied >= revision) || seen(m, *node))
+        self.registrations
+            .iter()
+            .all(|(m, node)| (m == self.own_name() && self.applied_revision >= revision) || seen(m, *node))
     }
 
     /// Removes completion records whose job is over.
     fn cleanup(&mut self) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         // At a fixed rate they piled up where more jobs end a second than that.
-        let each = CLEANED as f64 / (self.calls.writes_per_s() * CLEANUP_SHARE);
+        let each = CLEANED as f64 / (self.store_calls.writes_per_s() * CLEANUP_SHARE);
         let spacing = Micros::from_secs_f64(each).min(CLEANUP_SPACING);
-        if self.now.since(lead.cleaned) < spacing || self.calls.waiting(Urgency::Rest) > 4 {
+        if self.now.since(lead.cleaned) < spacing || self.store_calls.waiting(Urgency::Rest) > 4 {
             return;
         }
         let orphans = self.done_keys.iter().filter(|(job, _)| !self.jobs.contains_key(*job));
@@ -515,6 +517,6 @@
             conditions: vec![self.entitlement()],
             writes: keys.into_iter().map(Write::delete).collect(),
         };
-        self.store(Urgency::Rest, Purpose::Cleanup, StoreCall::Commit(transaction));
+        self.enqueue_store_call(Urgency::Rest, Purpose::Cleanup, StoreCall::Commit(transaction));
     }
 }
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -6,8 +6,8 @@
 
 use crate::bookkeeping::records;
 use crate::coordination::conclusions::Evidence;
-use crate::coordination::knowledge::Proof;
-use crate::coordination::model::{Machine, Pending, TaskOn};
+use crate::coordination::knowledge::Authorization;
+use crate::coordination::model::{Machine, Pending, PlacedTask};
 use crate::coordination::pending::Heard;
 use crate::coordination::removal::Removal;
 use crate::coordination::start_gate::StartGate;
@@ -25,50 +25,50 @@
 impl Controller {
     pub(super) fn reported(&mut self, request: RequestId, report: Report) {
         self.counters.reports += 1;
-        let Some(proof) = self.proof() else {
-            return self.answer(request, Answer::Later(1));
+        let Some(proof) = self.authorization() else {
+            return self.answer(request, Answer::RetryLater(1));
         };
         let Some(machine) = self.machines.get(&report.machine) else {
             self.check_report(&report, Evidence::OutOfDate);
             self.report_stray(report);
-            return self.answer(request, Answer::Elsewhere(None));
+            return self.answer(request, Answer::Redirect(None));
         };
-        if machine.unused() {
+        if machine.never_granted() {
             self.report_stray(report);
-            return self.answer(request, Answer::Elsewhere(None));
+            return self.answer(request, Answer::Redirect(None));
         }
         let row = &machine.row;
         if (&row.kind, &row.zone, row.spot) != (&report.kind, &report.zone, report.spot) {
             // Another machine's name, or a mistake: its tasks must not be taken for that machine's.
-            self.counters.reports_odd += 1;
+            self.counters.reports_mismatched += 1;
             tracing::warn!(
                 machine = report.machine,
                 kind = report.kind,
                 zone = report.zone,
                 "a report that does not fit the machine's record"
             );
-            return self.answer(request, Answer::Later(1));
+            return self.answer(request, Answer::RetryLater(1));
         }
         if !self.owns(machine) {
             // Sending a worker to a controller that has gone would only send it round in circles.
             let owner = machine.row.owner.clone();
-            let there = owner != self.me() && self.nodes.get(&owner) == Some(&machine.row.node);
+            let there = owner != self.own_name() && self.registrations.get(&owner) == Some(&machine.row.node);
             // One that its owner has had for a while knows whose it is.
-            let settled = machine.resolved && self.now.since(machine.granted) > SETTLED;
+            let settled = machine.resolved && self.now.since(machine.grant_seen_at) > SETTLED;
             self.check_report(&report, Evidence::AnotherController);
             self.turned_here(&owner, &report.machine, settled);
             self.report_heard(&report.machine);
-            return self.answer(request, Answer::Elsewhere(there.then_some(owner)));
+            return self.answer(request, Answer::Redirect(there.then_some(owner)));
         }
         // A report held back on its way is older than what is known; a newer grant than the one
         // known here means that the machine is no longer this controller's.
         let newer = (report.session, report.tally) > (machine.session, machine.tally);
         // Overtaken by the worker's reply to direct orders, it is answered all the same.
-        let overtaken = report.session == machine.session && report.tally > machine.reported;
+        let overtaken = report.session == machine.session && report.tally > machine.last_report_tally;
         if !(newer || overtaken) || report.token > machine.row.token {
             self.counters.reports_stale += 1;
             self.check_report(&report, Evidence::OutOfDate);
-            return self.answer(request, Answer::Later(1));
+            return self.answer(request, Answer::RetryLater(1));
         }
         let name = report.machine.clone();
         let (session, tally) = (report.session, report.tally);
@@ -77,14 +77,14 @@
             self.take_report(report, false);
         }
         if let Some(machine) = self.machines.get_mut(&name) {
-            machine.reported = tally;
-            machine.heard = Some(self.now);
-            machine.lost = machine.hearing.deaf();
+            machine.last_report_tally = tally;
+            machine.last_heard = Some(self.now);
+            machine.unresponsive = machine.delivery.deaf();
         }
         if self.given_up_as_deaf(&name) {
-            return self.answer(request, Answer::Later(1));
+            return self.answer(request, Answer::RetryLater(1));
         }
-        let placed = self.may_place();
+        let placed = self.begin_due_placement();
         if placed {
             self.place();
             self.status_tick();
@@ -92,7 +92,7 @@
         let answer = self.orders_for(&proof, &name, session, tally);
         let starts = answer.orders.iter().any(|o| matches!(o, Order::Start { .. }));
         if let Some(machine) = self.machines.get_mut(&name) {
-            machine.hearing.answered(self.now, shown, answer.token, starts);
+            machine.delivery.answered(self.now, shown, answer.token, starts);
         }
         self.answer(request, Answer::Orders(answer));
         if placed {
@@ -113,7 +113,7 @@
         let mut tasks = report.tasks.iter().filter_map(|t| Some((TaskId::parse(&t.task)?, t.attempt)));
         let start = tasks.any(|(id, attempt)| ordered(&id, attempt));
         let shown = Shown { session, tally, token, start };
-        machine.hearing.reported(self.now, shown, self.worker_lease.mul_f64(0.8));
+        machine.delivery.reported(self.now, shown, self.worker_lease.mul_f64(0.8));
         shown
     }
 
@@ -122,15 +122,15 @@
     /// again, and is returned. Unless so many don't hear that the fault is rather on this side: a controller that is
     /// behind with its answers must not let all its workers go.
     fn given_up_as_deaf(&mut self, name: &str) -> bool {
-        let Some(since) = self.machines.get(name).and_then(|m| m.hearing.deaf_since()) else { return false };
+        let Some(since) = self.machines.get(name).and_then(|m| m.delivery.deaf_since()) else { return false };
         let own = || self.machines.values().filter(|m| self.owns(m));
-        if own().filter(|m| m.hearing.deaf()).count() * 4 > own().count().max(8) {
+        if own().filter(|m| m.delivery.deaf()).count() * 4 > own().count().max(8) {
             return false;
         }
         self.soon_status();
         let long = self.now.since(since) > self.worker_lease + Micros::from_secs(5);
-        if let Some(machine) = self.machines.get_mut(name).filter(|m| long && !m.apart) {
-            machine.apart = true;
+        if let Some(machine) = self.machines.get_mut(name).filter(|m| long && !m.quarantined) {
+            machine.quarantined = true;
             tracing::warn!(
                 machine = name,
                 "set apart: its reports come, and nothing that it is told arrives"
@@ -146,11 +146,11 @@
         self.check_evidence(&report, direct);
         let now = self.now;
         let name = report.machine;
-        let mut seen: BTreeMap<TaskId, TaskOn> = BTreeMap::new();
+        let mut seen: BTreeMap<TaskId, PlacedTask> = BTreeMap::new();
         let mut ended = Vec::new();
         let Some(machine) = self.machines.get(&name) else { return };
         let was_idle = machine.idle();
-        let was_ready = machine.heard.is_some();
+        let was_ready = machine.last_heard.is_some();
         // Until the worker has seen the present token, its report may be older than what is known, and what a former
         // holder ordered may still arrive.
         let fenced = report.token >= machine.row.token;
@@ -166,16 +166,16 @@
                 seen.insert(id, later.clone());
                 continue;
             }
-            let on = TaskOn {
+            let on = PlacedTask {
                 attempt: t.attempt,
                 state: t.state,
                 cause: t.cause,
                 need: known.map(|k| k.need).unwrap_or_else(|| self.need_of(&id.job)),
                 pending: None,
-                announced: 0,
-                stop: same.and_then(|k| k.stop),
-                told: same.is_some_and(|k| k.told),
-                since: same.map_or(now, |k| k.since),
+                announced_in_status: 0,
+                stop_grace: same.and_then(|k| k.stop_grace),
+                stop_sent: same.is_some_and(|k| k.stop_sent),
+                started_at: same.map_or(now, |k| k.started_at),
             };
             seen.insert(id, on);
         }
@@ -197,43 +197,43 @@
         self.remember_images(&name);
         let Some(machine) = self.machines.get_mut(&name) else { return };
         let noticed = report.notice_s.is_some();
-        let news = changed || noticed != machine.notice || !was_ready;
-        if report.session != machine.session || machine.session_at.is_none() {
-            machine.session_at = Some(now);
+        let news = changed || noticed != machine.preemption_notice || !was_ready;
+        if report.session != machine.session || machine.session_seen_at.is_none() {
+            machine.session_seen_at = Some(now);
         }
         machine.session = report.session;
         machine.tally = report.tally;
         if !report.addr.is_empty() {
             machine.addr = report.addr;
         }
-        machine.heard = machine.heard.filter(|_| direct).or(Some(now));
+        machine.last_heard = machine.last_heard.filter(|_| direct).or(Some(now));
         machine.up = true;
-        machine.lost = machine.hearing.deaf();
-        machine.notice = noticed;
+        machine.unresponsive = machine.delivery.deaf();
+        machine.preemption_notice = noticed;
         machine.silent_since = None;
         if !was_idle || !machine.idle() {
             machine.idle_since = now;
         }
         let newly = fenced && !machine.resolved;
         machine.resolved |= fenced;
-        machine.known |= fenced;
+        machine.ever_resolved |= fenced;
         if let Some(left) = report.notice_s {
             let left = Micros::from_secs_f64(left).since(Micros::from_secs(1));
-            for t in machine.tasks.values_mut().filter(|t| !t.ended() && t.stop.is_none()) {
-                t.stop = Some(left);
+            for t in machine.tasks.values_mut().filter(|t| !t.ended() && t.stop_grace.is_none()) {
+                t.stop_grace = Some(left);
             }
         }
         for (task, cause) in ended {
             self.task_ended(&name, &task, cause);
         }
         if newly {
-            self.ledger.told(&name, &self.life(), true);
+            self.machine_knowledge.told(&name, &self.incarnation(), true);
             self.check_adoption();
         }
         if news || newly {
             self.soon_status();
             self.soon_round();
-            self.place_due = true;
+            self.placement_due = true;
         }
     }
 
@@ -245,13 +245,13 @@
     /// What a machine's tasks run from is in its cache.
     pub(super) fn remember_images(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let cache_gb = self.types.get(&machine.row.kind).map_or(0.0, |t| t.cache_gb);
-        let has_it = |t: &TaskOn| matches!(t.state, TaskState::Running | TaskState::Waiting);
+        let cache_gb = self.machine_types.get(&machine.row.kind).map_or(0.0, |t| t.cache_gb);
+        let has_it = |t: &PlacedTask| matches!(t.state, TaskState::Running | TaskState::Waiting);
         let jobs =
             machine.tasks.iter().filter(|(_, t)| has_it(t)).filter_map(|(id, _)| self.jobs.get(&id.job));
         let images: BTreeMap<&str, f64> = jobs.map(|j| (j.spec.image.as_str(), j.spec.image_gb)).collect();
         for (image, gb) in images {
-            machine.remember_image(image, gb, cache_gb);
+            machine.record_cached_image(image, gb, cache_gb);
         }
     }
 
@@ -259,19 +259,21 @@
         self.counters.completions += u64::from(cause == Cause::Done);
         self.counters.task_errors += u64::from(cause == Cause::Error);
         if cause == Cause::Done {
-            self.completed(task);
+            self.record_completion(task);
         }
-        self.note_outcome(name, task, cause);
+        self.record_outcome(name, task, cause);
     }
 
     /// The answer to a report: all orders that are due on the machine.
-    fn orders_for(&mut self, proof: &Proof, name: &str, session: u64, tally: u64) -> ReportAnswer {
+    fn orders_for(&mut self, proof: &Authorization, name: &str, session: u64, tally: u64) -> ReportAnswer {
         let mut orders = Vec::new();
         // A start that was planned and is no longer wanted has never been sent.
         let unwanted: Vec<TaskId> = self
             .machines
             .get(name)
-            .map(|m| m.tasks.iter().filter(|(_, t)| t.stop.is_some()).map(|(id, _)| id.clone()).collect())
+            .map(|m| {
+                m.tasks.iter().filter(|(_, t)| t.stop_grace.is_some()).map(|(id, _)| id.clone()).collect()
+            })
             .unwrap_or_default();
         self.drop_planned(name, |id| unwanted.contains(id));
         self.drop_disowned(name);
@@ -284,12 +286,12 @@
         let stored: Vec<TaskId> = self
             .machines
             .get(name)
-            .filter(|m| !m.renew)
+            .filter(|m| !m.token_renewal_needed)
             .map(|m| {
                 m.tasks
                     .iter()
                     // While its start may still arrive, a task that is forgotten would run again.
-                    .filter(|(id, t)| t.ended() && self.may_forget(id, t) && !m.starting.contains(id))
+                    .filter(|(id, t)| t.ended() && self.may_forget(id, t) && !m.starts_in_call.contains(id))
                     .map(|(id, _)| id.clone())
                     .collect()
             })
@@ -309,9 +311,9 @@
             }
             if !live.get(&id.job).copied().unwrap_or(false) {
                 // No live job has it: it was withdrawn, or completed elsewhere.
-                t.stop = Some(Micros::ZERO);
+                t.stop_grace = Some(Micros::ZERO);
             }
-            if let Some(grace) = t.stop
+            if let Some(grace) = t.stop_grace
                 && !t.planned()
                 && (t.state != TaskState::Saving || grace == Micros::ZERO)
             {
@@ -328,7 +330,7 @@
                 break;
             }
             // Repeated: without effect where it has arrived.
-            if t.stop.is_none()
+            if t.stop_grace.is_none()
                 && let Some(pending) = &mut t.pending
                 && pending.repeat(tally, machine.row.token)
             {
@@ -336,7 +338,7 @@
             }
             if gate.permit(name, id, t, &mut self.counters).is_some() {
                 t.pending = Some(Pending::Sent { session, tally });
-                t.since = now;
+                t.started_at = now;
                 self.counters.starts += 1;
                 tracing::debug!(machine = name, task = id.text(), attempt = t.attempt, tally, "run");
                 self.conclusions.note_start(now, name, id, t.attempt);
@@ -344,18 +346,18 @@
             }
         }
         tracing::trace!(machine = name, token = machine.row.token, session, tally, ?orders, "answered");
-        machine.answered = Some(now);
+        machine.last_answered = Some(now);
         proof.answer(machine.row.token, orders)
     }
 
     /// Whether the records have a job, readable or not.
     pub(super) fn is_live(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
-            || !self.unreadable.is_empty() && self.unreadable.contains(&records::live(job))
+            || !self.unreadable_keys.is_empty() && self.unreadable_keys.contains(&records::live(job))
     }
 
     /// An ended task may be forgotten once nothing is left to learn from it.
-    fn may_forget(&self, id: &TaskId, task: &TaskOn) -> bool {
+    fn may_forget(&self, id: &TaskId, task: &PlacedTask) -> bool {
         match task.cause {
             Some(Cause::Done) => self.is_stored(id),
             _ => true,
@@ -383,7 +385,7 @@
             && t.attempt == attempt
             && !t.ended()
         {
-            t.stop = Some(t.stop.map_or(grace, |g| g.min(grace)));
+            t.stop_grace = Some(t.stop_grace.map_or(grace, |g| g.min(grace)));
         }
     }
 
@@ -391,13 +393,13 @@
     pub(super) fn foreign_stops(&mut self) -> Vec<StopRequest> {
         let mut stops = Vec::new();
         // Every status asks, and only now and then has anything been stopped.
-        if !std::mem::take(&mut self.stops_abroad) {
+        if !std::mem::take(&mut self.remote_stops_pending) {
             return stops;
         }
         for machine in self.machines.values().filter(|m| !self.owns(m)) {
             for (id, t) in machine.tasks.iter().filter(|(_, t)| !t.ended()) {
-                if let Some(grace) = t.stop
-                    && self.jobs.get(&id.job).is_some_and(|j| j.owner.as_deref() == Some(self.me()))
+                if let Some(grace) = t.stop_grace
+                    && self.jobs.get(&id.job).is_some_and(|j| j.owner.as_deref() == Some(self.own_name()))
                 {
                     stops.push(StopRequest {
                         machine: machine.row.machine.clone(),
@@ -408,14 +410,14 @@
                 }
             }
         }
-        self.stops_abroad = !stops.is_empty();
+        self.remote_stops_pending = !stops.is_empty();
         stops
     }
 
     /// Seconds since a machine's owner heard it.
     pub(super) fn dark(&self, machine: &Machine) -> u32 {
         if self.owns(machine) {
-            self.now.since(machine.heard.unwrap_or(machine.since)).as_secs_f64() as u32
+            self.now.since(machine.last_heard.unwrap_or(machine.known_since)).as_secs_f64() as u32
         } else {
             machine.silent_since.map_or(0, |at| self.now.since(at).as_secs_f64() as u32)
         }
@@ -426,7 +428,7 @@
         for (name, addr) in list {
             if let Some(machine) = self.machines.get_mut(name).filter(|m| m.addr.is_empty()) {
                 machine.addr.clone_from(addr);
-                self.place_due = true;
+                self.placement_due = true;
             }
         }
     }
@@ -434,7 +436,7 @@
     /// Passes on that a machine has turned to this controller instead of its owner.
     fn report_heard(&mut self, machine: &str) {
         let me = self.settings.member.clone();
-        if self.lead.is_some() {
+        if self.leader_state.is_some() {
             self.heard_elsewhere(machine.to_owned(), me);
         } else if let Some((leader, ..)) = &self.leader {
             let heard = PeerMessage::Heard { machine: machine.to_owned() };
@@ -450,7 +452,7 @@
             zone: report.zone.clone(),
             spot: report.spot,
         };
-        if self.lead.is_some() {
+        if self.leader_state.is_some() {
             self.stray(report.machine, report.kind, report.zone, report.spot);
         } else if let Some((leader, ..)) = &self.leader {
             self.effects.push(Effect::Send(Some(leader.clone()), stray));
