--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,7 +1,7 @@
-//! What a controller decides: plain state machines without I/O or clock.
+//! The controller's scheduling and coordination logic, as state machines without I/O and without a clock.
 //!
-//! A [`Controller`] takes events, each with the time on its own steady clock, and leaves effects to
-//! be carried out. Nothing here waits, so a seeded test can run a whole cluster step by step.
+//! A [`Controller`] handles events, each with a time on its monotonic clock, and returns the effects that the caller is to
+//! carry out. It never blocks, so a seeded test can simulate a whole cluster step by step.
 
 mod admission;
 mod backfill;
@@ -75,188 +75,228 @@
 pub use removal::Removal;
 pub use waiting::WaitReason;
 
-/// Steady clocks of two machines may drift apart by 0.05%; this leaves a margin.
-pub(crate) const DRIFT: f64 = 0.001;
-/// Answers in flight when a lease runs out, and timers that fire late.
-pub(crate) const SLACK: Micros = Micros::from_millis(300);
+/// Relative drift allowed for between two machines' monotonic clocks. They may differ by 0.05%; this leaves a margin.
+pub(crate) const CLOCK_DRIFT: f64 = 0.001;
+/// Margin added to leases for answers that are in flight when a lease expires and for timers that fire late.
+pub(crate) const LEASE_SLACK: Micros = Micros::from_millis(300);
 
-/// Least time between two passes over the jobs that wait for a start.
-const PLACE_SPACING: Micros = Micros::from_millis(90);
+/// Minimum time between two placement passes.
+const MIN_PLACEMENT_INTERVAL: Micros = Micros::from_millis(90);
 
-/// Jobs or machines, in the order of their names: new ones go in by `insert_sorted`, and leave by
-/// `shift_remove`. They are looked up far more often than they come and go, and all are looked through in
-/// every round: a tree of names spent a fifth of all processor time on comparing them.
-pub(crate) type ByName<T> = IndexMap<String, T, FxBuildHasher>;
+/// A map from names of jobs or machines, sorted by name: insert with `insert_sorted`, remove with `shift_remove`.
+///
+/// Lookups and full scans are far more frequent than changes. A `BTreeMap` spent a fifth of all processor time on comparing
+/// names.
+pub(crate) type SortedMap<T> = IndexMap<String, T, FxBuildHasher>;
 
-/// Where a controller stands in its own life.
+/// State of a controller's registration.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Phase {
-    /// No registration: nothing may be done.
-    Outside,
+    /// No registration; the controller may do nothing.
+    Unregistered,
+    /// Obtaining a lease and writing the registration record.
     Registering,
+    /// Registered; reading all records.
     Loading,
+    /// Registered, and following the changes of the records.
     Active,
 }
 
+/// The lease of this controller's registration.
 #[derive(Debug)]
 pub(crate) struct Lease {
     pub id: u64,
-    /// Stamp of the registration: entitles every transaction.
-    pub stamp: u64,
+    /// Revision of the registration record, which is a condition of every transaction; 0 until it is written.
+    pub registration: u64,
+    /// The controller does not act on the lease after this time.
     pub valid_until: Micros,
-    /// When the last renewal that was answered was sent.
-    pub proved: Micros,
-    pub renewed: Micros,
-    pub renewing: bool,
+    /// When the last successful request, creation or renewal, was sent.
+    pub confirmed_at: Micros,
+    /// The next renewal is due a sixth of the lease's term after this time.
+    pub renewed_at: Micros,
+    /// A renewal is in flight.
+    pub renewal_in_flight: bool,
 }
 
-/// What another controller last said of itself.
+/// What this controller knows of another one from its messages.
 #[derive(Debug, Default)]
 pub(crate) struct Peer {
-    pub heard: Micros,
+    /// When its last status was received.
+    pub last_heard: Micros,
     pub status: Option<Status>,
-    /// Its last word on each machine, with instants on this controller's clock.
-    pub words: FxHashMap<String, MachineStatus>,
-    pub asked_again: Micros,
+    /// Its last status of each machine, with times converted to this controller's clock.
+    pub machine_statuses: FxHashMap<String, MachineStatus>,
+    /// When a full status was last requested from it, after one had been missed.
+    pub resync_requested_at: Micros,
 }
 
-/// One controller.
+/// The state of one controller.
 pub struct Controller {
     pub(crate) settings: Settings,
     pub(crate) tuning: Tuning,
+    /// Term of a controller's lease.
     pub(crate) lease_term: Micros,
+    /// Term of a worker's lease, which answers to its reports renew.
     pub(crate) worker_lease: Micros,
     pub(crate) report_every: Micros,
+    /// Time of the event being handled.
     pub(crate) now: Micros,
     pub(crate) rng: StdRng,
+    /// Effects of the event being handled.
     pub(crate) effects: Vec<Effect>,
 
     next_call: CallId,
-    pub(crate) calls: Budget<(Purpose, StoreCall)>,
-    in_flight: HashMap<CallId, (Purpose, Micros)>,
-    /// Calls and changes a second that are this controller's without a plan.
-    pub(crate) own_rates: (f64, f64),
-    pub(crate) door: Door,
-    pub(crate) held: Held,
-    pub(crate) word_at: Micros,
+    pub(crate) store_calls: Budget<(Purpose, StoreCall)>,
+    store_calls_in_flight: HashMap<CallId, (Purpose, Micros)>,
+    /// Calls and writes per second that this controller may make without a rate lease.
+    pub(crate) base_rates: (f64, f64),
+    pub(crate) submission_limiter: Door,
+    /// The part of the state service's limits that this controller holds by a plan of the leader.
+    pub(crate) held_lease: Held,
+    pub(crate) next_load_report_at: Micros,
     pub(crate) cloud_calls: Budget<(CloudPurpose, CloudCall)>,
-    cloud_in_flight: HashMap<CallId, CloudPurpose>,
+    cloud_calls_in_flight: HashMap<CallId, CloudPurpose>,
 
     pub(crate) phase: Phase,
-    pub(crate) joining: Backoff,
+    pub(crate) join_backoff: Backoff,
     pub(crate) lease: Option<Lease>,
-    /// Why this controller was silent at its last tick.
-    pub(crate) silent: Option<knowledge::Silence>,
-    pub(crate) store_heard: Micros,
-
-    // Replica of what the store holds under the followed prefix.
-    pub(crate) applied: u64,
+    /// Why this controller was inactive at its last tick, if it was.
+    pub(crate) last_inactive_reason: Option<knowledge::InactiveReason>,
+    /// When the state service last gave a definite reply.
+    pub(crate) last_store_reply_at: Micros,
+
+    // Replica of the state service's records under the followed prefix.
+    /// Revision up to which changes have been applied.
+    pub(crate) applied_revision: u64,
     /// Keys of records that this version cannot read.
-    pub(crate) unreadable: BTreeSet<String>,
-    pub(crate) loading: Vec<crate::protocol::store::Entry>,
-    pub(crate) follow_at: Option<Micros>,
-    pub(crate) following: Backoff,
-    /// When the last request for changes that was answered was sent: the replica is as new as that.
-    pub(crate) followed_at: Micros,
-    pub(crate) jobs: ByName<Job>,
-    pub(crate) nodes: BTreeMap<String, u64>,
+    pub(crate) unreadable_keys: BTreeSet<String>,
+    /// Records read so far while the controller is loading.
+    pub(crate) loaded_entries: Vec<crate::protocol::store::Entry>,
+    /// When the next request for changes is sent; `None` while one is in flight, or none can be made.
+    pub(crate) next_follow_at: Option<Micros>,
+    pub(crate) follow_backoff: Backoff,
+    /// When the last successful request for changes was sent. The replica is at least as recent as that.
+    pub(crate) replica_as_of: Micros,
+    pub(crate) jobs: SortedMap<Job>,
+    /// Registered controllers and the revisions of their registration records.
+    pub(crate) registrations: BTreeMap<String, u64>,
+    /// The leader, the revision of its registration, and the revision of the leader record.
     pub(crate) leader: Option<(String, u64, u64)>,
     pub(crate) view: ViewRecord,
-    pub(crate) view_stamp: u64,
-    pub(crate) counter: (u64, u64),
-    pub(crate) quota: (QuotaRecord, u64),
+    /// Revision of the view record.
+    pub(crate) view_revision: u64,
+    /// The highest fencing token granted so far, and the revision of its record.
+    pub(crate) token_counter: (u64, u64),
+    /// The division of the teams' limits among the controllers, and the revision of its record.
+    pub(crate) quota_record: (QuotaRecord, u64),
+    /// Block records of machines by number, with their revisions.
     pub(crate) shards: BTreeMap<usize, (Block, u64)>,
-    /// Jobs that are over while tasks of theirs may still be somewhere.
+    /// Jobs that have ended while some of their tasks may still be on machines.
     pub(crate) retired: BTreeMap<String, Job>,
-    /// Machines with tasks of jobs that this controller has no record of: not yet, or no more. Each new record
-    /// looks here rather than through all machines.
-    pub(crate) strangers: HashMap<String, BTreeSet<String>>,
-    /// What jobs that have lately left the records may still take: since when, team and amount.
-    pub(crate) removed: VecDeque<(Micros, String, Resources)>,
-    /// Teams whose limits must be counted, as of the present pass.
-    pub(crate) bound: BTreeSet<String>,
+    /// By job, the machines with tasks of jobs that this controller has no record of: the record has not been read yet, or
+    /// has been deleted. A new job looks up its machines here instead of scanning all of them.
+    pub(crate) machines_with_unknown_tasks: HashMap<String, BTreeSet<String>>,
+    /// Recently ended jobs, whose tasks may still take resources: when the job was removed, its team, and the amount.
+    pub(crate) recently_removed: VecDeque<(Micros, String, Resources)>,
+    /// Teams whose limits may be reached, as of the present placement pass.
+    pub(crate) teams_with_binding_limit: BTreeSet<String>,
     pub(crate) quota_guard: quota::Guard,
+    /// Rental records by request, with their revisions.
     pub(crate) rentals: BTreeMap<String, (Rental, u64)>,
+    /// Recorded completion chunks by job and chunk number, with the revisions of their records.
     pub(crate) done_keys: BTreeMap<String, BTreeMap<usize, u64>>,
 
-    pub(crate) machines: ByName<Machine>,
-    pub(crate) types: BTreeMap<String, MachineType>,
-    pub(crate) types_at: Option<Micros>,
+    pub(crate) machines: SortedMap<Machine>,
+    pub(crate) machine_types: BTreeMap<String, MachineType>,
+    /// When the cloud was last asked for its machine types.
+    pub(crate) machine_types_requested_at: Option<Micros>,
     pub(crate) peers: BTreeMap<String, Peer>,
     /// The latest job of each class that must start sooner than a machine boots.
-    pub(crate) quick: BTreeMap<String, JobSpec>,
-    /// Machines with room kept for such a class.
-    pub(crate) kept: BTreeMap<String, String>,
-    /// Zones in which room is held back for a gang that fits nowhere.
-    pub(crate) reserved: Vec<(String, String)>,
-    /// The last tick, and since when ticks have come as they should.
-    pub(crate) ticked: Micros,
-    pub(crate) awake_since: Micros,
-    /// Controllers that refuse connections: since when, and how often.
-    pub(crate) refusals: BTreeMap<String, (Micros, u32)>,
-    /// Workers that have turned to this controller instead of their owner: when first, and when again
-    /// after they had been sent back. By owner and machine.
-    pub(crate) turned: BTreeMap<(String, String), (Micros, Micros)>,
-    /// When controllers were last evicted, as far as this one knows, and in which revision.
-    pub(crate) evicted: BTreeMap<String, (Micros, u64)>,
-    /// Up to which revision the changes had been read, and when, over the last term of a lease.
-    pub(crate) read_by: VecDeque<(u64, Micros)>,
-    pub(crate) evict_at: Micros,
-    /// Starts announced to the others, and what follows from theirs.
+    pub(crate) fast_start_jobs: BTreeMap<String, JobSpec>,
+    /// Machines on which room is kept for such a class: machine and class.
+    pub(crate) fast_start_reservations: BTreeMap<String, String>,
+    /// Zones in which room is held back for a gang that fits nowhere: zone, or empty for all zones, and job.
+    pub(crate) gang_reservations: Vec<(String, String)>,
+    pub(crate) last_tick_at: Micros,
+    /// When this process last resumed after a pause during which it received nothing.
+    pub(crate) resumed_at: Micros,
+    /// Controllers that refuse connections: time of the first refusal, and number of refusals.
+    pub(crate) refused_connections: BTreeMap<String, (Micros, u32)>,
+    /// Workers that reported to this controller instead of their owner, by owner and machine: the first such report, and
+    /// the last one after the worker had been redirected to its owner.
+    pub(crate) worker_failovers: BTreeMap<(String, String), (Micros, Micros)>,
+    /// Last known eviction of each controller: when this controller learned of it, and its revision.
+    pub(crate) evictions: BTreeMap<String, (Micros, u64)>,
+    /// Applied revisions and when each was reached, over the last lease term.
+    pub(crate) read_history: VecDeque<(u64, Micros)>,
+    /// This controller evicts no other one before this time.
+    pub(crate) next_eviction_at: Micros,
+    /// Starts announced to the other controllers, and their confirmations.
     pub(crate) announcements: Announcements,
-    pub(crate) ledger: Ledger,
-    /// The record of controllers that this one does not wait for, its stamp, and whether it is being
-    /// written.
-    pub(crate) uninformed: (UninformedRecord, u64),
-    pub(crate) recording: bool,
-    /// What failures say of jobs and machines.
-    pub(crate) blame: Blame,
-    /// What is asked of the others while jobs are taken over.
-    pub(crate) inquiry: Inquiry,
-    /// Tasks of own jobs on others' machines may have been asked to stop.
-    pub(crate) stops_abroad: bool,
-    /// Machines not yet accounted for since jobs were taken over.
-    pub(crate) unresolved: BTreeSet<String>,
-    /// Users' questions about jobs that are live as far as this controller knows.
-    pub(crate) polls: Vec<Question>,
-    pub(crate) polls_at: Micros,
-    pub(crate) finals: FinalCache,
-    pub(crate) reading_finals: finals::Reading,
-    /// Ends that not all others are known to know of, by job.
-    pub(crate) spreading: IndexMap<String, finals::Spreading>,
-    /// Up to which status each registration of the others has taken in this controller's.
-    pub(crate) statuses_heard: BTreeMap<String, (u64, u64)>,
-    /// Users who wait until all know of a withdrawal.
-    pub(crate) awaiting: Vec<finals::Awaiting>,
-    pub(crate) awaiting_at: Micros,
-    pub(crate) lead: Option<leader::Leading>,
-    pub(crate) lead_at: Micros,
-    pub(crate) volumes_heard: Micros,
-    pub(crate) waits: waiting::Waits,
-    pub(crate) status_due: Option<Micros>,
-    pub(crate) status_sent: Micros,
-    pub(crate) announced_at: Micros,
+    /// For which machines all tasks that may be on them are known.
+    pub(crate) machine_knowledge: Ledger,
+    /// This controller's record of the peers whose confirmations its starts do not wait for, and the record's revision.
+    pub(crate) uninformed_record: (UninformedRecord, u64),
+    /// A transaction that writes that record is in flight.
+    pub(crate) uninformed_write_in_flight: bool,
+    /// Attributes task failures to jobs or machines.
+    pub(crate) fault_attribution: Blame,
+    /// Queries to the other controllers about unresolved machines during a takeover.
+    pub(crate) witness_queries: Inquiry,
+    /// Tasks of own jobs on other controllers' machines may have been marked to stop.
+    pub(crate) remote_stops_pending: bool,
+    /// Machines not accounted for yet since jobs were taken over.
+    pub(crate) unresolved_machines: BTreeSet<String>,
+    /// Users' queries about jobs that this controller knows as live, waiting for the next check against the state service.
+    pub(crate) pending_polls: Vec<Question>,
+    pub(crate) next_poll_check_at: Micros,
+    /// Final states of ended jobs.
+    pub(crate) final_states: FinalCache,
+    pub(crate) final_states_scan: finals::FinalStatesScan,
+    /// Ends of jobs that some other controllers may not know of, by job.
+    pub(crate) unsettled_ends: IndexMap<String, finals::UnsettledEnd>,
+    /// By controller: its registration, and the last of this controller's statuses up to which it has received all.
+    pub(crate) status_acks: BTreeMap<String, (u64, u64)>,
+    /// Users' requests that wait until an end is settled.
+    pub(crate) end_waiters: Vec<finals::EndWaiter>,
+    pub(crate) next_end_check_at: Micros,
+    /// Present while this controller is the leader.
+    pub(crate) leader_state: Option<leader::Leading>,
+    /// When to try next to become the leader; zero while there is one.
+    pub(crate) next_leader_attempt_at: Micros,
+    /// When the leader's volumes were last received.
+    pub(crate) volumes_received_at: Micros,
+    pub(crate) wait_summary: waiting::WaitSummary,
+    /// When a status is to be sent, if earlier than the next regular one.
+    pub(crate) status_due_at: Option<Micros>,
+    pub(crate) last_regular_status_at: Micros,
+    pub(crate) last_status_at: Micros,
+    /// Number of the last broadcast status.
     pub(crate) status_sequence: u64,
-    /// Statuses to single controllers since the last one to all.
-    pub(crate) statuses_to_single: u32,
-    /// What the others have been told of this controller's machines, and how far these were read.
-    pub(crate) told: FxHashMap<String, (MachineStatus, (u64, u64))>,
-    pub(crate) flush_at: Micros,
-    pub(crate) place_due: bool,
-    place_at: Micros,
-    /// The view names this controller under its present registration.
-    pub(crate) placing: bool,
-    /// Jobs have been taken over and not all machines are accounted for.
-    pub(crate) taking_over: bool,
-    /// How often tasks were taken for gone, by what that rested on.
-    pub(crate) removals: BTreeMap<Removal, u64>,
-    /// The latest of these, to notice when one turns out to be wrong.
+    /// Number of statuses sent to single controllers since the last broadcast.
+    pub(crate) unicast_statuses: u32,
+    /// The last broadcast status of each own machine, and the session and number of the last worker message it covers.
+    pub(crate) sent_machine_statuses: FxHashMap<String, (MachineStatus, (u64, u64))>,
+    /// When completions are next recorded.
+    pub(crate) next_progress_flush_at: Micros,
+    /// Something has changed since the last placement pass.
+    pub(crate) placement_due: bool,
+    next_placement_at: Micros,
+    /// The view contains this controller's present registration.
+    pub(crate) is_view_member: bool,
+    /// Jobs have been taken over, and not all machines are accounted for yet.
+    pub(crate) takeover_in_progress: bool,
+    /// How often tasks were concluded to be no longer on a machine, by the ground for it.
+    pub(crate) removal_counts: BTreeMap<Removal, u64>,
+    /// The latest of these conclusions, kept to detect messages that contradict them.
     pub(crate) conclusions: conclusions::Conclusions,
     pub counters: Counters,
+    /// Orders starts without waiting for the other controllers' confirmations.
     #[cfg(test)]
-    pub(crate) careless: bool,
+    pub(crate) skip_confirmations: bool,
+    /// Gives each job a volume of all its unfinished tasks, whatever the leader's volumes are.
     #[cfg(test)]
-    pub(crate) alone: bool,
+    pub(crate) ignore_leader_volumes: bool,
 }
 
 impl Controller {
@@ -273,147 +313,149 @@
             rng: StdRng::seed_from_u64(seed),
             effects: Vec::new(),
             next_call: 0,
-            // Each controller keeps to its part of the limits, so that together they stay within.
-            calls: Budget::new(state.rps * 0.95 / count, state.write_rps * 0.95 / count, 0.9),
-            own_rates: (0.0, 0.0),
-            door: Door::default(),
-            held: Held::default(),
-            word_at: Micros::ZERO,
-            in_flight: HashMap::new(),
+            // Each controller uses at most its part of the limits, so that the sum stays within them.
+            store_calls: Budget::new(state.rps * 0.95 / count, state.write_rps * 0.95 / count, 0.9),
+            base_rates: (0.0, 0.0),
+            submission_limiter: Door::default(),
+            held_lease: Held::default(),
+            next_load_report_at: Micros::ZERO,
+            store_calls_in_flight: HashMap::new(),
             cloud_calls: Budget::new(cloud.rps * 0.8, cloud.rps, 1.0),
-            cloud_in_flight: HashMap::new(),
-            phase: Phase::Outside,
-            joining: Backoff::default(),
+            cloud_calls_in_flight: HashMap::new(),
+            phase: Phase::Unregistered,
+            join_backoff: Backoff::default(),
             lease: None,
-            silent: Some(knowledge::Silence::Unjoined),
-            store_heard: Micros::ZERO,
-            applied: 0,
-            unreadable: BTreeSet::new(),
-            loading: Vec::new(),
-            follow_at: None,
-            following: Backoff::default(),
-            followed_at: Micros::ZERO,
-            jobs: ByName::default(),
-            nodes: BTreeMap::new(),
+            last_inactive_reason: Some(knowledge::InactiveReason::Unjoined),
+            last_store_reply_at: Micros::ZERO,
+            applied_revision: 0,
+            unreadable_keys: BTreeSet::new(),
+            loaded_entries: Vec::new(),
+            next_follow_at: None,
+            follow_backoff: Backoff::default(),
+            replica_as_of: Micros::ZERO,
+            jobs: SortedMap::default(),
+            registrations: BTreeMap::new(),
             leader: None,
             view: ViewRecord::default(),
-            view_stamp: 0,
-            counter: (0, 0),
-            quota: Default::default(),
+            view_revision: 0,
+            token_counter: (0, 0),
+            quota_record: Default::default(),
             shards: BTreeMap::new(),
             retired: BTreeMap::new(),
-            strangers: HashMap::new(),
-            removed: VecDeque::new(),
-            bound: BTreeSet::new(),
+            machines_with_unknown_tasks: HashMap::new(),
+            recently_removed: VecDeque::new(),
+            teams_with_binding_limit: BTreeSet::new(),
             quota_guard: quota::Guard::default(),
             rentals: BTreeMap::new(),
             done_keys: BTreeMap::new(),
-            machines: ByName::default(),
-            types: BTreeMap::new(),
-            types_at: None,
+            machines: SortedMap::default(),
+            machine_types: BTreeMap::new(),
+            machine_types_requested_at: None,
             peers: BTreeMap::new(),
-            ticked: Micros::ZERO,
-            awake_since: Micros::ZERO,
-            refusals: BTreeMap::new(),
-            turned: BTreeMap::new(),
-            evicted: BTreeMap::new(),
-            read_by: VecDeque::new(),
-            evict_at: Micros::ZERO,
-            quick: BTreeMap::new(),
-            kept: BTreeMap::new(),
-            reserved: Vec::new(),
+            last_tick_at: Micros::ZERO,
+            resumed_at: Micros::ZERO,
+            refused_connections: BTreeMap::new(),
+            worker_failovers: BTreeMap::new(),
+            evictions: BTreeMap::new(),
+            read_history: VecDeque::new(),
+            next_eviction_at: Micros::ZERO,
+            fast_start_jobs: BTreeMap::new(),
+            fast_start_reservations: BTreeMap::new(),
+            gang_reservations: Vec::new(),
             announcements: Announcements::new(),
-            ledger: Ledger::new(),
-            uninformed: Default::default(),
-            recording: false,
-            blame: Blame::default(),
-            inquiry: Inquiry::default(),
-            stops_abroad: false,
-            unresolved: BTreeSet::new(),
-            polls: Vec::new(),
-            polls_at: Micros::ZERO,
-            finals: FinalCache::new(tuning.final_cache),
-            reading_finals: Default::default(),
-            spreading: IndexMap::new(),
-            statuses_heard: BTreeMap::new(),
-            awaiting: Vec::new(),
-            awaiting_at: Micros::ZERO,
-            lead: None,
-            lead_at: Micros::ZERO,
-            volumes_heard: Micros::ZERO,
-            waits: waiting::Waits::default(),
-            status_due: None,
-            status_sent: Micros::ZERO,
-            announced_at: Micros::ZERO,
+            machine_knowledge: Ledger::new(),
+            uninformed_record: Default::default(),
+            uninformed_write_in_flight: false,
+            fault_attribution: Blame::default(),
+            witness_queries: Inquiry::default(),
+            remote_stops_pending: false,
+            unresolved_machines: BTreeSet::new(),
+            pending_polls: Vec::new(),
+            next_poll_check_at: Micros::ZERO,
+            final_states: FinalCache::new(tuning.final_cache),
+            final_states_scan: Default::default(),
+            unsettled_ends: IndexMap::new(),
+            status_acks: BTreeMap::new(),
+            end_waiters: Vec::new(),
+            next_end_check_at: Micros::ZERO,
+            leader_state: None,
+            next_leader_attempt_at: Micros::ZERO,
+            volumes_received_at: Micros::ZERO,
+            wait_summary: waiting::WaitSummary::default(),
+            status_due_at: None,
+            last_regular_status_at: Micros::ZERO,
+            last_status_at: Micros::ZERO,
             status_sequence: 0,
-            statuses_to_single: 0,
-            told: FxHashMap::default(),
-            flush_at: Micros::ZERO,
-            place_due: false,
-            place_at: Micros::ZERO,
-            placing: false,
-            taking_over: false,
-            removals: BTreeMap::new(),
+            unicast_statuses: 0,
+            sent_machine_statuses: FxHashMap::default(),
+            next_progress_flush_at: Micros::ZERO,
+            placement_due: false,
+            next_placement_at: Micros::ZERO,
+            is_view_member: false,
+            takeover_in_progress: false,
+            removal_counts: BTreeMap::new(),
             conclusions: conclusions::Conclusions::default(),
             counters: Counters::default(),
             #[cfg(test)]
-            careless: false,
+            skip_confirmations: false,
             #[cfg(test)]
-            alone: false,
+            ignore_leader_volumes: false,
             settings,
             tuning,
         }
     }
 
-    pub fn me(&self) -> &str {
+    pub fn own_name(&self) -> &str {
         &self.settings.member
     }
 
-    pub(crate) fn life(&self) -> Life {
-        (self.settings.member.clone(), self.lease.as_ref().map_or(0, |l| l.stamp))
+    pub(crate) fn incarnation(&self) -> Life {
+        (self.settings.member.clone(), self.lease.as_ref().map_or(0, |l| l.registration))
     }
 
-    /// Takes one event and returns what is to be done about it.
+    /// Handles one event and returns the effects to carry out.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
             Event::Tick => self.tick(),
             Event::Store(call, reply) => {
-                if let Some((purpose, sent)) = self.in_flight.remove(&call) {
-                    self.store_replied(purpose, sent, reply);
+                if let Some((purpose, sent)) = self.store_calls_in_flight.remove(&call) {
+                    self.handle_store_reply(purpose, sent, reply);
                 }
             }
             Event::Cloud(call, reply) => {
-                if let Some(purpose) = self.cloud_in_flight.remove(&call) {
+                if let Some(purpose) = self.cloud_calls_in_flight.remove(&call) {
                     self.cloud_replied(purpose, reply);
                 }
             }
             Event::Peer(from, message) => self.peer_said(from, message),
-            Event::Refused(member) => self.refused_by(member),
+            Event::ConnectionRefused(member) => self.refused_by(member),
             Event::Report(request, report) => self.reported(request, report),
-            Event::Worker { machine, token, reply } => self.worker_replied(&machine, token, reply),
-            Event::Submit(request, spec) => self.submitted(request, spec),
-            Event::Query(request, job) => self.queried(request, job),
-            Event::Withdraw(request, job) => self.withdrawal(request, job),
+            Event::WorkerReply { machine, token, reply } => self.worker_replied(&machine, token, reply),
+            Event::Submit(request, spec) => self.handle_submission(request, spec),
+            Event::Query(request, job) => self.handle_query(request, job),
+            Event::Withdraw(request, job) => self.handle_withdrawal(request, job),
         }
-        if self.may_place() {
+        if self.begin_due_placement() {
             self.place();
             self.status_tick();
             self.speak();
         }
-        self.answer_awaiting();
+        self.answer_end_waiters();
         self.send_calls();
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether a pass over all waiting jobs is due. Many events call for one, and on a large
-    /// deployment a pass for each would take more than the whole share of the processor.
-    pub(crate) fn may_place(&mut self) -> bool {
-        let due = self.place_due && self.now >= self.place_at;
+    /// Returns whether a placement pass is due; if so, the caller has to run it, as it counts as begun.
+    ///
+    /// Passes are spaced because many events call for one. On a large deployment a pass for each event would take more than
+    /// the controller's whole share of the processor.
+    pub(crate) fn begin_due_placement(&mut self) -> bool {
+        let due = self.placement_due && self.now >= self.next_placement_at;
         if due {
-            self.counters.passes += 1;
-            self.place_due = false;
-            self.place_at = self.now + PLACE_SPACING;
+            self.counters.placement_passes += 1;
+            self.placement_due = false;
+            self.next_placement_at = self.now + MIN_PLACEMENT_INTERVAL;
         }
         due
     }
@@ -421,60 +463,60 @@
     fn tick(&mut self) {
         self.notice_standstill();
         self.membership_tick();
-        self.note_silence();
-        for (purpose, _) in self.calls.expire(self.now, Micros::from_millis(1_500)) {
-            self.store_replied(purpose, self.now, StoreReply::Refused);
+        self.log_inactivity_change();
+        for (purpose, _) in self.store_calls.expire(self.now, Micros::from_millis(1_500)) {
+            self.handle_store_reply(purpose, self.now, StoreReply::Refused);
         }
         self.admission_tick();
         if self.phase != Phase::Active {
             return;
         }
         self.check_polls();
-        self.read_finals();
+        self.read_final_states();
         self.machines_tick();
         self.lift_halts();
         self.record_uninformed();
-        self.note_waits();
+        self.update_wait_reasons();
         self.leader_tick();
-        self.place_due = true;
+        self.placement_due = true;
         self.flush_progress();
         self.types_tick();
         self.status_tick();
     }
 
-    pub(crate) fn store(&mut self, urgency: Urgency, purpose: Purpose, call: StoreCall) {
+    pub(crate) fn enqueue_store_call(&mut self, urgency: Urgency, purpose: Purpose, call: StoreCall) {
         let writes = call.writes();
-        self.calls.push(self.now, urgency, writes, (purpose, call));
+        self.store_calls.push(self.now, urgency, writes, (purpose, call));
     }
 
-    pub(crate) fn cloud(&mut self, urgency: Urgency, purpose: CloudPurpose, call: CloudCall) {
+    pub(crate) fn enqueue_cloud_call(&mut self, urgency: Urgency, purpose: CloudPurpose, call: CloudCall) {
         self.cloud_calls.push(self.now, urgency, 0, (purpose, call));
     }
 
     fn send_calls(&mut self) {
-        while let Some((purpose, call)) = self.calls.pop(self.now) {
+        while let Some((purpose, call)) = self.store_calls.pop(self.now) {
             self.next_call += 1;
-            self.in_flight.insert(self.next_call, (purpose, self.now));
+            self.store_calls_in_flight.insert(self.next_call, (purpose, self.now));
             self.effects.push(Effect::Store(self.next_call, call));
         }
         while let Some((purpose, call)) = self.cloud_calls.pop(self.now) {
             self.next_call += 1;
-            self.cloud_in_flight.insert(self.next_call, purpose);
+            self.cloud_calls_in_flight.insert(self.next_call, purpose);
             self.effects.push(Effect::Cloud(self.next_call, call));
         }
     }
 
     pub(crate) fn answer(&mut self, request: RequestId, answer: Answer) {
-        if matches!(answer, Answer::Later(_)) {
+        if matches!(answer, Answer::RetryLater(_)) {
             self.counters.deferred += 1;
         }
         self.effects.push(Effect::Answer(request, answer));
     }
 
-    fn store_replied(&mut self, purpose: Purpose, sent: Micros, reply: StoreReply) {
+    fn handle_store_reply(&mut self, purpose: Purpose, sent: Micros, reply: StoreReply) {
         match reply {
             StoreReply::Refused | StoreReply::Unclear => self.counters.store_failures += 1,
-            _ => self.store_heard = self.now,
+            _ => self.last_store_reply_at = self.now,
         }
         match purpose {
             Purpose::FormerLife
@@ -487,66 +529,76 @@
             | Purpose::Lead => self.membership_replied(purpose, sent, reply),
             Purpose::Follow => self.followed(sent, reply),
             Purpose::Grant | Purpose::Quota => self.granted(reply),
-            Purpose::Accept { request, spec } => self.accept_replied(request, *spec, reply),
-            Purpose::LookLive { question, wanted } => self.looked_live(question, wanted, sent, reply),
-            Purpose::CheckLive { polls } => self.checked_live(polls, sent, reply),
-            Purpose::LookFinal { question, missing } => self.looked_final(question, missing, reply),
-            Purpose::Withdraw { question, tasks } => self.withdraw_replied(question, tasks, reply),
-            Purpose::Complete { job, tasks } => self.complete_replied(job, tasks, reply),
-            Purpose::Progress { job, chunk } => self.progress_replied(job, chunk, reply),
+            Purpose::Accept { request, spec } => self.handle_accept_reply(request, *spec, reply),
+            Purpose::LookLive { question, wanted } => {
+                self.handle_live_lookup_reply(question, wanted, sent, reply)
+            }
+            Purpose::CheckLive { polls } => self.handle_poll_check_reply(polls, sent, reply),
+            Purpose::LookFinal { question, missing } => {
+                self.handle_final_lookup_reply(question, missing, reply)
+            }
+            Purpose::Withdraw { question, tasks } => self.handle_withdraw_reply(question, tasks, reply),
+            Purpose::Complete { job, tasks } => self.handle_complete_reply(job, tasks, reply),
+            Purpose::Progress { job, chunk } => self.handle_progress_reply(job, chunk, reply),
             Purpose::RentalStored { rental } => self.rental_stored(rental, reply),
             Purpose::RentalClosed { request } => self.rental_closed(request, reply),
             Purpose::Uninformed { record } => self.uninformed_recorded(record, reply),
-            Purpose::Finals => self.finals_read(reply),
+            Purpose::Finals => self.handle_final_states_reply(reply),
             Purpose::Cleanup => {}
         }
     }
 
-    /// Whether this controller can take requests, as far as the load balancer is concerned.
+    /// Whether the load balancer should send requests to this controller.
     ///
-    /// In an outage of the state service all controllers stay healthy and defer, for being taken out
-    /// would only prolong the outage. Only one that alone is cut off from the store steps aside.
+    /// During an outage of the state service all controllers stay healthy and defer requests, because removing them from
+    /// the load balancer would only prolong the outage. A controller is unhealthy if it cannot reach the state service
+    /// while others can.
     pub fn healthy(&self) -> bool {
         if self.phase != Phase::Active {
             return false;
         }
         let fresh = Micros::from_secs(3);
-        let mine = self.now.since(self.store_heard) < fresh + Micros::from_secs(6);
-        let others = self
+        let reached_lately = self.now.since(self.last_store_reply_at) < fresh + Micros::from_secs(6);
+        let reached_by_others = self
             .peers
             .values()
-            .any(|p| self.now.since(p.heard) < fresh && p.status.as_ref().is_some_and(|s| s.store_ok));
-        mine && self.now.since(self.store_heard) < fresh || !others || (self.entitled() && mine)
+            .any(|p| self.now.since(p.last_heard) < fresh && p.status.as_ref().is_some_and(|s| s.store_ok));
+        reached_lately && self.now.since(self.last_store_reply_at) < fresh
+            || !reached_by_others
+            || (self.entitled() && reached_lately)
     }
 
     pub fn leading(&self) -> bool {
-        self.lead.is_some()
+        self.leader_state.is_some()
     }
 
+    /// The numbers of own machines and of all machines.
     pub fn machine_counts(&self) -> (usize, usize) {
-        let mine = self.machines.values().filter(|m| self.owns(m)).count();
-        (mine, self.machines.len())
+        let own = self.machines.values().filter(|m| self.owns(m)).count();
+        (own, self.machines.len())
     }
 
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    pub fn adopting(&self) -> usize {
-        self.unresolved.len()
+    /// Number of machines that are not accounted for yet since jobs were taken over.
+    pub fn unresolved_machine_count(&self) -> usize {
+        self.unresolved_machines.len()
     }
 
-    /// Starts wait for another controller to confirm that it knows of them.
-    pub fn confirmations_owed(&self) -> bool {
+    /// Whether announced starts wait for another controller's confirmation.
+    pub fn has_unconfirmed_starts(&self) -> bool {
         self.announcements.owed()
     }
 
-    /// Records that this version cannot read.
-    pub fn records_unread(&self) -> usize {
-        self.unreadable.len()
+    /// Number of records that this version cannot read.
+    pub fn unreadable_record_count(&self) -> usize {
+        self.unreadable_keys.len()
     }
 
-    pub fn waiting_calls(&self) -> usize {
-        self.calls.waiting(Urgency::Rest)
+    /// Number of calls to the state service that are queued.
+    pub fn waiting_store_calls(&self) -> usize {
+        self.store_calls.waiting(Urgency::Rest)
     }
 }
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -1,4 +1,4 @@
-//! Jobs and machines as a controller remembers them.
+//! A controller's state for each job and each machine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,74 +10,84 @@
 use crate::bookkeeping::records::{BlockRow, TaskSet};
 pub use crate::coordination::pending::Pending;
 use crate::coordination::quota::{InForce, Permit};
-use crate::coordination::waiting::Wait;
+use crate::coordination::waiting::JobWait;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::{Cause, TaskId, TaskState};
 
+/// A live job: its description, its progress and the machines that its tasks are on.
 #[derive(Debug)]
 pub struct Job {
     pub spec: Arc<JobSpec>,
-    /// Revision of its acceptance.
-    pub stamp: u64,
-    /// When this controller first knew of it.
-    pub since: Micros,
-    /// The controller that places it; none while there is no view.
+    /// Revision of the transaction that accepted the job.
+    pub accepted_revision: u64,
+    /// When this controller first read the job's record.
+    pub known_since: Micros,
+    /// The controller that places the job's tasks; `None` while there is no view.
     pub owner: Option<String>,
-    /// Taken over from another controller, some of whose machines are not accounted for.
-    pub adopting: bool,
+    /// The job was taken over, and some machines that may run its tasks are not accounted for yet.
+    pub takeover_pending: bool,
+    /// Completed tasks, recorded or not.
     pub done: TaskSet,
-    /// The part of `done` that the store holds.
-    pub stored: TaskSet,
-    pub dirty: BTreeSet<usize>,
-    pub writing: bool,
-    pub completing: bool,
-    /// The record of its end, which is repeated until it is known.
-    pub ending: Backoff,
-    /// When its progress may next be recorded.
-    pub progress_at: Micros,
-    /// Where its tasks are, or may be. While machines change hands a task may be suspected in several
-    /// places, and leaving one of them must not make it forgotten in another.
-    pub on: BTreeMap<u32, Vec<String>>,
-    /// How many of these are not done, kept in step: every event asks for it.
+    /// The part of `done` that the state service has recorded.
+    pub recorded_done: TaskSet,
+    /// Chunks of `done` with completions that are not recorded yet.
+    pub dirty_chunks: BTreeSet<usize>,
+    /// A transaction that records progress is in flight.
+    pub progress_write_in_flight: bool,
+    /// A transaction that records the job as done is in flight.
+    pub completion_in_flight: bool,
+    /// Backoff between attempts to record the job as done.
+    pub completion_backoff: Backoff,
+    /// When the job's progress may next be recorded.
+    pub next_progress_write_at: Micros,
+    /// By task index, the machines that the task is on or may be on.
+    ///
+    /// While machines change owners a task may be on any of several machines; removing it from one must not remove it
+    /// from the others.
+    pub placements: BTreeMap<u32, Vec<String>>,
+    /// Number of tasks in `placements` that are not done. Cached because every event needs it.
     placed: u32,
-    /// Places whose machine has said that the task there has ended: it stays there until it is forgotten.
-    ended: BTreeSet<(u32, String)>,
+    /// Placements whose machine has reported the task as ended. They remain placements until the worker is ordered to
+    /// forget the task.
+    ended_placements: BTreeSet<(u32, String)>,
+    /// How many tasks the leader lets the job have placed at a time.
     pub volume: u32,
-    /// When its turn comes, as the leader last said.
+    /// The job's position in the leader's plan.
     pub turn: Turn,
-    /// No task below this number is left to start.
-    pub next: u32,
+    /// Lower bound of the task indices that still have to be placed.
+    pub next_unplaced: u32,
+    /// Highest attempt number used for a task of the job, as far as this controller knows.
     pub attempt: u64,
-    /// The whole gang is being stopped: since when.
-    pub stopping: Option<Micros>,
-    pub wait: Wait,
+    /// When a stop of the whole gang began.
+    pub stopping_since: Option<Micros>,
+    pub wait: JobWait,
 }
 
 impl Job {
-    pub fn new(spec: JobSpec, stamp: u64, since: Micros) -> Job {
+    pub fn new(spec: JobSpec, accepted_revision: u64, known_since: Micros) -> Job {
         Job {
             spec: Arc::new(spec),
-            stamp,
-            since,
+            accepted_revision,
+            known_since,
             owner: None,
-            adopting: false,
+            takeover_pending: false,
             done: TaskSet::default(),
-            stored: TaskSet::default(),
-            dirty: BTreeSet::new(),
-            writing: false,
-            completing: false,
-            ending: Backoff::default(),
-            progress_at: Micros::ZERO,
-            on: BTreeMap::new(),
+            recorded_done: TaskSet::default(),
+            dirty_chunks: BTreeSet::new(),
+            progress_write_in_flight: false,
+            completion_in_flight: false,
+            completion_backoff: Backoff::default(),
+            next_progress_write_at: Micros::ZERO,
+            placements: BTreeMap::new(),
             placed: 0,
-            ended: BTreeSet::new(),
+            ended_placements: BTreeSet::new(),
             volume: 0,
             turn: Turn::Usual,
-            next: 0,
+            next_unplaced: 0,
             attempt: 0,
-            stopping: None,
-            wait: Wait::default(),
+            stopping_since: None,
+            wait: JobWait::default(),
         }
     }
 
@@ -85,9 +95,9 @@
         self.spec.tasks - self.done.len()
     }
 
-    pub fn put_on(&mut self, index: u32, machine: &str) {
-        self.note_ended(index, machine, false);
-        let places = self.on.entry(index).or_default();
+    pub fn add_placement(&mut self, index: u32, machine: &str) {
+        self.set_ended(index, machine, false);
+        let places = self.placements.entry(index).or_default();
         if places.is_empty() && !self.done.contains(index) {
             self.placed += 1;
         }
@@ -96,89 +106,93 @@
         }
     }
 
-    pub fn take_off(&mut self, index: u32, machine: &str) {
-        self.note_ended(index, machine, false);
-        if let Some(places) = self.on.get_mut(&index) {
+    pub fn remove_placement(&mut self, index: u32, machine: &str) {
+        self.set_ended(index, machine, false);
+        if let Some(places) = self.placements.get_mut(&index) {
             places.retain(|m| m != machine);
             if places.is_empty() {
-                self.on.remove(&index);
+                self.placements.remove(&index);
                 if !self.done.contains(index) {
                     self.placed -= 1;
                 }
-                self.next = self.next.min(index);
+                self.next_unplaced = self.next_unplaced.min(index);
             }
         }
     }
 
-    /// Notes whether a task has ended on a machine, as that has said.
-    pub fn note_ended(&mut self, index: u32, machine: &str, ended: bool) {
+    /// Sets whether the machine has reported the task as ended.
+    pub fn set_ended(&mut self, index: u32, machine: &str, ended: bool) {
         let place = (index, machine.to_owned());
         if ended {
-            self.ended.insert(place);
-        } else if !self.ended.is_empty() {
-            self.ended.remove(&place);
+            self.ended_placements.insert(place);
+        } else if !self.ended_placements.is_empty() {
+            self.ended_placements.remove(&place);
         }
     }
 
-    /// Tasks that run or may run somewhere: those that have ended wherever they were do not, though they are not
-    /// forgotten yet.
-    pub fn in_use(&self) -> u32 {
+    /// Number of tasks that run or may run on some machine.
+    ///
+    /// A task whose placements have all ended is not counted, even if a worker has not been ordered to forget it yet.
+    pub fn tasks_in_use(&self) -> u32 {
         let mut ended_at: BTreeMap<u32, usize> = BTreeMap::new();
-        for (index, _) in &self.ended {
+        for (index, _) in &self.ended_placements {
             *ended_at.entry(*index).or_default() += 1;
         }
-        let gone = |(index, ended): &(&u32, &usize)| self.on.get(*index).is_none_or(|p| p.len() <= **ended);
-        self.on.len() as u32 - ended_at.iter().filter(gone).count() as u32
+        let gone =
+            |(index, ended): &(&u32, &usize)| self.placements.get(*index).is_none_or(|p| p.len() <= **ended);
+        self.placements.len() as u32 - ended_at.iter().filter(gone).count() as u32
     }
 
-    /// Places at which tasks run or may run.
-    pub fn places_in_use(&self) -> u64 {
-        let places: u64 = self.on.values().map(|places| places.len() as u64).sum();
-        places.saturating_sub(self.ended.len() as u64)
+    /// Number of placements at which tasks run or may run.
+    pub fn placements_in_use(&self) -> u64 {
+        let places: u64 = self.placements.values().map(|places| places.len() as u64).sum();
+        places.saturating_sub(self.ended_placements.len() as u64)
     }
 
-    /// Tasks that are somewhere, or may be, and are not done.
+    /// Number of tasks that have a placement and are not done.
     pub fn placed(&self) -> u32 {
         self.placed
     }
 
-    /// Tasks that are somewhere, or may be, or are done.
+    /// Number of tasks that have a placement or are done.
     pub fn started(&self) -> u32 {
         self.placed + self.done.len()
     }
 
-    /// How many more tasks it may have than are placed, as the leader last said.
-    pub fn lacking(&self) -> u32 {
+    /// How many more tasks the leader's last volume allows the job to have placed.
+    pub fn remaining_volume(&self) -> u32 {
         match self.turn {
-            // It has had its first task; the place is another's when that ends.
+            // The volume covers the job's first task only; once that ends, another job uses its place.
             Turn::First if self.started() > 0 => 0,
             Turn::Backfill if self.placed > 0 && self.spec.shape == Shape::Array => 0,
             _ => self.volume.saturating_sub(self.placed),
         }
     }
 
-    /// Adds completions that the store holds.
-    pub fn merge(&mut self, chunk: usize, value: &serde_json::Value) {
-        self.stored.merge(chunk, value, self.spec.tasks);
+    /// Adds the completions in a recorded chunk.
+    pub fn merge_recorded(&mut self, chunk: usize, value: &serde_json::Value) {
+        self.recorded_done.merge(chunk, value, self.spec.tasks);
         self.done.merge(chunk, value, self.spec.tasks);
-        self.placed = self.on.keys().filter(|index| !self.done.contains(**index)).count() as u32;
+        self.placed = self.placements.keys().filter(|index| !self.done.contains(**index)).count() as u32;
     }
 
-    /// The job has another owner from now on. What this controller noted as completed and had not recorded
-    /// may be known to nobody else, and a leader that went by it would give the job no volume ever again.
-    pub fn forget_unrecorded(&mut self) {
-        self.done = self.stored.clone();
-        self.dirty.clear();
-        self.placed = self.on.keys().filter(|index| !self.done.contains(**index)).count() as u32;
-        self.next = 0;
+    /// Discards completions that are not recorded. Called when the job gets another owner.
+    ///
+    /// The new owner may not know of them. If this controller kept them and became the leader, it would give the job no
+    /// volume for tasks that the owner still has to run, and the job would never be done.
+    pub fn discard_unrecorded(&mut self) {
+        self.done = self.recorded_done.clone();
+        self.dirty_chunks.clear();
+        self.placed = self.placements.keys().filter(|index| !self.done.contains(**index)).count() as u32;
+        self.next_unplaced = 0;
     }
 
     pub fn is_gang(&self) -> bool {
         self.spec.shape == Shape::Gang
     }
 
-    /// Notes that a task has completed. The tasks of a gang complete together.
-    pub fn complete(&mut self, index: u32) -> bool {
+    /// Marks a task as completed, or all tasks if the job is a gang. Returns whether any of them was not done before.
+    pub fn mark_completed(&mut self, index: u32) -> bool {
         let chunk = |i: u32| i as usize / crate::bookkeeping::records::CHUNK;
         if index >= self.spec.tasks || self.spec.shape == Shape::Service {
             return false;
@@ -187,8 +201,8 @@
         let mut new = false;
         for i in range {
             if self.done.insert(i) {
-                self.placed -= u32::from(self.on.contains_key(&i));
-                self.dirty.insert(chunk(i));
+                self.placed -= u32::from(self.placements.contains_key(&i));
+                self.dirty_chunks.insert(chunk(i));
                 new = true;
             }
         }
@@ -196,37 +210,47 @@
     }
 }
 
+/// A task on a machine, or planned for it.
 #[derive(Clone, Debug)]
-pub struct TaskOn {
+pub struct PlacedTask {
     pub attempt: u64,
     pub state: TaskState,
+    /// Why the task ended.
     pub cause: Option<Cause>,
+    /// Resources that the task takes.
     pub need: Resources,
+    /// The start, until the machine has confirmed it.
     pub pending: Option<Pending>,
-    /// The status that announced the start to the others; 0: none has yet.
-    pub announced: u64,
-    /// Wanted gone: with this much time to save.
-    pub stop: Option<Micros>,
-    /// That has been said to the worker directly; the answers to its reports repeat it.
-    pub told: bool,
-    pub since: Micros,
+    /// Number of the status that announced the start to the other controllers; 0 if none has.
+    pub announced_in_status: u64,
+    /// Set when the task is to be stopped: the time it has to save its state.
+    pub stop_grace: Option<Micros>,
+    /// The stop was sent in a direct call. Answers to the worker's reports repeat it.
+    pub stop_sent: bool,
+    /// When this controller planned or ordered the start, or first learned of the attempt.
+    pub started_at: Micros,
 }
 
-impl TaskOn {
+impl PlacedTask {
     pub fn ended(&self) -> bool {
         self.state == TaskState::Ended
     }
 
-    /// A start that has not been sent.
+    /// Whether the task's start is planned and has not been sent.
     pub fn planned(&self) -> bool {
         matches!(self.pending, Some(Pending::Planned(_)))
     }
 
-    /// The permit of a start that may be ordered now: it holds, and all that must know of the start do.
-    pub(in crate::coordination) fn may_start(&self, settled: u64, in_force: InForce) -> Option<Permit> {
-        let announced = self.announced != 0 && self.announced <= settled;
+    /// The permit of a planned start, if the start may be ordered now: the permit is valid, and every controller that
+    /// has to know of the start has confirmed it. `confirmed_through` is the number of the last status that they have confirmed.
+    pub(in crate::coordination) fn startable_permit(
+        &self,
+        confirmed_through: u64,
+        in_force: InForce,
+    ) -> Option<Permit> {
+        let announced = self.announced_in_status != 0 && self.announced_in_status <= confirmed_through;
         match self.pending {
-            Some(Pending::Planned(permit)) if announced && self.stop.is_none() => {
+            Some(Pending::Planned(permit)) if announced && self.stop_grace.is_none() => {
                 in_force.covers(permit).then_some(permit)
             }
             _ => None,
@@ -234,87 +258,107 @@
     }
 }
 
+/// A recorded machine: its grant, its worker's messages and the tasks on it.
+///
+/// The owner of a machine is the controller that it is granted to. For machines of other controllers some fields hold what
+/// their owners' statuses report.
 #[derive(Debug)]
 pub struct Machine {
     pub row: BlockRow,
-    /// Registration of the controller that it was granted to.
+    /// Number of the block record that contains `row`.
     pub shard: usize,
-    /// Revision of the grant.
-    pub stamp: u64,
-    /// When this controller learned of the grant.
-    pub granted: Micros,
-    pub since: Micros,
+    /// Revision of the present grant.
+    pub grant_revision: u64,
+    /// When this controller learned of the present grant. A fresh token for the same owner does not change it while the
+    /// machine is not resolved.
+    pub grant_seen_at: Micros,
+    /// When this controller first read the machine's record.
+    pub known_since: Micros,
+    /// The machine's resources; zero until its type is known.
     pub supply: Resources,
+    /// The worker's session, as of its last message.
     pub session: u64,
+    /// Number of the worker's last message in that session, report or reply to direct orders.
     pub tally: u64,
-    /// When the present session was first heard of: it began no later. A session that a controller
-    /// expects to follow a lapsed one has not been heard of.
-    pub session_at: Option<Micros>,
-    /// The last report's; `tally` also counts replies to direct orders.
-    pub reported: u64,
+    /// When a message of the present session was first received, which is no earlier than the session began. `None` if the
+    /// previous session has lapsed and no message of its successor has arrived yet.
+    pub session_seen_at: Option<Micros>,
+    /// Number of the worker's last report. Unlike `tally` it ignores replies to direct orders.
+    pub last_report_tally: u64,
+    /// Address for direct calls; empty if not known.
     pub addr: String,
-    /// Unheard for longer than any report is late, and asked directly it did not answer either.
-    pub lost: bool,
-    /// Whether what it is told arrives.
-    pub hearing: Hearing,
-    /// It is being asked whether it is there.
-    pub asked: bool,
-    /// Questions in a row to which it gave no answer since it was granted.
-    pub unanswered: u32,
-    /// What the direct call on its way starts.
-    pub starting: Vec<TaskId>,
-    /// A direct call is on its way.
-    pub talking: bool,
-    pub talk_after: Micros,
-    /// A direct order may still arrive: nothing is forgotten until a fresh token rules that out.
-    pub renew: bool,
-    pub heard: Option<Micros>,
-    pub answered: Option<Micros>,
-    /// Since when no former owner can answer it any more.
-    pub former_gone: Option<Micros>,
+    /// The worker did not answer direct calls, and none of its reports has arrived since; or it is not receiving.
+    pub unresponsive: bool,
+    /// Whether answers and orders arrive at the machine.
+    pub delivery: Hearing,
+    /// The direct call in flight carries no orders; it asks whether an overdue machine still answers.
+    pub probe_in_flight: bool,
+    /// Direct calls in a row without an answer, while the machine is not resolved.
+    pub unanswered_calls: u32,
+    /// Tasks that the direct call in flight starts.
+    pub starts_in_call: Vec<TaskId>,
+    /// A direct call is in flight.
+    pub call_in_flight: bool,
+    /// No direct call is made before this time.
+    pub next_call_at: Micros,
+    /// A direct order may still arrive late. Until the machine has a fresh fencing token, which rules that out, its worker
+    /// is not ordered to forget tasks and gets no direct calls.
+    pub token_renewal_needed: bool,
+    /// When a report, or the first message under the present grant, was last received.
+    pub last_heard: Option<Micros>,
+    /// When a report was last answered under the present grant.
+    pub last_answered: Option<Micros>,
+    /// Time from which on no former owner can answer the machine's reports.
+    pub former_owners_gone_since: Option<Micros>,
+    /// The owner knows all tasks on the machine under the present grant: the worker has seen the present token, or its
+    /// lease has expired.
     pub resolved: bool,
-    /// It has been resolved before, so that this controller has once known all that is there.
-    pub known: bool,
-    pub apart: bool,
-    pub notice: bool,
+    /// The machine was resolved at some time, so that this controller has known all tasks on it.
+    pub ever_resolved: bool,
+    /// Quarantined: no task is started there.
+    pub quarantined: bool,
+    /// The cloud has announced that it will take the machine away.
+    pub preemption_notice: bool,
+    /// Since when the machine has had no running task; only meaningful while it is idle.
     pub idle_since: Micros,
-    /// As its owner says: unheard since then.
+    /// Since when the owner has received no message, according to its status; `None` if reports arrive in time.
     pub silent_since: Option<Micros>,
+    /// The worker has sent a message under the present grant.
     pub up: bool,
-    pub tasks: BTreeMap<TaskId, TaskOn>,
-    /// Images that it should have, the latest used first, and their sizes.
+    pub tasks: BTreeMap<TaskId, PlacedTask>,
+    /// Images expected in the machine's cache, most recently used first, with their sizes in GB.
     pub images: VecDeque<(String, f64)>,
 }
 
 impl Machine {
-    pub fn new(row: BlockRow, shard: usize, stamp: u64, now: Micros, supply: Resources) -> Machine {
+    pub fn new(row: BlockRow, shard: usize, grant_revision: u64, now: Micros, supply: Resources) -> Machine {
         Machine {
             row,
             shard,
-            stamp,
-            granted: now,
-            since: now,
+            grant_revision,
+            grant_seen_at: now,
+            known_since: now,
             supply,
             session: 0,
             tally: 0,
-            session_at: None,
-            reported: 0,
+            session_seen_at: None,
+            last_report_tally: 0,
             addr: String::new(),
-            lost: false,
-            hearing: Hearing::default(),
-            asked: false,
-            unanswered: 0,
-            starting: Vec::new(),
-            talking: false,
-            talk_after: Micros::ZERO,
-            renew: false,
-            heard: None,
-            answered: None,
-            former_gone: None,
+            unresponsive: false,
+            delivery: Hearing::default(),
+            probe_in_flight: false,
+            unanswered_calls: 0,
+            starts_in_call: Vec::new(),
+            call_in_flight: false,
+            next_call_at: Micros::ZERO,
+            token_renewal_needed: false,
+            last_heard: None,
+            last_answered: None,
+            former_owners_gone_since: None,
             resolved: false,
-            known: false,
-            apart: false,
-            notice: false,
+            ever_resolved: false,
+            quarantined: false,
+            preemption_notice: false,
             idle_since: now,
             silent_since: None,
             up: false,
@@ -323,35 +367,38 @@
         }
     }
 
-    /// Held by nobody yet, so nothing can ever have been started there.
-    pub fn unused(&self) -> bool {
+    /// Whether the machine was never granted to a controller, so that no task can have been started there.
+    pub fn never_granted(&self) -> bool {
         self.row.owner.is_empty()
     }
 
+    /// Resources that tasks on the machine leave free.
     pub fn free(&self) -> Resources {
-        self.room_beside(|t| !t.ended())
+        self.free_beside(|t| !t.ended())
     }
 
-    /// The room there will be once what is being stopped has gone.
-    pub fn free_soon(&self) -> Resources {
-        self.room_beside(|t| !t.ended() && t.stop.is_none())
+    /// Resources that will be free once the tasks being stopped have ended.
+    pub fn free_after_stops(&self) -> Resources {
+        self.free_beside(|t| !t.ended() && t.stop_grace.is_none())
     }
 
-    fn room_beside(&self, stays: impl Fn(&TaskOn) -> bool) -> Resources {
+    /// The machine's resources less those of the tasks for which `stays` holds.
+    fn free_beside(&self, stays: impl Fn(&PlacedTask) -> bool) -> Resources {
         let staying = self.tasks.values().filter(|t| stays(t));
         staying.fold(self.supply, |room, t| room.minus(t.need))
     }
 
+    /// Whether all tasks on the machine have ended.
     pub fn idle(&self) -> bool {
-        self.tasks.values().all(TaskOn::ended)
+        self.tasks.values().all(PlacedTask::ended)
     }
 
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(name, _)| name == image)
     }
 
-    /// Notes that a task runs from an image. What no longer fits the machine's cache has been dropped.
-    pub fn remember_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
+    /// Records that a task uses an image. The least recently used images that no longer fit the cache are dropped.
+    pub fn record_cached_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
         if self.images.front().is_some_and(|(name, _)| name == image) {
             return;
         }
@@ -369,8 +416,8 @@
 mod tests {
     use super::*;
 
-    /// Guards against a job that was never done: its former owner, by then the leader, knew of completions
-    /// that had not been recorded, and named no volume for the tasks that the owner still had to run.
+    /// Guards against a job that never completes. Its former owner became the leader, still counted completions that it
+    /// had not recorded, and gave the job no volume for the tasks that the new owner had yet to run.
     #[test]
     fn a_job_that_leaves_its_owner_takes_only_recorded_completions_along() {
         let spec: JobSpec = serde_json::from_value(serde_json::json!({
@@ -381,13 +428,13 @@
         }))
         .unwrap();
         let mut job = Job::new(spec, 1, Micros::ZERO);
-        job.put_on(2, "m");
-        job.complete(0);
-        job.merge(0, &job.done.chunk(0));
-        (1..4).for_each(|index| assert!(job.complete(index)));
+        job.add_placement(2, "m");
+        job.mark_completed(0);
+        job.merge_recorded(0, &job.done.chunk(0));
+        (1..4).for_each(|index| assert!(job.mark_completed(index)));
         assert_eq!((job.unfinished(), job.placed()), (0, 0));
-        job.forget_unrecorded();
+        job.discard_unrecorded();
         assert_eq!((job.unfinished(), job.placed()), (3, 1));
-        assert!(job.done.contains(0) && job.dirty.is_empty());
+        assert!(job.done.contains(0) && job.dirty_chunks.is_empty());
     }
 }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -4,12 +4,14 @@
 
 use marblewalk_admission::pool::Turn;
 
-use crate::coordination::eligibility::{Cards, HeldBack, allows, keeps_dear, zone_open};
-use crate::coordination::model::{Job, Machine, Pending, TaskOn};
+use crate::coordination::eligibility::{
+    AcceleratorPolicy, GangHold, allows, keeps_costly_machine, zone_has_headroom,
+};
+use crate::coordination::model::{Job, Machine, Pending, PlacedTask};
 use crate::coordination::precedence::Precedence;
 use crate::coordination::quota::Allowance;
 use crate::coordination::waiting::WaitReason;
-use crate::coordination::{ByName, Controller};
+use crate::coordination::{Controller, SortedMap};
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::peer::Volume;
 use crate::protocol::units::{Micros, Resources};
@@ -40,10 +42,10 @@
 
 /// Room on the machines that an owner may use, during one pass.
 pub(super) struct Rooms {
-    pub(super) free: ByName<Resources>,
+    pub(super) free: SortedMap<Resources>,
     /// What there will be once all that is being stopped has gone, less what has been counted on.
-    pub(super) soon: ByName<Resources>,
-    pub(super) cards: Cards,
+    pub(super) soon: SortedMap<Resources>,
+    pub(super) cards: AcceleratorPolicy,
     pub(super) reserved: Vec<(String, String)>,
 }
 
@@ -62,19 +64,19 @@
 impl Controller {
     /// This controller's own job, fully taken over.
     pub(super) fn places(&self, job: &Job) -> bool {
-        !job.adopting && !job.completing && job.owner.as_deref() == Some(self.me())
+        !job.takeover_pending && !job.completion_in_flight && job.owner.as_deref() == Some(self.own_name())
     }
 
     fn leader_silent(&self) -> bool {
-        self.now.since(self.volumes_heard) > Micros::from_secs_f64(self.tuning.round_s * 3.0)
+        self.now.since(self.volumes_received_at) > Micros::from_secs_f64(self.tuning.round_s * 3.0)
     }
 
     /// How many tasks of a job the owner may have started.
     pub(super) fn wanted(&self, job: &Job) -> u32 {
         // Without a leader's word for a while, work goes on inside the blocks that are held.
-        let unheard =
-            self.leader_silent() && self.now.since(job.since) > Micros::from_secs_f64(self.tuning.round_s);
-        let unfinished = self.worth_trying(&job.spec.id, job);
+        let unheard = self.leader_silent()
+            && self.now.since(job.known_since) > Micros::from_secs_f64(self.tuning.round_s);
+        let unfinished = self.tasks_worth_starting(&job.spec.id, job);
         match job.turn {
             _ if unheard => unfinished,
             // It has had its first task; the place is another's when that ends.
@@ -92,14 +94,14 @@
 
     /// Plans starts for all own jobs, the most urgent first.
     pub(super) fn place(&mut self) {
-        if !self.entitled() || !self.placing {
+        if !self.entitled() || !self.is_view_member {
             return;
         }
         let mut order: Vec<(Precedence, bool, String)> = Vec::new();
         for (id, job) in &self.jobs {
             // A job that the leader does not name is not even asked whose it is, unless there is no leader.
-            if job.placed() < self.wanted(job) && self.places(job) && !self.held(id) {
-                let precedence = self.placing_precedence(job);
+            if job.placed() < self.wanted(job) && self.places(job) && !self.awaits_retry(id) {
+                let precedence = self.placement_precedence(job);
                 order.push((precedence, false, id.clone()));
                 // Of jobs that all have their turn, each first takes the machines that have its image:
                 // in their order alone, one would fetch its own where the next has no need to.
@@ -114,21 +116,21 @@
             return;
         }
         order.sort();
-        self.bound = self.bound_teams();
+        self.teams_with_binding_limit = self.bound_teams();
         let usable = || self.machines.iter().filter(|(_, m)| self.usable(m));
         let free = usable().map(|(name, m)| (name.clone(), m.free())).collect();
         // Only services in a hurry ask for what is being made room of.
         let displaces = |id: &String| self.jobs.get(id).is_some_and(|j| self.may_displace(&j.spec));
         let soon = if order.iter().any(|(_, _, id)| displaces(id)) {
-            usable().map(|(name, m)| (name.clone(), m.free_soon())).collect()
+            usable().map(|(name, m)| (name.clone(), m.free_after_stops())).collect()
         } else {
-            ByName::default()
+            SortedMap::default()
         };
-        let reserved = if self.leader_silent() { Vec::new() } else { self.reserved.clone() };
+        let reserved = if self.leader_silent() { Vec::new() } else { self.gang_reservations.clone() };
         let mut rooms = Rooms {
             free,
             soon,
-            cards: self.cards(self.machines.values().filter(|m| self.usable(m))),
+            cards: self.accelerator_policy(self.machines.values().filter(|m| self.usable(m))),
             reserved,
         };
         let mut planned = 0;
@@ -152,7 +154,7 @@
                 self.place_array(&id, &mut rooms, fetched)
             };
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.wait.passed_over = placed.err();
+                job.wait.placement_refusal = placed.err();
             }
             let started = placed.unwrap_or(0);
             planned += started;
@@ -173,7 +175,7 @@
         self.check_planned(&planned_of);
         if planned > 0 {
             // They are ordered when the others have taken them in.
-            self.status_due = Some(self.now);
+            self.status_due_at = Some(self.now);
         }
     }
 
@@ -185,22 +187,22 @@
                 && self.places(j)
                 && j.placed() < self.wanted(j)
                 // What waits for its team's limit does not wait for a machine.
-                && j.wait.passed_over.is_none_or(WaitReason::is_for_machines)
+                && j.wait.placement_refusal.is_none_or(WaitReason::is_lack_of_machines)
         });
         for job in waiting {
-            let cards = rooms.cards.after(job.wait.waited(self.now));
+            let cards = rooms.cards.for_wait(job.wait.waited(self.now));
             // Where there is room for one of its tasks it is something else that keeps it from starting.
             let lacks_room = |room: Resources| job.is_gang() || !job.spec.need().fits(room);
             // Room where it may not be helps it nothing: jobs bound to a full zone held the others' machines idle.
             let zones = self.zone_counts(&job.spec.id);
             let here = |m: &Machine| zones.get(&m.row.zone).copied().unwrap_or(0);
-            let open = |m: &Machine| zone_open(&job.spec, here(m), zones.values().sum());
+            let open = |m: &Machine| zone_has_headroom(&job.spec, here(m), zones.values().sum());
             let best = rooms
                 .free
                 .iter()
                 .filter_map(|(name, room)| self.machines.get(name).map(|m| (name, room, m)))
                 .filter(|(_, room, m)| allows(&job.spec, m) && open(m) && lacks_room(**room))
-                .filter(|(_, room, m)| !cards.keep_off(&job.spec, m, **room))
+                .filter(|(_, room, m)| !cards.excludes(&job.spec, m, **room))
                 .max_by_key(|(_, room, m)| room.cpu * 1000 / m.supply.cpu.max(1))
                 .map(|(name, ..)| name.clone());
             if let Some(name) = best {
@@ -211,7 +213,7 @@
 
     /// Whether a class must start sooner than any machine boots.
     pub(super) fn is_quick(&self, class: &str) -> bool {
-        let quickest = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
+        let quickest = self.machine_types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         self.settings.params.objectives.iter().any(|o| {
             o.kind == "wait"
                 && o.class.as_deref() == Some(class)
@@ -222,7 +224,7 @@
 
     /// What a job may take of a machine's room, some of which may be kept for a more urgent class.
     pub(super) fn room_for(&self, spec: &JobSpec, name: &str, room: Resources) -> Resources {
-        match self.kept.get(name).and_then(|class| self.quick.get(class)) {
+        match self.fast_start_reservations.get(name).and_then(|class| self.fast_start_jobs.get(class)) {
             Some(kept) if kept.class != spec.class && kept.priority >= spec.priority => {
                 room.minus(kept.need())
             }
@@ -235,10 +237,10 @@
         let recent = Micros(self.report_every.0 * 3);
         self.owns(machine)
             && !machine.row.returning
-            && !machine.apart
-            && !machine.notice
-            && !machine.hearing.deaf()
-            && machine.heard.is_some_and(|at| self.now.since(at) < recent)
+            && !machine.quarantined
+            && !machine.preemption_notice
+            && !machine.delivery.deaf()
+            && machine.last_heard.is_some_and(|at| self.now.since(at) < recent)
     }
 
     /// Starts as many tasks of an array or a service as it may have and as fit; if none, why.
@@ -278,14 +280,14 @@
             return Err(WaitReason::NoMachine);
         }
         let Some(job) = self.jobs.get(id) else { return Ok(0) };
-        let open = |i: &u32| !job.done.contains(*i) && !job.on.contains_key(i);
-        let starts: Vec<u32> = (job.next..spec.tasks).filter(open).take(names.len()).collect();
+        let open = |i: &u32| !job.done.contains(*i) && !job.placements.contains_key(i);
+        let starts: Vec<u32> = (job.next_unplaced..spec.tasks).filter(open).take(names.len()).collect();
         let attempt = self.next_attempt(id);
         for (index, name) in starts.iter().zip(&names) {
             self.plan(id, *index, attempt, name, &mut allowance);
         }
         if let (Some(job), Some(first)) = (self.jobs.get_mut(id), starts.first()) {
-            job.next = *first;
+            job.next_unplaced = *first;
         }
         Ok(starts.len())
     }
@@ -302,7 +304,7 @@
         if machine.has_image(&spec.image) {
             return Micros::ZERO;
         }
-        let rate = self.types.get(&machine.row.kind).map_or(0.0, |t| t.fetch_gb_per_s).max(1e-3);
+        let rate = self.machine_types.get(&machine.row.kind).map_or(0.0, |t| t.fetch_gb_per_s).max(1e-3);
         let fetching = machine.tasks.iter().filter(|(_, t)| t.state == TaskState::Fetching);
         let images: BTreeSet<&String> =
             fetching.filter_map(|(id, _)| self.jobs.get(&id.job).map(|j| &j.spec.image)).collect();
@@ -314,7 +316,7 @@
 
     /// Attempts rise from one start to the next and from one owner to the next.
     pub(super) fn next_attempt(&mut self, id: &str) -> u64 {
-        let applied = self.applied;
+        let applied = self.applied_revision;
         self.jobs.get_mut(id).map_or(0, |j| {
             j.attempt = (j.attempt + 1).max(applied);
             j.attempt
@@ -327,23 +329,23 @@
         let Some(permit) = allowance.take(need) else { return };
         let task = TaskId::new(id, index);
         self.log_planned(&task, name, allowance);
-        let on = TaskOn {
+        let on = PlacedTask {
             attempt,
             state: TaskState::Fetching,
             cause: None,
             need,
             pending: Some(Pending::Planned(permit)),
-            announced: 0,
-            stop: None,
-            told: false,
-            since: self.now,
+            announced_in_status: 0,
+            stop_grace: None,
+            stop_sent: false,
+            started_at: self.now,
         };
         if let Some(machine) = self.machines.get_mut(name) {
             machine.tasks.insert(task, on);
             machine.idle_since = self.now;
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            job.put_on(index, name);
+            job.add_placement(index, name);
         }
     }
 
@@ -352,7 +354,7 @@
         let mut counts = BTreeMap::new();
         // Most jobs don't mind, and an array's thousand places are asked for in every pass.
         if let Some(job) = self.jobs.get(id).filter(|j| j.spec.one_zone || j.spec.spread) {
-            for machine in job.on.values().flatten().filter_map(|name| self.machines.get(name)) {
+            for machine in job.placements.values().flatten().filter_map(|name| self.machines.get(name)) {
                 *counts.entry(machine.row.zone.clone()).or_insert(0) += 1;
             }
         }
@@ -370,17 +372,17 @@
         only: &Only<'_>,
     ) -> Vec<String> {
         let need = spec.need();
-        let closed = HeldBack::from(self, &rooms.reserved, spec);
-        let cards = rooms.cards.after(self.waited(&spec.id));
+        let closed = GangHold::from(self, &rooms.reserved, spec);
+        let cards = rooms.cards.for_wait(self.waited(&spec.id));
         let mut options: Vec<(Preference, &String, Resources, &Machine)> = Vec::new();
         // Most machines are full, and this is asked for every waiting job: the cheap check first.
         for (name, room) in rooms.free.iter().filter(|(_, room)| count > 0 && need.fits(**room)) {
             let Some(m) = self.machines.get(name) else { continue };
-            if allows(spec, m) && only.zone().is_none_or(|z| z == m.row.zone) && !closed.holds(m) {
+            if allows(spec, m) && only.zone().is_none_or(|z| z == m.row.zone) && !closed.covers(m) {
                 let fetch = self.fetch_time(spec, m);
                 if fetch == Micros::ZERO || !matches!(only, Only::Fetched) {
-                    let doubt = self.blame.doubt(&spec.id, name);
-                    let preference = (doubt, keeps_dear(spec, m), fetch, room.cpu - need.cpu);
+                    let doubt = self.fault_attribution.doubt(&spec.id, name);
+                    let preference = (doubt, keeps_costly_machine(spec, m), fetch, room.cpu - need.cpu);
                     options.push((preference, name, *room, m));
                 }
             }
@@ -394,8 +396,8 @@
             let before = names.len();
             while names.len() < count
                 && need.fits(self.room_for(spec, name, room))
-                && !cards.keep_off(spec, machine, room)
-                && zone_open(spec, here, total)
+                && !cards.excludes(spec, machine, room)
+                && zone_has_headroom(spec, here, total)
             {
                 names.push(name.clone());
                 room = room.minus(need);
@@ -418,13 +420,13 @@
         kept: Vec<(String, String)>,
         reserved: Vec<(String, String)>,
     ) {
-        self.kept = kept.into_iter().collect();
-        self.reserved = reserved;
-        self.volumes_heard = self.now;
+        self.fast_start_reservations = kept.into_iter().collect();
+        self.gang_reservations = reserved;
+        self.volumes_received_at = self.now;
         let named: HashMap<&str, (u32, Turn)> =
             volumes.iter().map(|v| (v.job.as_str(), (v.tasks, v.turn))).collect();
         #[cfg(test)]
-        let alone = self.alone;
+        let alone = self.ignore_leader_volumes;
         for (id, job) in &mut self.jobs {
             (job.volume, job.turn) = named.get(id.as_str()).copied().unwrap_or_default();
             #[cfg(test)]
@@ -432,7 +434,7 @@
                 (job.volume, job.turn) = (job.unfinished(), Turn::Usual);
             }
         }
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// Stops the latest started tasks of own jobs that the leader finds above their volume.
@@ -441,22 +443,22 @@
             let Some(job) = self.jobs.get(id).filter(|j| self.places(j)) else { continue };
             let grace = job.spec.save() + Micros::from_secs(1);
             let mut tasks: Vec<(Micros, String, TaskId)> = Vec::new();
-            for (index, places) in &job.on {
+            for (index, places) in &job.placements {
                 let task = TaskId::new(id, *index);
                 for name in places {
                     if let Some(t) = self.machines.get(name).and_then(|m| m.tasks.get(&task))
                         && !t.ended()
-                        && t.stop.is_none()
+                        && t.stop_grace.is_none()
                     {
-                        tasks.push((t.since, name.clone(), task.clone()));
+                        tasks.push((t.started_at, name.clone(), task.clone()));
                     }
                 }
             }
             tasks.sort();
             for (_, name, task) in tasks.into_iter().rev().take(*count as usize) {
                 if let Some(t) = self.machines.get_mut(&name).and_then(|m| m.tasks.get_mut(&task)) {
-                    t.stop = Some(grace);
-                    self.stops_abroad = true;
+                    t.stop_grace = Some(grace);
+                    self.remote_stops_pending = true;
                 }
             }
         }
--- a/src/coordination/quota/grants.rs
+++ b/src/coordination/quota/grants.rs
@@ -21,8 +21,8 @@
     /// that had counted nothing meanwhile, and had gone on beyond its share.
     pub(in crate::coordination) fn allot(&mut self) -> bool {
         let bound = self.bound_teams();
-        let divided = self.quota.0.view == self.view_stamp;
-        let named = |t: &Team| divided && self.quota.0.rows.iter().any(|r| r.team == t.name);
+        let divided = self.quota_record.0.view == self.view_revision;
+        let named = |t: &Team| divided && self.quota_record.0.rows.iter().any(|r| r.team == t.name);
         // A team without work needs no share; its limit binds all the same.
         let works = |t: &Team| named(t) || self.jobs.values().any(|j| j.spec.team == t.name);
         let teams = self.settings.params.teams.iter().filter(|t| bound.contains(&t.name) && works(t));
@@ -32,7 +32,7 @@
         }
         let opens = !teams.iter().all(named);
         let waits = !opens && !self.may_divide();
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.awaits_words = waits;
         }
         if waits {
@@ -58,8 +58,8 @@
                 });
             }
         }
-        let record = QuotaRecord { view: self.view_stamp, rows };
-        if record == self.quota.0 {
+        let record = QuotaRecord { view: self.view_revision, rows };
+        if record == self.quota_record.0 {
             return false;
         }
         let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
@@ -67,45 +67,46 @@
         let transaction = Transaction {
             conditions: vec![
                 Condition::new(records::LEADER, leader_stamp),
-                Condition::new(records::QUOTA, self.quota.1),
-                Condition::new(records::VIEW, self.view_stamp),
+                Condition::new(records::QUOTA, self.quota_record.1),
+                Condition::new(records::VIEW, self.view_revision),
                 self.entitlement(),
             ],
             writes: vec![Write::put(records::QUOTA, value)],
         };
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.granting = true;
         }
-        self.store(Urgency::Entitlement, Purpose::Quota, StoreCall::Commit(transaction));
+        self.enqueue_store_call(Urgency::Entitlement, Purpose::Quota, StoreCall::Commit(transaction));
         true
     }
 
     /// Every member has accounted for what it took over in the present view.
     fn all_adopted(&self) -> bool {
-        let done =
-            |m: &str, node| self.word_of(m, node).is_some_and(|s| s.adopted && s.applied >= self.view_stamp);
+        let done = |m: &str, node| {
+            self.word_of(m, node).is_some_and(|s| s.adopted && s.applied >= self.view_revision)
+        };
         self.view.members.iter().all(|(m, node)| done(m, *node))
     }
 
     /// Everyone knows the record in force, and has accounted for what it took over.
     pub(in crate::coordination) fn may_divide(&self) -> bool {
-        self.all_adopted() && self.everyone_applied(self.quota.1)
+        self.all_adopted() && self.everyone_applied(self.quota_record.1)
     }
 
     /// What a member may use of a team's limit by the record in force: processors and accelerators.
     pub(super) fn share_of(&self, member: &str, node: u64, team: &Team) -> (u64, u64) {
         let mine = |r: &&Allotment| r.member == member && r.node == node && r.team == team.name;
-        self.quota.0.rows.iter().find(mine).map_or((0, 0), |r| (r.cpu, r.gpu))
+        self.quota_record.0.rows.iter().find(mine).map_or((0, 0), |r| (r.cpu, r.gpu))
     }
 
     /// What is left of a member's share of a team's limit; none where the limit does not bind.
     pub(in crate::coordination) fn left_of_share(&self, member: &str, team: &str) -> Option<Resources> {
         let team = self.settings.params.teams.iter().find(|t| t.name == team)?;
-        let divided = self.quota.0.view == self.view_stamp;
-        if !divided || !self.quota.0.rows.iter().any(|r| r.team == team.name) {
+        let divided = self.quota_record.0.view == self.view_revision;
+        if !divided || !self.quota_record.0.rows.iter().any(|r| r.team == team.name) {
             return None;
         }
-        let node = *self.nodes.get(member)?;
+        let node = *self.registrations.get(member)?;
         let granted = self.share_in_force(member, node, team);
         Some(granted.minus(self.used_by(member, node, team)))
     }
@@ -135,7 +136,7 @@
         };
         let mut units: BTreeMap<&str, Vec<Unit>> = BTreeMap::new();
         for (id, job) in self.jobs.iter().filter(|(_, j)| j.spec.team == team.name) {
-            if let Some(owner) = job.owner.as_deref().filter(|_| job.lacking() > 0) {
+            if let Some(owner) = job.owner.as_deref().filter(|_| job.remaining_volume() > 0) {
                 let of_member = units.entry(owner).or_default();
                 of_member.extend(self.units(id, job).map(|u| Unit { need: limited(u.need), ..u }));
             }
@@ -152,11 +153,11 @@
 
     /// What a job could start: first a task or, of a gang, all that are missing, then the others.
     fn units(&self, id: &str, job: &Job) -> impl Iterator<Item = Unit> {
-        let lacking = u64::from(job.lacking());
+        let lacking = u64::from(job.remaining_volume());
         let at_once = if job.is_gang() { lacking } else { 1 };
-        let running = !job.on.is_empty();
-        let since = job.wait.since.map_or(u64::MAX, |since| since.0);
-        let first = Order { stalled: self.is_stalled(id), running, since, arrival: job.stamp };
+        let running = !job.placements.is_empty();
+        let since = job.wait.unplaced_since.map_or(u64::MAX, |since| since.0);
+        let first = Order { stalled: self.is_stalled(id), running, since, arrival: job.accepted_revision };
         let others = Order { running: true, since: u64::MAX, ..first };
         let need = Resources { memory: 0, ..job.spec.need() };
         [
--- a/src/coordination/quota/guard.rs
+++ b/src/coordination/quota/guard.rs
@@ -95,7 +95,7 @@
     /// What has been planned of each team in this pass: of that, what is used now is within this controller's shares.
     /// What was not planned may be beyond them, while it counts in several places.
     pub(in crate::coordination) fn check_planned(&mut self, planned: &BTreeMap<String, Resources>) {
-        let bound = planned.iter().filter(|(team, _)| self.bound.contains(*team));
+        let bound = planned.iter().filter(|(team, _)| self.teams_with_binding_limit.contains(*team));
         let beyond = bound.filter(|(team, amount)| !self.within_share(team, **amount));
         for team in beyond.map(|(team, _)| team.clone()).collect::<Vec<_>>() {
             self.breached(Breach::PlannedBeyondShare, &team);
@@ -127,16 +127,23 @@
 
     /// A division is in force: it grants no more than the limits.
     pub(in crate::coordination) fn check_shares(&mut self) {
-        for team in self.granted_beyond(&self.quota.0) {
+        for team in self.granted_beyond(&self.quota_record.0) {
             self.breached(Breach::SharesBeyondLimit, &team);
         }
-        if self.quota.0.view != self.view_stamp {
+        if self.quota_record.0.view != self.view_revision {
             return;
         }
         for team in &self.settings.params.teams {
             if let Some((cpu, gpu)) = self.own_share(&team.name) {
-                let view = self.view_stamp;
-                tracing::info!(team = team.name, view, stamp = self.quota.1, cpu, gpu, "share of a limit");
+                let view = self.view_revision;
+                tracing::info!(
+                    team = team.name,
+                    view,
+                    stamp = self.quota_record.1,
+                    cpu,
+                    gpu,
+                    "share of a limit"
+                );
             }
         }
     }
@@ -148,9 +155,9 @@
 
     /// Why this controller may count more than runs.
     fn counted_twice(&self) -> Option<CountedTwice> {
-        if self.machines.values().any(|m| !m.unused() && !m.resolved) {
+        if self.machines.values().any(|m| !m.never_granted() && !m.resolved) {
             Some(CountedTwice::MachinesUnresolved)
-        } else if !self.strangers.is_empty() {
+        } else if !self.machines_with_unknown_tasks.is_empty() {
             Some(CountedTwice::UnknownTasks)
         } else {
             None
@@ -159,7 +166,7 @@
 
     /// The leader compares what all members use of the limits that are divided with these limits.
     pub(in crate::coordination) fn check_usage(&mut self) {
-        if !self.may_divide() || self.quota.0.view != self.view_stamp {
+        if !self.may_divide() || self.quota_record.0.view != self.view_revision {
             return self.quota_guard.exceeded.clear();
         }
         let now = self.now;
@@ -170,7 +177,7 @@
         *(if unexplained { made } else { left_out }) += 1;
         let teams = self.settings.params.teams.iter().filter(|t| {
             let (cpu, gpu) = self.usage_told(&t.name);
-            let divided = self.quota.0.rows.iter().any(|r| r.team == t.name);
+            let divided = self.quota_record.0.rows.iter().any(|r| r.team == t.name);
             divided && unexplained && (beyond(t.cpus_max, cpu) || beyond(t.gpus_max, gpu))
         });
         let teams: BTreeSet<String> = teams.map(|t| t.name.clone()).collect();
@@ -195,7 +202,7 @@
         if self.quota_guard.halted.is_empty() {
             return;
         }
-        let beyond = self.granted_beyond(&self.quota.0);
+        let beyond = self.granted_beyond(&self.quota_record.0);
         let mut halted = std::mem::take(&mut self.quota_guard.halted);
         let any = Resources { cpu: 1, gpu: 1, memory: 0 };
         let within = |team: &String| self.own_share(team).is_none() || self.within_share(team, any);
@@ -217,15 +224,15 @@
             used_by_all = ?self.usage_told(team),
             leader = self.leader.as_ref().map_or("", |l| l.0.as_str()),
             leader_stamp = self.leader.as_ref().map_or(0, |l| l.2),
-            view = self.view_stamp,
-            registration = self.life().1,
-            applied = self.applied,
+            view = self.view_revision,
+            registration = self.incarnation().1,
+            applied = self.applied_revision,
             knowledge_ms = self.knowledge_age().as_millis(),
             "a rule of limits is broken: nothing more of the team starts here"
         );
         *self.quota_guard.counts.entry(breach).or_default() += 1;
         self.quota_guard.halted.insert(team.to_owned());
         #[cfg(test)]
-        assert!(self.quota_guard.tolerant, "{}: {team} at {}", breach.name(), self.me());
+        assert!(self.quota_guard.tolerant, "{}: {team} at {}", breach.name(), self.own_name());
     }
 }
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -76,7 +76,7 @@
 impl Controller {
     /// The permits that hold now.
     pub(in crate::coordination) fn permits_in_force(&self) -> InForce {
-        InForce(Permit { registration: self.life().1, view: self.view_stamp })
+        InForce(Permit { registration: self.incarnation().1, view: self.view_revision })
     }
 
     /// What this controller may still start of a job's team, by its share of the team's limit.
@@ -89,7 +89,7 @@
         if self.quota_guard.halts(&team.name) {
             return none;
         }
-        if !self.bound.contains(&team.name) {
+        if !self.teams_with_binding_limit.contains(&team.name) {
             let room = Resources { cpu: UNLIMITED, gpu: UNLIMITED, memory: UNLIMITED };
             return Allowance { room, ..none };
         }
@@ -108,9 +108,9 @@
 
     /// This controller's share of a team's limit by the record in force, if there is one for its registration and view.
     pub(super) fn own_share(&self, team: &str) -> Option<(u64, u64)> {
-        let (me, registration) = self.life();
+        let (me, registration) = self.incarnation();
         let mine = |r: &&Allotment| r.team == team && r.member == me && r.node == registration;
-        let rows = self.quota.0.rows.iter().filter(|_| self.quota.0.view == self.view_stamp);
+        let rows = self.quota_record.0.rows.iter().filter(|_| self.quota_record.0.view == self.view_revision);
         rows.clone().find(mine).map(|r| (r.cpu, r.gpu))
     }
 
@@ -128,7 +128,7 @@
             leader_stamp = self.leader.as_ref().map_or(0, |l| l.2),
             view = by.permit.view,
             registration = by.permit.registration,
-            applied = self.applied,
+            applied = self.applied_revision,
             knowledge_ms = self.knowledge_age().as_millis(),
             granted = ?by.granted,
             used = ?by.used,
@@ -140,13 +140,13 @@
     /// are taken back, since the share that they were planned within is void.
     pub(in crate::coordination) fn renew_permits(&mut self) {
         let permit = self.permits_in_force().0;
-        let bound = if self.placing { self.bound_teams() } else { BTreeSet::new() };
+        let bound = if self.is_view_member { self.bound_teams() } else { BTreeSet::new() };
         let goes_on = |task: &TaskId| self.jobs.get(&task.job).is_some_and(|j| !bound.contains(&j.spec.team));
         let mut lapsed: Vec<(String, TaskId)> = Vec::new();
         let mut renewed: Vec<(String, TaskId)> = Vec::new();
         for (name, machine) in &self.machines {
             for (task, on) in machine.tasks.iter().filter(|(_, t)| t.planned()) {
-                let list = if self.placing && goes_on(task) { &mut renewed } else { &mut lapsed };
+                let list = if self.is_view_member && goes_on(task) { &mut renewed } else { &mut lapsed };
                 list.push((name.clone(), task.clone()));
                 debug_assert!(on.pending.is_some());
             }
--- a/src/coordination/quota/usage.rs
+++ b/src/coordination/quota/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::coordination::Controller;
-use crate::coordination::model::{Job, Machine, TaskOn};
+use crate::coordination::model::{Job, Machine, PlacedTask};
 use crate::protocol::units::Resources;
 use crate::protocol::worker::TaskId;
 
@@ -20,7 +20,8 @@
         }
         let all = self.machines.values().fold(Resources::default(), |sum, m| sum.plus(m.supply));
         let unknown = self.blind() || self.machines.values().any(|m| m.supply == Resources::default());
-        let rows = if self.quota.0.view == self.view_stamp { &self.quota.0.rows[..] } else { &[] };
+        let rows =
+            if self.quota_record.0.view == self.view_revision { &self.quota_record.0.rows[..] } else { &[] };
         let mut requested: Option<BTreeMap<&str, Resources>> = None;
         let mut bound = BTreeSet::new();
         for team in &self.settings.params.teams {
@@ -48,18 +49,18 @@
     /// left the records and were not done, of jobs that have left them and have tasks on machines, and of jobs that had
     /// left them before this controller joined, which may be on any machine whose tasks it has never known in full.
     fn requested_by_teams(&self) -> BTreeMap<&str, Resources> {
-        let orphan = |(id, t): (&TaskId, &TaskOn)| {
+        let orphan = |(id, t): (&TaskId, &PlacedTask)| {
             !t.ended() && !self.jobs.contains_key(&id.job) && !self.retired.contains_key(&id.job)
         };
-        let hides = |m: &&Machine| !m.unused() && (!m.known || m.tasks.iter().any(orphan));
+        let hides = |m: &&Machine| !m.never_granted() && (!m.ever_resolved || m.tasks.iter().any(orphan));
         let hidden = self.machines.values().filter(hides);
         let hidden = hidden.fold(Resources::default(), |sum, m| sum.plus(m.supply));
         let teams = self.settings.params.teams.iter();
         let mut requested: BTreeMap<&str, Resources> = teams.map(|t| (t.name.as_str(), hidden)).collect();
         let all = |j: &Job| j.spec.need().times(u64::from(j.spec.tasks));
-        let there = |j: &Job| j.spec.need().times(j.places_in_use());
+        let there = |j: &Job| j.spec.need().times(j.placements_in_use());
         let live = self.jobs.values().map(|j| (&j.spec.team, all(j)));
-        let removed = self.removed.iter().map(|(_, team, amount)| (team, *amount));
+        let removed = self.recently_removed.iter().map(|(_, team, amount)| (team, *amount));
         // Among them second runs of tasks that are done, as when a completion was recorded late.
         let retired = self.retired.values().map(|j| (&j.spec.team, there(j)));
         for (team, amount) in live.chain(removed).chain(retired) {
@@ -73,19 +74,23 @@
     /// What tasks of this controller's jobs of a team take, wherever they are or may be. What has ended takes nothing: a
     /// task stays on its machine until its completion is recorded, and of short ones a fifth of a limit lay idle so.
     pub(in crate::coordination) fn team_usage(&self, team: &str) -> (u64, u64) {
-        let mine = |j: &&Job| j.owner.as_deref() == Some(self.me()) && j.spec.team == team;
-        let live = self.jobs.values().filter(mine).map(|j| (j.spec.need(), u64::from(j.in_use())));
+        let mine = |j: &&Job| j.owner.as_deref() == Some(self.own_name()) && j.spec.team == team;
+        let live = self.jobs.values().filter(mine).map(|j| (j.spec.need(), u64::from(j.tasks_in_use())));
         let mine = |(id, j): &(&String, &Job)| {
-            j.spec.team == team && self.owner_of(id).as_deref() == Some(self.me())
+            j.spec.team == team && self.owner_of(id).as_deref() == Some(self.own_name())
         };
-        let over = self.retired.iter().filter(mine).map(|(_, j)| (j.spec.need(), j.places_in_use()));
+        let over = self.retired.iter().filter(mine).map(|(_, j)| (j.spec.need(), j.placements_in_use()));
         // Of a job that was over before this controller joined it knows neither team nor size. Its tasks may be
         // any team's, and take all that the others leave of their machines: a controller that was back at once
         // did not count eight processors of a withdrawn job that still ran, and started as many more.
-        let unknown = self.strangers.iter().filter(|(id, _)| self.owner_of(id).as_deref() == Some(self.me()));
+        let unknown = self
+            .machines_with_unknown_tasks
+            .iter()
+            .filter(|(id, _)| self.owner_of(id).as_deref() == Some(self.own_name()));
         let hosts: BTreeSet<&String> = unknown.flat_map(|(_, hosts)| hosts).collect();
-        let there =
-            |m: &&Machine| m.tasks.iter().any(|(id, t)| !t.ended() && self.strangers.contains_key(&id.job));
+        let there = |m: &&Machine| {
+            m.tasks.iter().any(|(id, t)| !t.ended() && self.machines_with_unknown_tasks.contains_key(&id.job))
+        };
         let hosts = hosts.into_iter().filter_map(|name| self.machines.get(name)).filter(there);
         // As long as the types of machines are not known, nor is what is left of one: it may be all there is.
         let all_there_is = Resources { cpu: 1 << 40, gpu: 1 << 40, memory: 0 };
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -1,4 +1,4 @@
-//! Machines that their holders cannot reach: which of them are to be returned at once.
+//! Detection of machines that their owners cannot reach, so that they are returned at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,102 +6,114 @@
 use crate::coordination::blocks::DEAF;
 use crate::protocol::units::Micros;
 
-/// How long beyond a late report a machine may stay unheard after it has changed hands.
-const UNHEARD: Micros = Micros::from_secs(3);
-/// How long a machine that does not answer may stay unheard after it has changed hands, if jobs wait for
-/// it.
-const UNANSWERING: Micros = Micros::from_secs(4);
+/// How long after the time for its first report a machine may stay unheard under a new grant.
+const UNHEARD_TIMEOUT: Micros = Micros::from_secs(3);
+/// How long a machine that does not answer direct calls may stay unheard under a new grant if jobs taken over wait for it.
+const UNRESPONSIVE_TIMEOUT: Micros = Micros::from_secs(4);
 
-/// What a controller hears of the machines that it holds.
+/// How well an owner reaches its machines.
 #[derive(Debug, Default)]
-struct Reach<'a> {
-    node: u64,
-    all: usize,
-    /// Unheard since they were granted: zone and name.
+struct OwnerReach<'a> {
+    /// Revision of the owner's registration.
+    registration: u64,
+    /// Number of machines that it owns.
+    machines: usize,
+    /// Machines not heard since they were granted: zone and name.
     unheard: Vec<(&'a str, &'a String)>,
     zones: BTreeMap<&'a str, ZoneReach<'a>>,
 }
 
-/// Of a controller's machines in a zone: those that should report, how many of them do, and those that
-/// seem to be gone.
+/// How well an owner reaches its machines in one zone.
 #[derive(Debug, Default)]
 struct ZoneReach<'a> {
-    settled: usize,
-    fine: usize,
-    lost: Vec<&'a String>,
+    /// Number of machines that should have reported under their present grants.
+    expected: usize,
+    /// Number of those that report in time.
+    reporting: usize,
+    /// Machines with service replicas that neither report nor answer.
+    unresponsive: Vec<&'a String>,
 }
 
 impl Controller {
-    /// Machines that nobody has heard since they changed hands, though their owner hears its others:
-    /// most likely they are gone. All jobs taken over wait for them, for as long as the leases of the
-    /// former owner and the worker together; the cloud's word that they are returned settles it at once.
-    pub(super) fn unreachable(&mut self) -> BTreeSet<String> {
-        // Reports come up to a quarter late, and a worker looks for its new owner a second at a time.
-        let limit = self.latest_report() + UNHEARD;
+    /// Machines that most likely are gone and are to be returned.
+    ///
+    /// These are machines that have not been heard since they were granted although their owner hears its others, and
+    /// machines with service replicas that neither report nor answer. Jobs taken over would wait for the former for as long
+    /// as the leases of the former owner and the worker together; the cloud's confirmation that a machine is returned ends
+    /// the wait at once.
+    pub(super) fn unreachable_machines(&mut self) -> BTreeSet<String> {
+        // Reports come up to a quarter of their interval late, and a worker tries one controller per second to find its owner.
+        let limit = self.latest_report() + UNHEARD_TIMEOUT;
         let late = self.latest_report().as_secs_f64();
         let mut found = BTreeSet::new();
-        let me = self.life();
-        let Some(lead) = &self.lead else { return found };
-        let mut silences = lead.fleet.silent.clone();
-        silences.retain(|_, at| self.now.since(*at) < self.worker_lease);
+        let me = self.incarnation();
+        let Some(lead) = &self.leader_state else { return found };
+        let mut silent_zones = lead.fleet.silent.clone();
+        silent_zones.retain(|_, at| self.now.since(*at) < self.worker_lease);
         let heard = |name: &str| lead.heard.get(name).is_some_and(|h| self.now.since(h.1) < limit);
-        let speaks = |member: &str| {
-            let word = self.peers.get(member).map_or(Micros::MAX, |p| self.now.since(p.heard));
-            member == self.me() || word <= Micros::from_secs(3)
+        let is_connected = |member: &str| {
+            let age = self.peers.get(member).map_or(Micros::MAX, |p| self.now.since(p.last_heard));
+            member == self.own_name() || age <= Micros::from_secs(3)
         };
-        let members = self.nodes.iter().filter(|(member, _)| speaks(member));
-        let mut reach: BTreeMap<&str, Reach> = members
-            .map(|(member, node)| (member.as_str(), Reach { node: *node, ..Reach::default() }))
+        let members = self.registrations.iter().filter(|(member, _)| is_connected(member));
+        let mut reach: BTreeMap<&str, OwnerReach> = members
+            .map(|(member, registration)| {
+                (member.as_str(), OwnerReach { registration: *registration, ..OwnerReach::default() })
+            })
             .collect();
         for (name, m) in self.machines.iter().filter(|(_, m)| !m.row.returning) {
-            let Some(of) = reach.get_mut(m.row.owner.as_str()).filter(|r| r.node == m.row.node) else {
+            let Some(owner) = reach.get_mut(m.row.owner.as_str()).filter(|r| r.registration == m.row.node)
+            else {
                 continue;
             };
-            of.all += 1;
-            // Jobs wait only for one of which not all is known.
-            let waited_for = m.lost && !m.resolved && !self.ledger.listed(name, &me);
-            let patience = if waited_for { UNANSWERING } else { limit };
-            let unknown = !m.resolved && self.now.since(m.granted) > patience;
-            if !m.resolved && !unknown {
+            owner.machines += 1;
+            // Jobs taken over wait only for a machine that may have unknown tasks.
+            let waited_for = m.unresponsive && !m.resolved && !self.machine_knowledge.listed(name, &me);
+            let timeout = if waited_for { UNRESPONSIVE_TIMEOUT } else { limit };
+            let overdue = !m.resolved && self.now.since(m.grant_seen_at) > timeout;
+            if !m.resolved && !overdue {
                 continue;
             }
-            let zone = of.zones.entry(&m.row.zone).or_default();
-            let dark = f64::from(self.dark(m));
-            zone.settled += 1;
-            zone.fine += usize::from(m.resolved && dark <= late);
-            // One that is heard elsewhere and takes no token for longer than its lease does not hear.
-            let deaf = lead.rescued.get(name).is_some_and(|times| *times >= DEAF)
-                || self.now.since(m.granted) > self.worker_lease;
-            if unknown && (deaf || !heard(name)) {
-                of.unheard.push((&m.row.zone, name));
+            let zone = owner.zones.entry(&m.row.zone).or_default();
+            let unheard_s = f64::from(self.dark(m));
+            zone.expected += 1;
+            zone.reporting += usize::from(m.resolved && unheard_s <= late);
+            // A machine that reports to another controller but takes no token for longer than its lease is not receiving.
+            let not_receiving = lead.rescued.get(name).is_some_and(|times| *times >= DEAF)
+                || self.now.since(m.grant_seen_at) > self.worker_lease;
+            if overdue && (not_receiving || !heard(name)) {
+                owner.unheard.push((&m.row.zone, name));
             }
-            // A replica that cannot be reached is of no use to anyone, so one on a machine that neither
-            // reports nor answers is not waited for until its lease ends.
+            // An unreachable service replica is useless, so the machine's lease is not waited for.
             let replicas = || m.tasks.iter().any(|(id, t)| !t.ended() && self.serves(id));
-            if m.resolved && m.lost && dark >= late * 2.0 + 2.0 && !heard(name) && replicas() {
-                zone.lost.push(name);
+            if m.resolved && m.unresponsive && unheard_s >= late * 2.0 + 2.0 && !heard(name) && replicas() {
+                zone.unresponsive.push(name);
             }
         }
-        for (member, of) in reach {
-            // A zone out of its owner's reach falls silent as a whole: none is heard there one report
-            // after the first that is missed. It goes to whoever hears it. When it is back, its machines
-            // are heard one after the other.
-            for (zone, at) in &of.zones {
-                if at.fine * 2 < at.settled {
-                    silences.insert((member.to_owned(), (*zone).to_owned()), self.now);
+        for (member, owner) in reach {
+            // If an owner is cut off from a zone, no machine there is heard one report interval after the first missed
+            // report. The zone's machines are not returned; they are reassigned to controllers that hear them. After the
+            // cut its machines are heard again one by one, so the zone counts as silent for a worker lease longer.
+            for (zone, zone_reach) in &owner.zones {
+                if zone_reach.reporting * 2 < zone_reach.expected {
+                    silent_zones.insert((member.to_owned(), (*zone).to_owned()), self.now);
                 }
             }
-            let silent = |zone: &str| silences.contains_key(&(member.to_owned(), zone.to_owned()));
-            // An owner that hears few of its machines is cut off itself.
-            if of.unheard.len() * 4 <= of.all.max(8) {
-                let unheard = of.unheard.into_iter().filter(|(zone, _)| !silent(zone));
+            let silent = |zone: &str| silent_zones.contains_key(&(member.to_owned(), zone.to_owned()));
+            // An owner that misses more than a quarter of its machines is probably cut off itself.
+            if owner.unheard.len() * 4 <= owner.machines.max(8) {
+                let unheard = owner.unheard.into_iter().filter(|(zone, _)| !silent(zone));
                 found.extend(unheard.map(|(_, name)| name.clone()));
             }
-            let gone = of.zones.iter().filter(|(zone, _)| !silent(zone)).flat_map(|(_, at)| &at.lost);
+            let gone = owner
+                .zones
+                .iter()
+                .filter(|(zone, _)| !silent(zone))
+                .flat_map(|(_, zone_reach)| &zone_reach.unresponsive);
             found.extend(gone.map(|name| (*name).clone()));
         }
-        if let Some(lead) = &mut self.lead {
-            lead.fleet.silent = silences;
+        if let Some(lead) = &mut self.leader_state {
+            lead.fleet.silent = silent_zones;
         }
         found
     }
--- a/src/coordination/removal.rs
+++ b/src/coordination/removal.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::coordination::Controller;
-use crate::coordination::model::{Machine, Pending, TaskOn};
+use crate::coordination::model::{Machine, Pending, PlacedTask};
 use crate::protocol::worker::{TaskId, TaskState};
 
 /// What a controller's conclusion rests on that a task is not on a machine.
@@ -66,7 +66,7 @@
 }
 
 impl Progress {
-    fn of(task: &TaskOn, heard_here: bool) -> Progress {
+    fn of(task: &PlacedTask, heard_here: bool) -> Progress {
         match task.pending {
             Some(Pending::Planned(_)) => Progress::Planned,
             Some(Pending::Sent { .. }) => Progress::Answered,
@@ -102,7 +102,7 @@
 }
 
 impl Removed {
-    fn of(machine: &Machine, task: &TaskOn, own: bool) -> Removed {
+    fn of(machine: &Machine, task: &PlacedTask, own: bool) -> Removed {
         Removed {
             attempt: task.attempt,
             token: machine.row.token,
@@ -116,22 +116,27 @@
 impl Controller {
     /// How often tasks that had not ended were taken for gone on this ground.
     pub fn removals(&self, ground: Removal) -> u64 {
-        self.removals.get(&ground).copied().unwrap_or(0)
+        self.removal_counts.get(&ground).copied().unwrap_or(0)
     }
 
     /// Logs, counts and keeps the tasks that are on a machine no more, but for those that had ended there.
-    pub(super) fn note_removals(&mut self, name: &str, before: &BTreeMap<TaskId, TaskOn>, ground: Removal) {
+    pub(super) fn note_removals(
+        &mut self,
+        name: &str,
+        before: &BTreeMap<TaskId, PlacedTask>,
+        ground: Removal,
+    ) {
         let Some(machine) = self.machines.get(name) else { return };
         let own = self.owns(machine);
-        let gone = |(id, task): &(&TaskId, &TaskOn)| !task.ended() && !machine.tasks.contains_key(*id);
+        let gone = |(id, task): &(&TaskId, &PlacedTask)| !task.ended() && !machine.tasks.contains_key(*id);
         let removed: Vec<(&TaskId, Removed)> =
             before.iter().filter(gone).map(|(id, task)| (id, Removed::of(machine, task, own))).collect();
         if removed.is_empty() {
             return;
         }
-        *self.removals.entry(ground).or_default() += removed.len() as u64;
+        *self.removal_counts.entry(ground).or_default() += removed.len() as u64;
         // The line of what the holder said, or of a machine that has left the records, is in its holder's log.
-        let holder_logs = !own && self.nodes.get(&machine.row.owner) == Some(&machine.row.node);
+        let holder_logs = !own && self.registrations.get(&machine.row.owner) == Some(&machine.row.node);
         let elsewhere = ground == Removal::HolderSaid || ground == Removal::MachineGone && holder_logs;
         for (id, removed) in removed {
             log_removal(name, id, removed, ground, elsewhere);
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -23,16 +23,20 @@
     }
 
     pub(super) fn call_rental(&mut self, rental: Rental) {
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.fleet.open.insert(rental.request.clone(), rental.clone());
         }
-        self.cloud(Urgency::Acceptance, CloudPurpose::Rent(rental.clone()), CloudCall::Rent(rental));
+        self.enqueue_cloud_call(
+            Urgency::Acceptance,
+            CloudPurpose::Rent(rental.clone()),
+            CloudCall::Rent(rental),
+        );
     }
 
     /// Stores the rental, then asks for it: a leader that follows can tell what is on its way.
     pub(super) fn rent(&mut self, kind: String, zone: String, spot: bool, count: u32) -> bool {
         let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
-        let Some(lead) = &mut self.lead else { return false };
+        let Some(lead) = &mut self.leader_state else { return false };
         lead.fleet.named += 1;
         let request = format!("r-{leader_stamp}-{}", lead.fleet.named);
         let rental = Rental { request: request.clone(), kind, zone, spot, count };
@@ -46,7 +50,11 @@
             ],
             writes: vec![Write::put(records::rental(&request), value)],
         };
-        self.store(Urgency::Completion, Purpose::RentalStored { rental }, StoreCall::Commit(transaction));
+        self.enqueue_store_call(
+            Urgency::Completion,
+            Purpose::RentalStored { rental },
+            StoreCall::Commit(transaction),
+        );
         true
     }
 
@@ -55,7 +63,7 @@
             StoreReply::Committed { .. } => self.call_rental(rental),
             _ => {
                 // The name is used up; if the record is there after all, the next leader repeats it.
-                if let Some(lead) = &mut self.lead {
+                if let Some(lead) = &mut self.leader_state {
                     lead.fleet.open.remove(&rental.request);
                     lead.fleet.closing.insert(rental.request);
                 }
@@ -66,7 +74,7 @@
     pub(super) fn rental_closed(&mut self, request: String, reply: StoreReply) {
         // Where the watch has shown meanwhile that it is gone, only the answer was lost.
         let gone = matches!(reply, StoreReply::Committed { .. }) || !self.rentals.contains_key(&request);
-        if let (Some(lead), false) = (&mut self.lead, gone) {
+        if let (Some(lead), false) = (&mut self.leader_state, gone) {
             lead.fleet.closing.insert(request);
         }
     }
@@ -77,19 +85,19 @@
         }
         match (purpose, reply) {
             (CloudPurpose::Types, CloudReply::Types(types)) => {
-                self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
+                self.machine_types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
                 for m in self.machines.values_mut() {
-                    if let Some(t) = self.types.get(&m.row.kind) {
+                    if let Some(t) = self.machine_types.get(&m.row.kind) {
                         m.supply = t.supply();
                     }
                 }
-                self.place_due = true;
+                self.placement_due = true;
             }
             (CloudPurpose::Types, _) => {}
             (CloudPurpose::Rent(rental), reply) => self.rent_replied(rental, reply),
             (CloudPurpose::Return(names), reply) => {
                 let now = self.now;
-                let Some(lead) = &mut self.lead else { return };
+                let Some(lead) = &mut self.leader_state else { return };
                 for name in names {
                     lead.fleet.returning.remove(&name);
                     if matches!(reply, CloudReply::Returned) {
@@ -99,7 +107,7 @@
             }
             (CloudPurpose::List, CloudReply::List(list)) => self.listed(list),
             (CloudPurpose::List, _) => {
-                if let Some(lead) = &mut self.lead {
+                if let Some(lead) = &mut self.leader_state {
                     lead.fleet.listing = false;
                 }
             }
@@ -108,7 +116,7 @@
 
     pub(super) fn rent_replied(&mut self, rental: Rental, reply: CloudReply) {
         let now = self.now;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         lead.fleet.asking.remove(&rental.request);
         let key = (rental.kind.clone(), rental.zone.clone(), rental.spot);
         match reply {
@@ -139,7 +147,7 @@
                 lead.fleet.arrived.extend(rows);
             }
             CloudReply::NoCapacity => {
-                self.counters.refusals += 1;
+                self.counters.rentals_refused += 1;
                 let (_, times) = lead.fleet.refused.get(&key).copied().unwrap_or((now, 0));
                 let pause = rules::NO_CAPACITY.pause(times + 1);
                 lead.fleet.refused.insert(key, (now + pause, times + 1));
@@ -168,7 +176,7 @@
     /// Asks again for rentals whose fate is not known.
     pub(super) fn repeat_rentals(&mut self) {
         let now = self.now;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let due: Vec<Rental> = lead
             .fleet
             .unclear
@@ -178,7 +186,11 @@
             .collect();
         lead.fleet.asking.extend(due.iter().map(|r| r.request.clone()));
         for rental in due {
-            self.cloud(Urgency::Rest, CloudPurpose::Rent(rental.clone()), CloudCall::Rent(rental));
+            self.enqueue_cloud_call(
+                Urgency::Rest,
+                CloudPurpose::Rent(rental.clone()),
+                CloudCall::Rent(rental),
+            );
         }
     }
 
@@ -191,7 +203,7 @@
         let last = list.machines.last().map(|m| m.id.clone());
         let blind = self.blind();
         let unreached = list.machines.iter().filter(|l| {
-            let unknown = |m: &Machine| m.addr.is_empty() && !m.unused();
+            let unknown = |m: &Machine| m.addr.is_empty() && !m.never_granted();
             !l.addr.is_empty() && self.machines.get(&l.id).is_some_and(unknown)
         });
         let addresses: Vec<(String, String)> = unreached.map(|l| (l.id.clone(), l.addr.clone())).collect();
@@ -199,7 +211,7 @@
             self.take_addresses(&addresses);
             self.effects.push(Effect::Send(None, PeerMessage::Addresses(addresses)));
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         if let Some(last) = &last {
             let first = std::mem::replace(&mut lead.fleet.listed_to, last.clone());
             let there: BTreeSet<&String> = list.machines.iter().map(|m| &m.id).collect();
@@ -234,7 +246,7 @@
         }
         match last {
             Some(after) if list.more => {
-                self.cloud(Urgency::Rest, CloudPurpose::List, CloudCall::List { after })
+                self.enqueue_cloud_call(Urgency::Rest, CloudPurpose::List, CloudCall::List { after })
             }
             _ => lead.fleet.listing = false,
         }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -6,7 +6,7 @@
 
 use crate::bookkeeping::blocks::Changes;
 use crate::bookkeeping::records::{self, LeaderRecord, TaskSet};
-use crate::coordination::model::{Job, Machine, TaskOn};
+use crate::coordination::model::{Job, Machine, PlacedTask};
 use crate::coordination::removal::Removal;
 use crate::coordination::{Controller, Phase, rules};
 use crate::protocol::job::JobSpec;
@@ -37,53 +37,53 @@
 
 impl Controller {
     pub(super) fn forget_replica(&mut self) {
-        self.applied = 0;
-        self.followed_at = Micros::ZERO;
+        self.applied_revision = 0;
+        self.replica_as_of = Micros::ZERO;
         self.jobs.clear();
-        self.nodes.clear();
+        self.registrations.clear();
         self.leader = None;
         self.view = Default::default();
-        self.view_stamp = 0;
-        self.counter = (0, 0);
-        self.quota = Default::default();
+        self.view_revision = 0;
+        self.token_counter = (0, 0);
+        self.quota_record = Default::default();
         self.shards.clear();
         self.rentals.clear();
         self.done_keys.clear();
         self.machines.clear();
-        self.unresolved.clear();
+        self.unresolved_machines.clear();
         self.peers.clear();
-        self.told.clear();
-        self.unreadable.clear();
-        self.ledger = Ledger::new();
+        self.sent_machine_statuses.clear();
+        self.unreadable_keys.clear();
+        self.machine_knowledge = Ledger::new();
         self.announcements = Announcements::new();
-        self.uninformed = Default::default();
-        self.recording = false;
-        self.placing = false;
-        self.taking_over = false;
+        self.uninformed_record = Default::default();
+        self.uninformed_write_in_flight = false;
+        self.is_view_member = false;
+        self.takeover_in_progress = false;
         self.retired.clear();
-        self.strangers.clear();
+        self.machines_with_unknown_tasks.clear();
         self.conclusions.forget();
-        self.removed.clear();
-        self.refusals.clear();
-        self.turned.clear();
-        self.evicted.clear();
-        self.blame = Default::default();
+        self.recently_removed.clear();
+        self.refused_connections.clear();
+        self.worker_failovers.clear();
+        self.evictions.clear();
+        self.fault_attribution = Default::default();
         // What is over meanwhile is read again.
-        self.reading_finals = Default::default();
-        self.forget_told_ends();
+        self.final_states_scan = Default::default();
+        self.reset_end_announcements();
     }
 
     /// A job is over. Its tasks count against its team's limit until they are seen gone.
     pub(super) fn retire(&mut self, id: &str) -> Option<u32> {
-        self.blame.job_over(id);
+        self.fault_attribution.job_over(id);
         let job = self.jobs.shift_remove(id)?;
         tracing::debug!(job = id, unfinished = job.unfinished(), "over");
         let may_take = job.spec.need().times(u64::from(job.unfinished()));
-        self.removed.push_back((self.now, job.spec.team.clone(), may_take));
+        self.recently_removed.push_back((self.now, job.spec.team.clone(), may_take));
         // What has not been sent must not be: the job's user may have been told that it is over. What
         // runs is ended at once, rather than with the next report's answer: its room is wanted.
         let tasks = job.spec.tasks;
-        let on = job.on.clone();
+        let on = job.placements.clone();
         if !on.is_empty() {
             self.retired.insert(id.to_owned(), job);
         }
@@ -92,24 +92,24 @@
             for name in places {
                 self.drop_planned(name, |t| t.job == id);
                 if let Some(t) = self.machines.get_mut(name).and_then(|m| m.tasks.get_mut(&task)) {
-                    t.stop = Some(Micros::ZERO);
+                    t.stop_grace = Some(Micros::ZERO);
                 }
             }
         }
-        self.place_due = true;
+        self.placement_due = true;
         Some(tasks)
     }
 
     pub(super) fn load_all(&mut self, entries: Vec<Entry>) {
-        self.ledger.loaded(self.applied);
+        self.machine_knowledge.loaded(self.applied_revision);
         // Jobs before their completions, blocks before the view.
         let (last, first): (Vec<_>, Vec<_>) =
             entries.into_iter().partition(|e| e.key.starts_with(records::DONE) || e.key == records::VIEW);
         for e in first.into_iter().chain(last) {
             self.put(&e.key, &e.value, e.stamp);
         }
-        self.note_read();
-        self.status_due = Some(self.now);
+        self.record_read_revision();
+        self.status_due_at = Some(self.now);
     }
 
     pub(super) fn followed(&mut self, sent: Micros, reply: StoreReply) {
@@ -117,11 +117,11 @@
             return;
         }
         let each = self.settings.everyone().len() as f64 / (self.settings.params.state.rps * FOLLOW_SHARE);
-        self.follow_at = Some(self.now + FOLLOW_SPACING.max(Micros::from_secs_f64(each)));
+        self.next_follow_at = Some(self.now + FOLLOW_SPACING.max(Micros::from_secs_f64(each)));
         match reply {
             StoreReply::News(news) => {
-                self.followed_at = self.followed_at.max(sent);
-                self.following.succeeded();
+                self.replica_as_of = self.replica_as_of.max(sent);
+                self.follow_backoff.succeeded();
                 for change in news.changes {
                     match change {
                         Change::Put { key, value, stamp } => self.put(&key, &value, stamp),
@@ -133,16 +133,19 @@
                         return;
                     }
                 }
-                if news.revision > self.applied {
-                    self.applied = news.revision;
+                if news.revision > self.applied_revision {
+                    self.applied_revision = news.revision;
                     self.soon_status();
-                    self.place_due = true;
+                    self.placement_due = true;
                 }
-                self.note_read();
+                self.record_read_revision();
             }
             // What was missed is unknown, and with it what others have been told.
             StoreReply::TooOld => self.leave("the changes missed are no longer kept"),
-            _ => self.follow_at = Some(self.following.failed(self.now, &rules::FOLLOW, &mut self.rng)),
+            _ => {
+                self.next_follow_at =
+                    Some(self.follow_backoff.failed(self.now, &rules::FOLLOW, &mut self.rng))
+            }
         }
     }
 
@@ -150,28 +153,28 @@
     /// tasks are left alone, and machines of a block may run anything.
     fn not_understood(&mut self, key: &str, problem: &dyn std::fmt::Display) {
         tracing::error!(key, %problem, "a record is not understood");
-        self.unreadable.insert(key.to_owned());
+        self.unreadable_keys.insert(key.to_owned());
     }
 
     /// Some machines' records cannot be read, so nothing is certain of machines that are not known.
     pub(super) fn blind(&self) -> bool {
-        self.unreadable.iter().any(|key| key.starts_with(records::BLOCKS))
+        self.unreadable_keys.iter().any(|key| key.starts_with(records::BLOCKS))
     }
 
     fn put(&mut self, key: &str, value: &Json, stamp: u64) {
-        if !self.unreadable.is_empty() {
-            self.unreadable.remove(key);
+        if !self.unreadable_keys.is_empty() {
+            self.unreadable_keys.remove(key);
         }
         if let Some(job) = key.strip_prefix(records::LIVE) {
             // A peer's word that it is over may have come before the change that accepted it.
-            if !self.jobs.contains_key(job) && self.finals.get(job).is_none() {
+            if !self.jobs.contains_key(job) && self.final_states.get(job).is_none() {
                 let spec = match value.read::<JobSpec>() {
                     Ok(spec) => spec,
                     Err(problem) => return self.not_understood(key, &problem),
                 };
                 // One that may displace others needs no room kept for it.
                 if self.is_quick(&spec.class) && !self.may_displace(&spec) {
-                    self.quick.insert(spec.class.clone(), spec.clone());
+                    self.fast_start_jobs.insert(spec.class.clone(), spec.clone());
                 }
                 if self.phase == Phase::Active {
                     self.note_arrival(&spec);
@@ -180,13 +183,13 @@
                 job_state.owner = self.owner_of(job);
                 // A holder may have told of its tasks before its record came.
                 let (first, need) = (TaskId::new(job, 0), job_state.spec.need());
-                for name in self.strangers.remove(job).unwrap_or_default() {
+                for name in self.machines_with_unknown_tasks.remove(job).unwrap_or_default() {
                     let Some(machine) = self.machines.get_mut(&name) else { continue };
                     let here = machine.tasks.range_mut(first.clone()..);
                     for (id, t) in here.take_while(|(id, _)| id.job == job) {
                         t.need = need;
-                        job_state.put_on(id.index, &name);
-                        job_state.note_ended(id.index, &name, t.ended());
+                        job_state.add_placement(id.index, &name);
+                        job_state.set_ended(id.index, &name, t.ended());
                     }
                 }
                 self.jobs.insert_sorted(job.to_owned(), job_state);
@@ -197,20 +200,21 @@
             let Ok(chunk) = chunk.parse::<usize>() else { return };
             self.done_keys.entry(job.to_owned()).or_default().insert(chunk, stamp);
             if let Some(j) = self.jobs.get_mut(job) {
-                j.merge(chunk, &value.read().unwrap_or_default());
+                j.merge_recorded(chunk, &value.read().unwrap_or_default());
             }
         } else if let Some(member) = key.strip_prefix(records::NODE) {
             // A list's later pages show registrations that the changes read after it lead up to once more.
-            if self.nodes.get(member).is_some_and(|known| *known > stamp) {
+            if self.registrations.get(member).is_some_and(|known| *known > stamp) {
                 return;
             }
-            if let Some(former) = self.nodes.insert(member.to_owned(), stamp).filter(|s| *s != stamp) {
-                self.ledger.ended(&(member.to_owned(), former));
+            if let Some(former) = self.registrations.insert(member.to_owned(), stamp).filter(|s| *s != stamp)
+            {
+                self.machine_knowledge.ended(&(member.to_owned(), former));
             }
             self.soon_round();
         } else if let Some(member) = key.strip_prefix(records::EVICTED) {
             // It may not know yet, and may go on answering until its lease runs out.
-            self.evicted.insert(member.to_owned(), (self.now, stamp));
+            self.evictions.insert(member.to_owned(), (self.now, stamp));
         } else if let Some(shard) = key.strip_prefix(records::BLOCKS) {
             match shard.parse() {
                 Ok(shard) => self.block_put(shard, key, value.text(), stamp),
@@ -222,7 +226,7 @@
             }
             // Its record had no answer and was given up, and has been carried out after all: each next leader would
             // rent it again.
-            if let Some(lead) = &mut self.lead
+            if let Some(lead) = &mut self.leader_state
                 && !lead.fleet.open.contains_key(request)
             {
                 lead.fleet.closing.insert(request.to_owned());
@@ -237,21 +241,21 @@
         } else if key == records::VIEW {
             if let Ok(view) = value.read() {
                 self.view = view;
-                self.view_stamp = stamp;
+                self.view_revision = stamp;
                 self.view_changed();
             }
         } else if key == records::COUNTER {
-            self.counter = (value.read().unwrap_or(0), stamp);
+            self.token_counter = (value.read().unwrap_or(0), stamp);
         } else if key == records::QUOTA
             && let Ok(quota) = value.read()
         {
-            self.quota = (quota, stamp);
+            self.quota_record = (quota, stamp);
             self.check_shares();
         }
     }
 
     fn delete(&mut self, key: &str, stamp: u64) {
-        self.unreadable.remove(key);
+        self.unreadable_keys.remove(key);
         if let Some(job) = key.strip_prefix(records::LIVE) {
             // A key accepted, removed and seen again cannot be: ids are never accepted twice.
             self.retire(job);
@@ -266,10 +270,10 @@
                 }
             }
         } else if let Some(member) = key.strip_prefix(records::NODE) {
-            if let Some(former) = self.nodes.get(member).copied().filter(|s| *s < stamp) {
-                self.nodes.remove(member);
-                self.ledger.ended(&(member.to_owned(), former));
-                if member == self.me() {
+            if let Some(former) = self.registrations.get(member).copied().filter(|s| *s < stamp) {
+                self.registrations.remove(member);
+                self.machine_knowledge.ended(&(member.to_owned(), former));
+                if member == self.own_name() {
                     self.leave("the registration has been removed");
                     return;
                 }
@@ -312,16 +316,16 @@
             // Its row goes only after the cloud has confirmed that the machine is gone.
             self.replace_tasks(&gone, BTreeMap::new(), Removal::MachineGone);
             self.machines.shift_remove(&gone);
-            self.ledger.gone(&gone);
-            self.blame.machine_gone(&gone);
-            self.peers.values_mut().for_each(|peer| drop(peer.words.remove(&gone)));
-            self.unresolved.remove(&gone);
+            self.machine_knowledge.gone(&gone);
+            self.fault_attribution.machine_gone(&gone);
+            self.peers.values_mut().for_each(|peer| drop(peer.machine_statuses.remove(&gone)));
+            self.unresolved_machines.remove(&gone);
         }
         if any_gone {
             self.check_adoption();
         }
         for row in changes.rows {
-            let supply = self.types.get(&row.kind).map(|t| t.supply()).unwrap_or_default();
+            let supply = self.machine_types.get(&row.kind).map(|t| t.supply()).unwrap_or_default();
             let now = self.now;
             let holder = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.node));
             if !self.machines.contains_key(&row.machine) {
@@ -336,28 +340,28 @@
                 machine.row = row;
                 continue;
             }
-            self.ledger.granted(&row.machine, holder);
+            self.machine_knowledge.granted(&row.machine, holder);
             tracing::debug!(machine = row.machine, owner = row.owner, token = row.token, "granted");
-            self.stops_abroad = true;
+            self.remote_stops_pending = true;
             // A fresh token for the same holder is no new beginning: a machine that takes none of them would else
             // be waited for as long as it is given new ones.
             let renewed =
                 (&machine.row.owner, machine.row.node) == (&row.owner, row.node) && !machine.resolved;
             machine.row = row;
-            machine.stamp = stamp;
-            machine.granted = if renewed { machine.granted } else { now };
+            machine.grant_revision = stamp;
+            machine.grant_seen_at = if renewed { machine.grant_seen_at } else { now };
             machine.resolved = false;
-            machine.heard = None;
-            machine.answered = None;
-            machine.former_gone = None;
-            machine.lost = false;
-            machine.hearing.granted();
-            machine.asked = false;
-            machine.unanswered = 0;
-            machine.starting.clear();
-            machine.talking = false;
-            machine.renew = false;
-            machine.talk_after = Micros::ZERO;
+            machine.last_heard = None;
+            machine.last_answered = None;
+            machine.former_owners_gone_since = None;
+            machine.unresponsive = false;
+            machine.delivery.granted();
+            machine.probe_in_flight = false;
+            machine.unanswered_calls = 0;
+            machine.starts_in_call.clear();
+            machine.call_in_flight = false;
+            machine.token_renewal_needed = false;
+            machine.next_call_at = Micros::ZERO;
             machine.up = false;
             machine.silent_since = None;
             machine.idle_since = now;
@@ -366,16 +370,16 @@
             self.drop_planned(&name, |_| true);
             self.recall_word(&name);
         }
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// A record of this revision names a machine that was in none that this controller has read.
     fn learnt_of(&mut self, name: &str, holder: Option<Life>, revision: u64) {
-        let Some(holder) = holder else { return self.ledger.granted(name, None) };
-        self.ledger.first_read(name, holder, revision);
+        let Some(holder) = holder else { return self.machine_knowledge.granted(name, None) };
+        self.machine_knowledge.first_read(name, holder, revision);
         // Its record could not be read when the jobs were taken over.
-        if self.taking_over {
-            self.unresolved.insert(name.to_owned());
+        if self.takeover_in_progress {
+            self.unresolved_machines.insert(name.to_owned());
         }
     }
 
@@ -395,13 +399,13 @@
 
     /// This controller is in the view, under its present registration.
     pub(super) fn in_view(&self) -> bool {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
-        self.view.members.iter().any(|(m, s)| m == self.me() && *s == stamp)
+        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
+        self.view.members.iter().any(|(m, s)| m == self.own_name() && *s == stamp)
     }
 
     pub(super) fn view_changed(&mut self) {
         let me = self.settings.member.clone();
-        let view_stamp = self.view_stamp;
+        let view_stamp = self.view_revision;
         let members: Vec<String> = self.view.members.iter().map(|m| m.0.clone()).collect();
         let mut taken = false;
         let mut lost = Vec::new();
@@ -409,60 +413,63 @@
             let owner = rendezvous(id, members.iter().map(String::as_str)).map(str::to_owned);
             let mine = owner.as_deref() == Some(&me);
             // A former life's jobs are as foreign as another controller's.
-            let was_mine = self.placing && job.owner.as_deref() == Some(&me);
-            if mine && !was_mine && job.stamp < view_stamp {
-                job.adopting = true;
+            let was_mine = self.is_view_member && job.owner.as_deref() == Some(&me);
+            if mine && !was_mine && job.accepted_revision < view_stamp {
+                job.takeover_pending = true;
             }
-            taken |= mine && job.adopting;
+            taken |= mine && job.takeover_pending;
             if was_mine && !mine {
-                job.forget_unrecorded();
+                job.discard_unrecorded();
                 lost.push(id.clone());
             }
             job.owner = owner;
         }
         for id in lost {
-            let on: Vec<String> =
-                self.jobs.get(&id).map(|j| j.on.values().flatten().cloned().collect()).unwrap_or_default();
+            let on: Vec<String> = self
+                .jobs
+                .get(&id)
+                .map(|j| j.placements.values().flatten().cloned().collect())
+                .unwrap_or_default();
             for name in on {
                 self.drop_planned(&name, |t| t.job == id);
             }
         }
         let member = self.in_view();
-        let was_member = std::mem::replace(&mut self.placing, member);
+        let was_member = std::mem::replace(&mut self.is_view_member, member);
         self.renew_permits();
         if was_member != member {
-            self.ledger.member_since(self.placing.then_some(self.view_stamp));
+            self.machine_knowledge.member_since(self.is_view_member.then_some(self.view_revision));
         }
         let others = self.view.members.iter().filter(|m| m.0 != self.settings.member);
-        self.announcements.members(self.now, self.view_stamp, others.cloned());
-        self.ledger.prune(|life| self.nodes.get(&life.0) == Some(&life.1));
-        self.stops_abroad = true;
-        self.unresolved.clear();
-        self.inquiry.begin();
+        self.announcements.members(self.now, self.view_revision, others.cloned());
+        self.machine_knowledge.prune(|life| self.registrations.get(&life.0) == Some(&life.1));
+        self.remote_stops_pending = true;
+        self.unresolved_machines.clear();
+        self.witness_queries.begin();
         // Of jobs that are over it owns some as well: what they still run counts against limits, also where nothing else
         // is taken over. A controller that was back at once said that it used nothing, while forty processors of a
         // withdrawn job of its own were in use on machines that it had not heard yet.
-        self.taking_over = taken || member && self.limits_teams();
-        if self.taking_over {
+        self.takeover_in_progress = taken || member && self.limits_teams();
+        if self.takeover_in_progress {
             // Only machines that somebody holds can run anything.
-            let used = self.machines.iter().filter(|(_, m)| !m.unused());
-            self.unresolved = used.map(|(name, _)| name.clone()).collect();
+            let used = self.machines.iter().filter(|(_, m)| !m.never_granted());
+            self.unresolved_machines = used.map(|(name, _)| name.clone()).collect();
         }
-        tracing::info!(members = ?self.view.members, unresolved = self.unresolved.len(), "new view");
+        tracing::info!(members = ?self.view.members, unresolved = self.unresolved_machines.len(), "new view");
         self.check_adoption();
         // Who takes jobs over waits until all others have taken the view on.
-        self.status_due = Some(self.now);
-        self.place_due = true;
+        self.status_due_at = Some(self.now);
+        self.placement_due = true;
     }
 
     pub(super) fn owns(&self, machine: &Machine) -> bool {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
+        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
         // The stamp alone tells nearly all others apart, and this is asked of every machine all the time.
         machine.row.node == stamp && machine.row.owner == self.settings.member
     }
 
     /// Replaces what is known of the tasks on a machine. `ground`: why those that are missing are taken for gone.
-    pub(super) fn replace_tasks(&mut self, name: &str, tasks: BTreeMap<TaskId, TaskOn>, ground: Removal) {
+    pub(super) fn replace_tasks(&mut self, name: &str, tasks: BTreeMap<TaskId, PlacedTask>, ground: Removal) {
         let before = self.set_tasks(name, tasks);
         self.note_removals(name, &before, ground);
     }
@@ -471,12 +478,12 @@
     pub(super) fn set_tasks(
         &mut self,
         name: &str,
-        tasks: BTreeMap<TaskId, TaskOn>,
-    ) -> BTreeMap<TaskId, TaskOn> {
+        tasks: BTreeMap<TaskId, PlacedTask>,
+    ) -> BTreeMap<TaskId, PlacedTask> {
         let Some(machine) = self.machines.get_mut(name) else { return BTreeMap::new() };
         let before = std::mem::replace(&mut machine.tasks, tasks);
         let after = &machine.tasks;
-        let was_ended = |id: &TaskId| before.get(id).is_some_and(TaskOn::ended);
+        let was_ended = |id: &TaskId| before.get(id).is_some_and(PlacedTask::ended);
         let changed: Vec<(&TaskId, bool)> = after
             .iter()
             .filter(|(id, t)| t.ended() != was_ended(id))
@@ -484,32 +491,32 @@
             .collect();
         for id in before.keys().filter(|id| !after.contains_key(*id)) {
             if let Some(job) = self.jobs.get_mut(&id.job).or_else(|| self.retired.get_mut(&id.job)) {
-                job.take_off(id.index, name);
-            } else if let Some(places) = self.strangers.get_mut(&id.job)
+                job.remove_placement(id.index, name);
+            } else if let Some(places) = self.machines_with_unknown_tasks.get_mut(&id.job)
                 && !after.keys().any(|t| t.job == id.job)
             {
                 places.remove(name);
                 if places.is_empty() {
-                    self.strangers.remove(&id.job);
+                    self.machines_with_unknown_tasks.remove(&id.job);
                 }
             }
         }
         let mut duplicates: Vec<TaskId> = Vec::new();
         for id in after.keys().filter(|id| !before.contains_key(*id)) {
             if let Some(job) = self.jobs.get_mut(&id.job).or_else(|| self.retired.get_mut(&id.job)) {
-                job.put_on(id.index, name);
-                if job.on[&id.index].len() > 1 {
+                job.add_placement(id.index, name);
+                if job.placements[&id.index].len() > 1 {
                     duplicates.push(id.clone());
                 }
-            } else if let Some(places) = self.strangers.get_mut(&id.job) {
+            } else if let Some(places) = self.machines_with_unknown_tasks.get_mut(&id.job) {
                 places.insert(name.to_owned());
             } else {
-                self.strangers.insert(id.job.clone(), [name.to_owned()].into());
+                self.machines_with_unknown_tasks.insert(id.job.clone(), [name.to_owned()].into());
             }
         }
         for (id, ended) in changed {
             if let Some(job) = self.jobs.get_mut(&id.job).or_else(|| self.retired.get_mut(&id.job)) {
-                job.note_ended(id.index, name, ended);
+                job.set_ended(id.index, name, ended);
             }
         }
         self.withdraw_duplicates(&duplicates);
@@ -522,7 +529,7 @@
 
     /// A view of the completions that the store has of a job.
     pub(super) fn is_stored(&self, task: &TaskId) -> bool {
-        let stored = |j: &Job| -> bool { TaskSet::contains(&j.stored, task.index) };
+        let stored = |j: &Job| -> bool { TaskSet::contains(&j.recorded_done, task.index) };
         self.jobs.get(&task.job).map_or_else(|| !self.is_live(&task.job), stored)
     }
 }
--- a/src/coordination/rules.rs
+++ b/src/coordination/rules.rs
@@ -1,31 +1,31 @@
-//! How calls that failed are repeated, each kind by one rule.
+//! Backoff policies for failed calls, one for each kind of call.
 //!
-//! First pauses are as short as the ordinary path wants them; they grow only while calls go on failing.
+//! The initial delays are short enough for normal operation; they grow only while calls keep failing.
 
 use marblewalk_retry::Rule;
 
 use crate::protocol::units::Micros;
 
-/// Joining: registration and loading. Controllers that ended together must not join together.
+/// Joining, which is registration and loading. The jitter keeps controllers that restart together from joining together.
 pub const JOIN: Rule =
     Rule { first: Micros::from_millis(400), most: Micros::from_secs(2), growth: 1.5, jitter: 0.75 };
 
-/// Following the store's changes: whoever is late here is late with everything.
+/// Requests for changes of the records. The delays are short because everything else depends on recent records.
 pub const FOLLOW: Rule =
     Rule { first: Micros::from_millis(300), most: Micros::from_millis(600), growth: 1.3, jitter: 0.2 };
 
-/// A grant that was not carried out: the watch first shows why.
+/// A failed grant. The changes of the records have to show the conflict before another grant can succeed.
 pub const GRANT: Rule =
     Rule { first: Micros::from_millis(500), most: Micros::from_secs(2), growth: 1.5, jitter: 0.0 };
 
-/// The record that a job is done. Users expect the answer within three seconds.
+/// Recording that a job is done. Users expect the answer within three seconds.
 pub const COMPLETE: Rule =
     Rule { first: Micros::from_millis(300), most: Micros::from_secs(1), growth: 1.5, jitter: 0.5 };
 
-/// A rental whose fate is not known: the same name tells.
+/// A rental with an unknown outcome. Repeating it under the same request name shows the outcome.
 pub const RENT: Rule =
     Rule { first: Micros::from_millis(500), most: Micros::from_secs(8), growth: 2.0, jitter: 0.2 };
 
-/// A type, zone and kind of which there are no machines.
+/// Renting a machine type in a zone, on-demand or spot, for which the cloud has no capacity.
 pub const NO_CAPACITY: Rule =
     Rule { first: Micros::from_secs(8), most: Micros::from_secs(40), growth: 2.0, jitter: 0.0 };
--- a/src/coordination/simulation.rs
+++ b/src/coordination/simulation.rs
@@ -487,8 +487,8 @@
                 self.booted[n] = self.now;
                 let seed = self.rng.random();
                 let mut controller = Controller::new(self.settings[n].clone(), self.tuning.clone(), seed);
-                controller.careless = self.careless;
-                controller.alone = self.alone;
+                controller.skip_confirmations = self.careless;
+                controller.ignore_leader_volumes = self.alone;
                 self.controllers[n] = Some(controller);
                 self.at(self.now, Happening::Tick(n));
             }
@@ -567,7 +567,7 @@
                 let token = orders.token;
                 let reply = self.direct(node, &machine, orders, sent);
                 let unclear = matches!(reply, DirectReply::Unclear);
-                let event = Event::Worker { machine, token, reply };
+                let event = Event::WorkerReply { machine, token, reply };
                 let event = Happening::ToController { node, life, event };
                 // Who hears nothing waits; meanwhile reports come and are answered.
                 if unclear { self.at(self.now + PATIENCE, event) } else { self.soon(MS, 5 * MS, event) }
--- a/src/coordination/simulation/abuse.rs
+++ b/src/coordination/simulation/abuse.rs
@@ -44,13 +44,13 @@
         Report { kind: "g8".into(), ..honest.clone() },
         Report { spot: true, ..honest.clone() },
     ] {
-        assert_eq!(answers(c, wrong), [Answer::Later(1)]);
+        assert_eq!(answers(c, wrong), [Answer::RetryLater(1)]);
     }
-    assert_eq!(c.counters.reports_odd, 3);
+    assert_eq!(c.counters.reports_mismatched, 3);
     assert_eq!(c.machines[&name].tasks.keys().cloned().collect::<Vec<_>>(), before);
     // No such machine: it is passed on, and gets no orders.
     let unknown = Report { machine: "m-777777".into(), ..honest.clone() };
-    assert_eq!(answers(c, unknown), [Answer::Elsewhere(None)]);
+    assert_eq!(answers(c, unknown), [Answer::Redirect(None)]);
     assert!(!c.machines.contains_key("m-777777"));
     // A task of no job is ended at once.
     let told = answers(c, Report { tasks: vec![invented], ..honest });
--- a/src/coordination/simulation/contradictions.rs
+++ b/src/coordination/simulation/contradictions.rs
@@ -76,7 +76,7 @@
         for c in world.controllers.iter().flatten() {
             lost += c.removals(Removal::NeverSent);
             questioned += c.conclusions_questioned(Removal::NeverSent);
-            assert_eq!(contradictions(c), 0, "seed {seed}, {}", c.me());
+            assert_eq!(contradictions(c), 0, "seed {seed}, {}", c.own_name());
         }
     }
     assert!(lost > 0, "no plan was taken back");
--- a/src/coordination/simulation/deafness.rs
+++ b/src/coordination/simulation/deafness.rs
@@ -29,7 +29,7 @@
         let held = |w: &World, name: &String| {
             let knows = |c: &&Controller| c.machines.get(name).is_some_and(|m| c.owns(m));
             let c = w.controllers.iter().flatten().find(knows)?;
-            Some(c.machines[name].tasks.values().filter(|t| !t.ended()).map(|t| t.since).max())
+            Some(c.machines[name].tasks.values().filter(|t| !t.ended()).map(|t| t.started_at).max())
         };
         for name in &names[..2] {
             let began = held(&world, name).flatten().unwrap_or_default();
@@ -42,14 +42,14 @@
             let kept = world.controllers.iter().flatten().map(|c| {
                 c.machines.get(name).map(|m| {
                     (
-                        c.me().to_owned(),
+                        c.own_name().to_owned(),
                         m.row.clone(),
-                        m.apart,
-                        m.lost,
+                        m.quarantined,
+                        m.unresponsive,
                         m.resolved,
-                        m.hearing.clone(),
-                        m.heard,
-                        m.granted,
+                        m.delivery.clone(),
+                        m.last_heard,
+                        m.grant_seen_at,
                         c.now,
                     )
                 })
--- a/src/coordination/simulation/evictions.rs
+++ b/src/coordination/simulation/evictions.rs
@@ -52,11 +52,15 @@
     world.controllers[n] = None;
     world.lives[n] += 1;
     world.run(Micros::from_secs(30));
-    let listed: u64 = world.controllers.iter().flatten().map(|c| c.counters.takeovers_listed).sum();
+    let listed: u64 = world.controllers.iter().flatten().map(|c| c.counters.takeovers_fully_known).sum();
     assert!(listed > 0, "jobs waited for a machine of which all was known");
     world.run(Micros::from_secs(42));
     assert!(!world.workers.contains_key(&name), "the dead machine was not returned");
-    assert!(world.controllers.iter().flatten().all(|c| !c.taking_over), "{}", world.describe("j-000000"));
+    assert!(
+        world.controllers.iter().flatten().all(|c| !c.takeover_in_progress),
+        "{}",
+        world.describe("j-000000")
+    );
 }
 
 /// Guards jobs against a controller that stands still: nobody refuses a connection to it, and for the rest of its
@@ -81,13 +85,16 @@
         world.run(world.now + Micros::from_secs(15));
         world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(25));
         world.run(world.now + Micros::from_millis(10_500));
-        let left = world.controllers.iter().flatten().filter(|c| c.me() != world.settings[n].member);
-        let without = |c: &Controller| c.view.members.len() == 2 && !c.taking_over;
+        let left = world.controllers.iter().flatten().filter(|c| c.own_name() != world.settings[n].member);
+        let without = |c: &Controller| c.view.members.len() == 2 && !c.takeover_in_progress;
         soon += usize::from(left.clone().all(without));
         world.run(world.now + Micros::from_secs(40));
         assert!(evictions(&world) <= 1, "seed {seed}: it accused others when it went on");
         let all = world.controllers.iter().flatten();
-        assert!(all.clone().all(|c| c.view.members.len() == 3 && !c.taking_over), "seed {seed}: not back");
+        assert!(
+            all.clone().all(|c| c.view.members.len() == 3 && !c.takeover_in_progress),
+            "seed {seed}: not back"
+        );
     }
     // A worker whose machine has just changed hands is no witness, so now and then the lease ends first.
     assert!(
--- a/src/coordination/simulation/fleets.rs
+++ b/src/coordination/simulation/fleets.rs
@@ -102,7 +102,7 @@
     for (n, c) in world.controllers.iter().enumerate() {
         let Some(c) = c else { continue };
         let seconds = world.now.since(world.booted[n]).as_secs_f64();
-        let passes = c.counters.passes as f64 / seconds;
+        let passes = c.counters.placement_passes as f64 / seconds;
         assert!(passes < 12.0, "{passes} passes a second over all waiting jobs");
     }
 }
--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_lives.rs
@@ -73,7 +73,11 @@
     let job = of_team(&mut world, works, "blue", 30);
     assert!(until(&mut world, Micros::from_secs(30), |w| there(w, &job) == 30), "seed {seed}");
     world.crash_for(back, Micros::from_millis(200));
-    let open = |w: &World| w.controllers[back].as_ref().is_some_and(|c| c.taking_over && c.adopting() > 0);
+    let open = |w: &World| {
+        w.controllers[back]
+            .as_ref()
+            .is_some_and(|c| c.takeover_in_progress && c.unresolved_machine_count() > 0)
+    };
     assert!(until(&mut world, Micros::from_secs(10), open), "seed {seed}: nothing is taken over");
     (world, leader, back)
 }
@@ -84,18 +88,18 @@
 fn testimony_given_to_a_former_process_accounts_for_nothing() {
     for seed in 320..324 {
         let (mut world, leader, back) = taking_over_again(seed);
-        let witness = world.controllers[leader].as_ref().unwrap().life();
+        let witness = world.controllers[leader].as_ref().unwrap().incarnation();
         let asker = world.controllers[back].as_ref().unwrap();
-        let open = asker.adopting();
+        let open = asker.unresolved_machine_count();
         let words = asker.machines.values().map(|m| asker.word(m)).collect();
-        let former = asker.life().1 - 1;
+        let former = asker.incarnation().1 - 1;
         let late =
             PeerMessage::Testimony { stamp: witness.1, asker: former, question: u64::MAX, machines: words };
         // Asked once, so that answers count.
-        world.controllers[back].as_mut().unwrap().inquiry.ask(Micros::ZERO);
+        world.controllers[back].as_mut().unwrap().witness_queries.ask(Micros::ZERO);
         world.tell(back, Event::Peer(witness.0, late));
         let asker = world.controllers[back].as_ref().unwrap();
-        assert_eq!(asker.adopting(), open, "seed {seed}: machines were accounted for by it");
+        assert_eq!(asker.unresolved_machine_count(), open, "seed {seed}: machines were accounted for by it");
         assert_eq!(asker.counters.replies_misdirected, 1, "seed {seed}");
     }
 }
@@ -114,13 +118,13 @@
         let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
         let leader = world.leader().unwrap();
         let rejoins = (leader + 1) % 3;
-        let former = world.controllers[rejoins].as_ref().unwrap().life();
+        let former = world.controllers[rejoins].as_ref().unwrap().incarnation();
         world.fate_of = Some(late_views);
         let removed = vec![Write::delete(records::node(&former.0))];
         world.store.commit(Transaction { conditions: Vec::new(), writes: removed });
         let again = |w: &World| {
             let c = w.controllers[rejoins].as_ref().unwrap();
-            c.phase == crate::coordination::Phase::Active && c.life().1 > former.1
+            c.phase == crate::coordination::Phase::Active && c.incarnation().1 > former.1
         };
         assert!(until(&mut world, Micros::from_secs(5), again), "seed {seed}: has not joined again");
         let c = world.controllers[rejoins].as_ref().unwrap();
@@ -131,10 +135,14 @@
         report.tally += 1;
         world.tell(
             rejoins,
-            Event::Worker { machine: machine.clone(), token, reply: DirectReply::Done(Box::new(report)) },
+            Event::WorkerReply {
+                machine: machine.clone(),
+                token,
+                reply: DirectReply::Done(Box::new(report)),
+            },
         );
         let c = world.controllers[rejoins].as_ref().unwrap();
-        assert!(!c.machines[&machine].resolved && !c.machines[&machine].known, "seed {seed}");
+        assert!(!c.machines[&machine].resolved && !c.machines[&machine].ever_resolved, "seed {seed}");
         assert_eq!(c.counters.replies_misdirected, 1, "seed {seed}");
     }
 }
--- a/src/coordination/simulation/idle.rs
+++ b/src/coordination/simulation/idle.rs
@@ -234,7 +234,7 @@
         let free: Vec<_> = room.iter().filter(|(_, r)| spec.need().fits(**r)).map(|(name, _)| name).collect();
         let owners = self.controllers.iter().flatten();
         let volumes: Vec<_> = owners
-            .flat_map(|c| c.jobs.values().filter(|j| j.owner.as_deref() == Some(c.me())))
+            .flat_map(|c| c.jobs.values().filter(|j| j.owner.as_deref() == Some(c.own_name())))
             .filter(|j| j.spec.team == spec.team)
             .map(|j| {
                 let reason = j.wait.reason();
--- a/src/coordination/simulation/late_statuses.rs
+++ b/src/coordination/simulation/late_statuses.rs
@@ -78,14 +78,14 @@
     let status = whole_status(world, recorder, asker);
     let from = world.settings[recorder].member.clone();
     for by in [asker, other] {
-        let stamp = world.controllers[by].as_ref().unwrap().life().1;
+        let stamp = world.controllers[by].as_ref().unwrap().incarnation().1;
         let seen = PeerMessage::Seen { stamp, asker: status.stamp, sequence: status.sequence };
         world.tell(recorder, Event::Peer(world.settings[by].member.clone(), seen));
     }
     world.tell(asker, Event::Peer(from, PeerMessage::Status(status)));
     let controller = world.controllers[recorder].as_ref().unwrap();
     let unaware = world.controllers[other].as_ref().unwrap();
-    unaware.jobs.keys().filter(|id| controller.finals.get(id).is_some()).count()
+    unaware.jobs.keys().filter(|id| controller.final_states.get(id).is_some()).count()
 }
 
 /// Guards against an end that is answered while a controller doesn't know of it: a whole status told it to one controller
@@ -105,11 +105,11 @@
             for (asker, other) in [(1, 2), (2, 1)] {
                 let controller = world.controllers[0].as_ref().unwrap();
                 let sequence = controller.status_sequence;
-                if controller.ends_unsettled() == 0 || !has_confirmed(&world, other, 0, sequence) {
+                if controller.unsettled_end_count() == 0 || !has_confirmed(&world, other, 0, sequence) {
                     continue;
                 }
                 let unknown = told_to_one(&mut world, 0, asker, other);
-                let unsettled = world.controllers[0].as_ref().unwrap().ends_unsettled();
+                let unsettled = world.controllers[0].as_ref().unwrap().unsettled_end_count();
                 assert!(
                     unknown <= unsettled,
                     "seed {seed}: {other} doesn't know of {unknown} ends, {unsettled} are unsettled"
--- a/src/coordination/simulation/looks.rs
+++ b/src/coordination/simulation/looks.rs
@@ -115,7 +115,7 @@
     let live = |id: &str| told(id, JobState::Running);
     let done = |id: &str| told(id, JobState::Final(Final::Done));
     let withdrawn = |id: &str| told(id, JobState::Final(Final::Withdrawn));
-    let (unknown, never) = (|_: &str| Answer::NotFound, |_: &str| Answer::Impossible("never"));
+    let (unknown, never) = (|_: &str| Answer::NotFound, |_: &str| Answer::Rejected("never"));
     for (fault, what) in [
         (judged(live, Final::Withdrawn, 0, 1, false), "went_back: j-000001 is live again: "),
         (judged(live, Final::Done, 5, 6, false), "went_back: j-000001 is live again: "),
@@ -131,7 +131,7 @@
         (judged(live, Final::Done, -5, -1, true), "given before it was heard"),
         (judged(live, Final::Done, -5, 1, false), "both were on their way"),
         (judged(done, Final::Done, 5, 6, true), "the same end"),
-        (judged(|_| Answer::Later(1), Final::Done, 5, 6, true), "no answer"),
+        (judged(|_| Answer::RetryLater(1), Final::Done, 5, 6, true), "no answer"),
     ] {
         assert_eq!(fault, "", "{why}");
     }
--- a/src/coordination/simulation/measure.rs
+++ b/src/coordination/simulation/measure.rs
@@ -87,8 +87,8 @@
             continue;
         }
         let mine = |c: &Controller| -> Vec<(bool, u32)> {
-            let jobs = c.jobs.values().filter(|j| j.owner.as_deref() == Some(c.me()));
-            jobs.map(|j| (j.adopting, j.unfinished() - j.placed())).collect()
+            let jobs = c.jobs.values().filter(|j| j.owner.as_deref() == Some(c.own_name()));
+            jobs.map(|j| (j.takeover_pending, j.unfinished() - j.placed())).collect()
         };
         let jobs: Vec<(bool, u32)> = up.iter().flat_map(|c| mine(c)).collect();
         let waiting: u32 = jobs.iter().filter(|j| j.0).map(|j| j.1).sum();
--- a/src/coordination/simulation/meetings.rs
+++ b/src/coordination/simulation/meetings.rs
@@ -23,7 +23,7 @@
     world.passed_over = Some(leader);
     let c = world.controllers[leader].as_ref().unwrap();
     for (id, wish) in &mut world.jobs {
-        wish.wants_withdrawal |= c.owner_of(id).as_deref() == Some(c.me());
+        wish.wants_withdrawal |= c.owner_of(id).as_deref() == Some(c.own_name());
     }
     world.run(world.now + length);
     world.passed_over = None;
@@ -104,7 +104,7 @@
     let (node, life) = (1, world.lives[1]);
     let me = world.settings[node].member.clone();
     let c = world.controllers[node].as_ref().unwrap();
-    let (after, mine) = (c.applied, c.life().1);
+    let (after, mine) = (c.applied_revision, c.incarnation().1);
     let spec = array(&mut world, 77, 4);
     let changes = vec![
         Change::Delete { key: records::node(&me), stamp: after + 1 },
@@ -118,7 +118,7 @@
     let news = StoreReply::News(News { revision: after + 2, changes });
     let c = world.controllers[node].as_mut().unwrap();
     c.followed(c.now, news);
-    assert_eq!((c.jobs.len(), c.applied), (0, 0), "changes of no life are kept");
+    assert_eq!((c.jobs.len(), c.applied_revision), (0, 0), "changes of no life are kept");
     assert_eq!(world.lives[node], life);
 }
 
--- a/src/coordination/simulation/meetings_apart.rs
+++ b/src/coordination/simulation/meetings_apart.rs
@@ -8,7 +8,7 @@
 fn addressed(world: &World, n: usize) -> Vec<String> {
     let Some(c) = &world.controllers[n] else { return Vec::new() };
     let direct = |m: &Machine| m.tasks.values().any(|t| matches!(t.pending, Some(Pending::Direct { .. })));
-    let talked_to = c.machines.iter().filter(|(_, m)| c.owns(m) && m.talking && direct(m));
+    let talked_to = c.machines.iter().filter(|(_, m)| c.owns(m) && m.call_in_flight && direct(m));
     talked_to.map(|(name, _)| name.clone()).collect()
 }
 
--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -94,8 +94,8 @@
     let free = |w: &World| {
         let all = w.controllers.iter().flatten();
         let free = |c: &Controller| {
-            let open = c.view.members.len() == 3 && c.placing && !c.taking_over;
-            open && c.bound_teams().is_empty() && c.quota.0.view != c.view_stamp
+            let open = c.view.members.len() == 3 && c.is_view_member && !c.takeover_in_progress;
+            open && c.bound_teams().is_empty() && c.quota_record.0.view != c.view_revision
         };
         all.clone().count() == 3 && all.clone().all(free)
     };
@@ -215,7 +215,7 @@
         );
         let (before, uses) = (allotted(&world), there(&world, &kept));
         let c = world.controllers[1].as_ref().unwrap();
-        let row = c.quota.0.rows.iter().find(|r| r.team == "blue" && r.member == "n-1");
+        let row = c.quota_record.0.rows.iter().find(|r| r.team == "blue" && r.member == "n-1");
         met += usize::from(row.is_some_and(|r| r.cpu > 1_000 * uses as u64));
         of_team(&mut world, next(1), "blue", 20);
         go(&mut world, Micros::from_secs(4));
@@ -224,7 +224,7 @@
         assert!(until(&mut world, Micros::from_secs(14), done), "seed {seed}: nothing was carried out late");
         LATE.set(None);
         go(&mut world, Micros::from_secs(10));
-        assert!(world.controllers[1].as_ref().unwrap().quota.0.rows.iter().any(|r| r.team == "green"));
+        assert!(world.controllers[1].as_ref().unwrap().quota_record.0.rows.iter().any(|r| r.team == "green"));
         finish(&mut world, seed);
     }
     assert!(met >= 6, "only in {met} runs might a controller use more than it did");
--- a/src/coordination/simulation/meetings_looks.rs
+++ b/src/coordination/simulation/meetings_looks.rs
@@ -85,10 +85,10 @@
     world.ask(0, id.clone(), Look::Withdraws);
     world.run(world.now + Micros::from_millis(100));
     assert!(world.store.withdrawn.contains_key(&id) && world.jobs[&id].told_final.is_none());
-    assert!((0..3).all(|n| world.controllers[n].as_ref().unwrap().finals.get(&id).is_none()));
+    assert!((0..3).all(|n| world.controllers[n].as_ref().unwrap().final_states.get(&id).is_none()));
     world.ask(1, id.clone(), Look::Withdraws);
     world.run(world.now + Micros::from_millis(400));
-    let known = |n: usize| world.controllers[n].as_ref().unwrap().finals.get(&id).is_some();
+    let known = |n: usize| world.controllers[n].as_ref().unwrap().final_states.get(&id).is_some();
     assert!((0..3).all(known), "what one has found the others do not know");
     world.run(world.now + Micros::from_secs(2));
     assert!(world.jobs[&id].told_final.is_some(), "all know, and its user has not been told");
@@ -112,7 +112,7 @@
         assert!(world.jobs[&id].told_accepted);
         let c = world.controllers[node].as_mut().unwrap();
         assert!(!c.jobs.contains_key(&id), "seed {seed}: it knows the job");
-        c.types.values_mut().for_each(|t| t.cpus = 0.5);
+        c.machine_types.values_mut().for_each(|t| t.cpus = 0.5);
         let never = JobSpec { id: "j-000500".into(), ..spec };
         world.jobs.insert(never.id.clone(), Wish { spec: Some(never), ..Default::default() });
         let before = world.jobs[&id].answered;
@@ -130,12 +130,12 @@
 fn a_job_that_has_left_the_records_since_it_was_looked_up_is_not_called_live() {
     let (mut world, id) = with_one_job(9);
     let c = world.controllers[0].as_mut().unwrap();
-    let (now, stamp) = (c.now, c.jobs[&id].stamp);
+    let (now, stamp) = (c.now, c.jobs[&id].accepted_revision);
     assert_eq!(c.liveness(&id, now, Some(stamp)), Liveness::Live);
     c.retire(&id);
-    assert_eq!(c.liveness(&id, now, Some(stamp)), Liveness::Left);
+    assert_eq!(c.liveness(&id, now, Some(stamp)), Liveness::Ended);
     // Its acceptance has not been followed yet.
-    assert_eq!(c.liveness(&id, now, Some(c.applied + 1)), Liveness::Live);
+    assert_eq!(c.liveness(&id, now, Some(c.applied_revision + 1)), Liveness::Live);
     let old = Micros(now.0 - 501 * MS);
     assert_eq!(c.liveness(&id, old, Some(stamp)), Liveness::Uncertain);
 }
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -133,7 +133,7 @@
     };
     let mut grant = |moves: BTreeMap<String, String>| {
         // What was on its way before has been answered.
-        c.lead.as_mut().unwrap().granting = false;
+        c.leader_state.as_mut().unwrap().granting = false;
         assert!(c.grant(moves, vec![row.clone(), row.clone()], BTreeSet::new(), None));
         let calls = c.handle(clock, Event::Peer(String::new(), PeerMessage::Again));
         let mut commits = calls.into_iter().filter_map(|e| match e {
@@ -207,7 +207,12 @@
         let until = world.now + Micros::from_secs(35);
         while world.now < until {
             world.run(world.now + Micros::from_millis(20));
-            deaf += world.controllers.iter().flatten().map(Controller::machines_deaf).sum::<usize>();
+            deaf += world
+                .controllers
+                .iter()
+                .flatten()
+                .map(Controller::non_receiving_machine_count)
+                .sum::<usize>();
         }
         given += world.met.kept_given;
         assert_eq!(world.met.lost_by_lease, 0, "seed {seed}: tasks were lost");
@@ -264,8 +269,9 @@
         for (_, w) in world.workers.values_mut().enumerate().filter(|(n, _)| n % 2 == 0) {
             w.cut_until = until;
         }
-        let begun =
-            |w: &World| w.leader().is_some_and(|n| n != leader || w.controllers[n].as_ref().unwrap().placing);
+        let begun = |w: &World| {
+            w.leader().is_some_and(|n| n != leader || w.controllers[n].as_ref().unwrap().is_view_member)
+        };
         while !begun(&world) && world.now < until + Micros::from_secs(30) {
             world.run(world.now + Micros::from_millis(20));
         }
@@ -467,8 +473,9 @@
 fn a_life_that_was_loaded_is_not_ended_by_one_before_it() {
     let mut world = full(410, 12);
     let known = |c: &Controller| {
-        let me = c.life();
-        let listed = |name: &String, m: &Machine| c.holds(m) && !c.owns(m) && c.ledger.listed(name, &me);
+        let me = c.incarnation();
+        let listed =
+            |name: &String, m: &Machine| c.holds(m) && !c.owns(m) && c.machine_knowledge.listed(name, &me);
         c.machines.iter().find(|(name, m)| listed(name, m)).map(|(name, m)| (name.clone(), m.row.clone()))
     };
     let found = |w: &World| (0..3).find_map(|n| Some((n, known(w.controllers[n].as_ref()?)?)));
@@ -477,7 +484,7 @@
     }
     let (n, (name, row)) = found(&world).expect("nothing is known in full");
     let c = world.controllers[n].as_mut().unwrap();
-    let me = c.life();
+    let me = c.incarnation();
     let (member, stamp) = (row.owner, row.node);
     let life = (member.clone(), stamp);
     let put = |stamp| Change::Put {
@@ -487,8 +494,11 @@
     };
     let changes =
         vec![put(stamp - 2), Change::Delete { key: records::node(&member), stamp: stamp - 1 }, put(stamp)];
-    c.followed(c.now, StoreReply::News(News { revision: c.applied + 1, changes }));
-    assert_eq!(c.nodes.get(&member), Some(&stamp));
-    c.ledger.heard(&life, u64::MAX - 1, false, c.applied);
-    assert!(!c.ledger.listed(&name, &me), "nothing can be missed of a life that is taken for ended");
+    c.followed(c.now, StoreReply::News(News { revision: c.applied_revision + 1, changes }));
+    assert_eq!(c.registrations.get(&member), Some(&stamp));
+    c.machine_knowledge.heard(&life, u64::MAX - 1, false, c.applied_revision);
+    assert!(
+        !c.machine_knowledge.listed(&name, &me),
+        "nothing can be missed of a life that is taken for ended"
+    );
 }
--- a/src/coordination/simulation/meetings_starts.rs
+++ b/src/coordination/simulation/meetings_starts.rs
@@ -33,7 +33,7 @@
         let there = |name: &String, id: &TaskId| world.workers[name].tasks.contains_key(id);
         let found = world.controllers.iter().enumerate().find_map(|(n, c)| {
             let on_its_way = |m: &Machine| {
-                let mut starts = m.starting.iter().filter(|_| m.talking);
+                let mut starts = m.starts_in_call.iter().filter(|_| m.call_in_flight);
                 starts.find(|id| !there(&m.row.machine, id)).cloned()
             };
             c.as_ref()?.machines.iter().find_map(|(name, m)| Some((n, name.clone(), on_its_way(m)?)))
@@ -76,7 +76,7 @@
         // Nobody knows whether it arrived: until a fresh token rules that out, the task stays.
         let (clock, token) =
             (world.clock(n), world.controllers[n].as_ref().unwrap().machines[&name].row.token);
-        let unclear = Event::Worker { machine: name.clone(), token, reply: DirectReply::Unclear };
+        let unclear = Event::WorkerReply { machine: name.clone(), token, reply: DirectReply::Unclear };
         world.controllers[n].as_mut().unwrap().handle(clock, unclear);
         assert!(!forgets(orders(&mut world, n, &name, Some(failed.clone()))), "seed {seed}: unclear");
         let until = world.now + Micros::from_secs(10);
@@ -101,13 +101,16 @@
         let clock = world.clock(n);
         let c = world.controllers[n].as_mut().unwrap();
         let token = c.machines[&name].row.token;
-        c.handle(clock, Event::Worker { machine: name.clone(), token, reply: DirectReply::NotSent });
+        c.handle(clock, Event::WorkerReply { machine: name.clone(), token, reply: DirectReply::NotSent });
         c.drop_planned(&name, |_| true);
         assert!(c.machines[&name].tasks.contains_key(&id), "seed {seed}: taken back though it was sent");
         // The next report was sent when that answer had come or been given up.
         orders(&mut world, n, &name, None);
         let c = world.controllers[n].as_ref().unwrap();
         let known = c.machines[&name].tasks.get(&id);
-        assert!(known.is_none_or(|t| t.since > clock), "seed {seed}: it never arrived, and is waited for");
+        assert!(
+            known.is_none_or(|t| t.started_at > clock),
+            "seed {seed}: it never arrived, and is waited for"
+        );
     }
 }
--- a/src/coordination/simulation/mistakes.rs
+++ b/src/coordination/simulation/mistakes.rs
@@ -44,7 +44,7 @@
                 .any(|(id, w)| !mistaken.contains(id) && w.told_final.is_none() && !w.refused);
             for c in world.controllers.iter().flatten() {
                 for (name, m) in c.machines.iter().filter(|(name, _)| machines.contains(name)) {
-                    let wronged = m.apart && !faulty.contains(name);
+                    let wronged = m.quarantined && !faulty.contains(name);
                     assert!(!wronged, "seed {seed}: {name} is set apart for jobs that fail everywhere");
                 }
             }
--- a/src/coordination/simulation/network.rs
+++ b/src/coordination/simulation/network.rs
@@ -121,7 +121,7 @@
         for other in (0..self.settings.len()).filter(|o| *o != node) {
             if self.cut(node, other) || self.controllers[other].is_none() {
                 let member = self.settings[other].member.clone();
-                self.tell(node, Event::Refused(member));
+                self.tell(node, Event::ConnectionRefused(member));
             }
         }
     }
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -30,7 +30,7 @@
         );
         for call in lost {
             let Happening::Orders { node, life, machine, orders, .. } = call else { continue };
-            let event = Event::Worker { machine, token: orders.token, reply: DirectReply::Unclear };
+            let event = Event::WorkerReply { machine, token: orders.token, reply: DirectReply::Unclear };
             world.at(world.now + PATIENCE, Happening::ToController { node, life, event });
         }
     }
@@ -123,7 +123,7 @@
         }
         let known = |w: &World| {
             let Some(c) = w.controllers[newcomer].as_ref() else { return false };
-            c.machines.contains_key(&machine) && c.inquiry.covers(&machine)
+            c.machines.contains_key(&machine) && c.witness_queries.covers(&machine)
         };
         assert!(until_unreached(&mut world, newcomer, &machine, known), "seed {seed}: nobody witnessed it");
         // The former holder goes on without the newcomer, which hears nothing of it.
--- a/src/coordination/simulation/quota_guard.rs
+++ b/src/coordination/simulation/quota_guard.rs
@@ -11,7 +11,7 @@
     let mut numbers = owned_by(1);
     of_team(&mut world, numbers.next().unwrap(), "blue", 10);
     of_team(&mut world, numbers.next().unwrap(), "blue", 80);
-    let shared = |w: &World| w.controllers.iter().flatten().all(|c| c.quota.0.view == c.view_stamp);
+    let shared = |w: &World| w.controllers.iter().flatten().all(|c| c.quota_record.0.view == c.view_revision);
     assert!(until(&mut world, Micros::from_secs(20), shared), "seed {seed}: nothing is divided");
     go(&mut world, Micros::from_secs(10));
     world
@@ -54,11 +54,11 @@
 fn more_planned_than_the_share_is_noticed() {
     let mut world = divided(501);
     let controller = world.controllers[1].as_mut().unwrap();
-    controller.bound = controller.bound_teams();
+    controller.teams_with_binding_limit = controller.bound_teams();
     let some = Resources { cpu: 1_000, gpu: 0, memory: 0 };
     let (none, some) = ([("blue".to_owned(), Resources::default())], [("blue".to_owned(), some)]);
     controller.check_planned(&some.clone().into());
-    controller.quota.0.rows.iter_mut().for_each(|row| row.cpu = 1_000);
+    controller.quota_record.0.rows.iter_mut().for_each(|row| row.cpu = 1_000);
     controller.check_planned(&none.into());
     controller.check_planned(&some.into());
 }
@@ -144,9 +144,9 @@
         }
         until(&mut world, Micros::from_secs(10), |w| !waiting(w).is_empty());
         let before = waiting(&world);
-        let view = world.controllers[waits].as_ref().unwrap().view_stamp;
+        let view = world.controllers[waits].as_ref().unwrap().view_revision;
         world.crash_for(back, Micros::from_millis(200));
-        let next = |w: &World| w.controllers[waits].as_ref().unwrap().view_stamp > view;
+        let next = |w: &World| w.controllers[waits].as_ref().unwrap().view_revision > view;
         assert!(until(&mut world, Micros::from_secs(15), next), "seed {seed}: no new view");
         planned += before.len();
         let after = waiting(&world);
@@ -172,7 +172,7 @@
     let requested = need * 10 + controller.jobs[&other].spec.need().cpu * 8;
     assert!(requested <= 40_000 && controller.bound_teams().is_empty(), "{requested} of 40000 requested");
     let job = controller.jobs.get_mut(&done).unwrap();
-    (0..10).for_each(|index| assert!(job.complete(index)));
+    (0..10).for_each(|index| assert!(job.mark_completed(index)));
     controller.retire(&done);
     // Both together are within the limit, and a third is not beside them.
     let mut third = controller.jobs[&other].spec.as_ref().clone();
--- a/src/coordination/simulation/replaced_links.rs
+++ b/src/coordination/simulation/replaced_links.rs
@@ -59,7 +59,7 @@
         world.crash_for(heir, Micros::from_millis(300));
         let back = |w: &World| {
             let c = w.controllers[heir].as_ref();
-            c.is_some_and(|c| c.placing && !c.taking_over && c.view.members.len() == 3)
+            c.is_some_and(|c| c.is_view_member && !c.takeover_in_progress && c.view.members.len() == 3)
         };
         let mut told = record(&mut world, heir, back);
         let later = world.now + Micros::from_secs(2);
--- a/src/coordination/simulation/returns.rs
+++ b/src/coordination/simulation/returns.rs
@@ -45,7 +45,11 @@
         let silent =
             machines.iter().take(2).filter(|name| c.machines.get(*name).is_some_and(|m| !m.resolved));
         assert_eq!(silent.count(), 2, "seed {seed}: the silent machines were heard");
-        assert!(c.placing && !c.taking_over, "seed {seed}: back for 1 s, waits for {:?}", c.unresolved);
+        assert!(
+            c.is_view_member && !c.takeover_in_progress,
+            "seed {seed}: back for 1 s, waits for {:?}",
+            c.unresolved_machines
+        );
         world.all_over(600, &format!("seed {seed}"));
     }
 }
@@ -58,10 +62,10 @@
     let steps: [Step; 6] = [
         ("registering", |w, n| w.controllers[n].as_ref().is_some_and(|c| c.phase == Phase::Registering)),
         ("loading", |w, n| w.controllers[n].as_ref().is_some_and(|c| c.phase == Phase::Loading)),
-        ("taking over", |w, n| w.controllers[n].as_ref().is_some_and(|c| c.taking_over)),
+        ("taking over", |w, n| w.controllers[n].as_ref().is_some_and(|c| c.takeover_in_progress)),
         ("leading", |w, n| w.controllers[n].as_ref().is_some_and(Controller::leading)),
         ("granting", |w, n| {
-            let lead = w.controllers[n].as_ref().and_then(|c| c.lead.as_ref());
+            let lead = w.controllers[n].as_ref().and_then(|c| c.leader_state.as_ref());
             lead.is_some_and(|lead| lead.granting)
         }),
         ("within a second", |w, n| {
@@ -135,7 +139,12 @@
         taken.iter().for_each(|name| drop(world.workers.remove(name)));
         world.run(world.now + Micros::from_secs(4));
         for c in world.controllers.iter().flatten() {
-            assert!(c.placing && !c.taking_over, "seed {seed}: {} waits for {:?}", c.me(), c.unresolved);
+            assert!(
+                c.is_view_member && !c.takeover_in_progress,
+                "seed {seed}: {} waits for {:?}",
+                c.own_name(),
+                c.unresolved_machines
+            );
         }
         world.all_over(600, &format!("seed {seed}"));
     }
@@ -150,12 +159,13 @@
     let before = c.usage();
     let (name, free) =
         c.machines.iter().find(|(_, m)| m.free().cpu > 0).map(|(n, m)| (n.clone(), m.free())).unwrap();
-    let stranger = (0..).map(|n| format!("j-9{n:05}")).find(|id| c.owner_of(id).as_deref() == Some(c.me()));
+    let stranger =
+        (0..).map(|n| format!("j-9{n:05}")).find(|id| c.owner_of(id).as_deref() == Some(c.own_name()));
     let mut tasks = c.machines[&name].tasks.clone();
     let some = c.machines.values().flat_map(|m| m.tasks.values()).find(|t| !t.ended()).unwrap().clone();
     tasks.insert(
         TaskId::new(&stranger.unwrap(), 0),
-        super::super::model::TaskOn { need: Resources::default(), ..some },
+        super::super::model::PlacedTask { need: Resources::default(), ..some },
     );
     c.set_tasks(&name, tasks);
     let team = |usage: &[(String, u64, u64)]| usage.iter().find(|u| u.0 == "blue").map(|u| u.1).unwrap();
--- a/src/coordination/simulation/second_starts.rs
+++ b/src/coordination/simulation/second_starts.rs
@@ -51,7 +51,7 @@
         let report = world.workers[&name].report(&name, world.now);
         there += u32::from(world.workers[&name].tasks.contains_key(&id));
         let rejected = DirectReply::Rejected(Box::new(report));
-        world.tell(n, Event::Worker { machine: name.clone(), token, reply: rejected });
+        world.tell(n, Event::WorkerReply { machine: name.clone(), token, reply: rejected });
         // The judge of the rules sees each start.
         world.run(world.now + Micros::from_secs(15));
     }
@@ -101,10 +101,10 @@
             state: TaskState::Running,
             cause: None,
         });
-        let from = holder.me().to_owned();
+        let from = holder.own_name().to_owned();
         let status = holder.peers.values().find_map(|p| p.status.clone()).unwrap();
         let status = crate::protocol::peer::Status {
-            stamp: holder.life().1,
+            stamp: holder.incarnation().1,
             sequence: holder.status_sequence + 1,
             machines: vec![word],
             over: Vec::new(),
@@ -118,7 +118,7 @@
         let c = world.controllers[n].as_ref().unwrap();
         let still = c.machines[&name].tasks.get(&id);
         assert!(still.is_none(), "seed {seed}: {id:?} stays planned on {name}, and may run on {machine}");
-        assert_eq!(c.jobs[&id.job].on[&id.index], [machine], "seed {seed}");
+        assert_eq!(c.jobs[&id.job].placements[&id.index], [machine], "seed {seed}");
         assert_eq!(c.counters.starts_held_back, 0, "seed {seed}: it came to be sent");
     }
 }
--- a/src/coordination/simulation/takeovers.rs
+++ b/src/coordination/simulation/takeovers.rs
@@ -89,15 +89,15 @@
             world.workers.get_mut(name).unwrap().cut_until = Micros::MAX;
         }
         world.crash(n);
-        let back = |w: &World| w.controllers[n].as_ref().is_some_and(|c| c.placing);
+        let back = |w: &World| w.controllers[n].as_ref().is_some_and(|c| c.is_view_member);
         while !back(&world) && world.now < Micros::from_secs(50) {
             world.run(world.now + Micros::from_millis(50));
         }
         assert!(back(&world), "seed {seed}: the controller is not back");
         world.run(world.now + Micros::from_millis(1_500));
         let c = world.controllers[n].as_ref().unwrap();
-        let open = c.machines.values().filter(|m| !m.unused() && !m.resolved).count();
-        quick += usize::from(!c.taking_over && open > 0);
+        let open = c.machines.values().filter(|m| !m.never_granted() && !m.resolved).count();
+        quick += usize::from(!c.takeover_in_progress && open > 0);
         world.run(world.now + Micros::from_secs(500));
         for (id, wish) in &world.jobs {
             assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
@@ -138,9 +138,14 @@
         }
         world.run(world.now + Micros::from_secs(1));
         for c in world.controllers.iter().flatten() {
-            assert!(!c.taking_over, "seed {seed}: {} still waits for {:?}", c.me(), c.unresolved);
+            assert!(
+                !c.takeover_in_progress,
+                "seed {seed}: {} still waits for {:?}",
+                c.own_name(),
+                c.unresolved_machines
+            );
         }
-        let listed: u64 = world.controllers.iter().flatten().map(|c| c.counters.takeovers_listed).sum();
+        let listed: u64 = world.controllers.iter().flatten().map(|c| c.counters.takeovers_fully_known).sum();
         quick += listed;
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
--- a/src/coordination/simulation/troubles.rs
+++ b/src/coordination/simulation/troubles.rs
@@ -217,18 +217,23 @@
             let job = c.jobs.get(id).map(|j| {
                 (
                     &j.owner,
-                    j.adopting,
+                    j.takeover_pending,
                     j.volume,
-                    &j.on,
-                    j.completing,
+                    &j.placements,
+                    j.completion_in_flight,
                     j.attempt,
-                    c.held(id),
+                    c.awaits_retry(id),
                     j.turn,
                     j.done.len(),
                 )
             });
-            text += &format!("{} {:?} unresolved {:?} job {job:?}\n", c.me(), c.phase, c.unresolved);
-            text += &format!("  view {:?} nodes {:?} leading {}\n", c.view, c.nodes, c.leading());
+            text += &format!(
+                "{} {:?} unresolved {:?} job {job:?}\n",
+                c.own_name(),
+                c.phase,
+                c.unresolved_machines
+            );
+            text += &format!("  view {:?} nodes {:?} leading {}\n", c.view, c.registrations, c.leading());
             for (name, m) in &c.machines {
                 let tasks: Vec<_> = m.tasks.iter().map(|(i, t)| (i.text(), t.state, t.attempt)).collect();
                 text += &format!("  {name} {:?} up {} resolved {} {tasks:?}\n", m.row, m.up, m.resolved);
--- a/src/coordination/simulation/uninformed_orders.rs
+++ b/src/coordination/simulation/uninformed_orders.rs
@@ -72,9 +72,11 @@
         assert!(until(&mut world, Micros::from_secs(3), known), "seed {seed}: {machine} is not known");
         let whole = whole_status(&mut world, owner, heir);
         arrives(&mut world, owner, heir, &whole);
-        let (life, reader) =
-            (world.controllers[owner].as_ref().unwrap().life(), world.controllers[heir].as_ref().unwrap());
-        assert!(reader.ledger.unbroken(&life), "seed {seed}: the whole status was not taken in");
+        let (life, reader) = (
+            world.controllers[owner].as_ref().unwrap().incarnation(),
+            world.controllers[heir].as_ref().unwrap(),
+        );
+        assert!(reader.machine_knowledge.unbroken(&life), "seed {seed}: the whole status was not taken in");
         // The heir reads no changes from here on.
         world.befalls(Spell::WatchHangs(heir), Micros::MAX);
         let begun = fill(&mut world, owner, heir, &machine);
--- a/src/coordination/simulation/users.rs
+++ b/src/coordination/simulation/users.rs
@@ -110,11 +110,11 @@
                     self.is_older(&format!("forgotten: {id}"), heard, sent, given);
                 }
             }
-            Answer::Impossible(why) => {
+            Answer::Rejected(why) => {
                 assert!(!wish.told_accepted, "forgotten: {id}: {why}");
                 wish.refused = true;
             }
-            Answer::Later(seconds) => {
+            Answer::RetryLater(seconds) => {
                 wish.turned_away += u32::from(!wish.told_accepted);
                 wish.next_try = now + Micros::from_secs(u64::from(seconds));
             }
--- a/src/coordination/simulation/workers.rs
+++ b/src/coordination/simulation/workers.rs
@@ -213,7 +213,7 @@
                         machine: name.clone(),
                         session,
                         tally,
-                        answer: Some(Answer::Later(1)),
+                        answer: Some(Answer::RetryLater(1)),
                         given: now,
                     },
                 );
@@ -380,7 +380,7 @@
                     self.obey(&name, order, supply, given);
                 }
             }
-            Answer::Elsewhere(Some(member)) => {
+            Answer::Redirect(Some(member)) => {
                 w.target = self.settings.iter().position(|s| s.member == member).unwrap_or(0);
                 w.next_report = now + Micros(self.rng.random_range(0..500 * MS));
             }
