--- a/src/coordination/stalls.rs
+++ b/src/coordination/stalls.rs
@@ -1,62 +1,62 @@
-//! Which jobs do not make use of what they are given.
+//! Detection of stalled jobs: jobs that do not use the volume they are given.
 //!
-//! A job may have a volume, and its owner a share of the team's limit with room for it, and yet nothing of it starts: no
-//! machine fits, or its zone is full. What it does not use would lie idle as long as that lasts. So the leader notes
-//! since when a job could have started something and has not, and for a while counts on it no more.
+//! A job may have a volume, and its owner enough of the team's limit, and still start no task because no machine fits or
+//! its zone is full. The resources that it does not use would stay idle meanwhile. So the leader tracks how long a job could
+//! have started a task without doing so, and then plans without the job for a while.
 
 use std::collections::BTreeMap;
 
 use crate::protocol::units::Micros;
 
-/// A job that starts nothing for so long, though nothing but machines keeps it from it, is stalled.
-const STALLS_AFTER: Micros = Micros::from_secs(20);
-/// For so long others come before it, unless it starts something.
-const SET_ASIDE_FOR: Micros = Micros::from_secs(60);
+/// A job is stalled if it starts no task for this long although only machines are missing.
+const STALL_TIMEOUT: Micros = Micros::from_secs(20);
+/// How long other jobs come before a stalled one, unless it starts a task.
+const STALL_DURATION: Micros = Micros::from_secs(60);
 
-/// Since when a job that is below its volume has started nothing.
+/// A job below its volume: the number of tasks it has started, and since when it has started none.
 #[derive(Clone, Copy, Debug)]
-struct Short {
+struct BelowVolume {
     started: u32,
     since: Micros,
 }
 
-/// What the leader knows of jobs below their volume. A new leader begins with nothing.
+/// The leader's state of jobs below their volume. A new leader starts with an empty one.
 #[derive(Debug, Default)]
-pub(crate) struct Stalls {
-    short: BTreeMap<String, Short>,
-    /// How many tasks stalled jobs had started, and until when they are set aside.
+pub(crate) struct StallTracker {
+    below_volume: BTreeMap<String, BelowVolume>,
+    /// Stalled jobs: the number of tasks they had started, and when they stop counting as stalled.
     stalled: BTreeMap<String, (u32, Micros)>,
 }
 
-impl Stalls {
-    /// Takes in a job below its volume: how many of its tasks have been started, and whether its team's limit has room
-    /// for one more at its owner.
+impl StallTracker {
+    /// Updates the state of a job below its volume. `started` is the number of its tasks that have been started; `has_room`
+    /// tells whether the owner's share of the team's limit allows another one.
     pub fn observe(&mut self, now: Micros, job: &str, started: u32, has_room: bool) {
         if self.stalled.get(job).is_some_and(|(then, until)| *then != started || *until <= now) {
             self.stalled.remove(job);
         }
         if !has_room {
-            self.short.remove(job);
+            self.below_volume.remove(job);
             return;
         }
-        let fresh = Short { started, since: now };
-        let short = self.short.entry(job.to_owned()).or_insert(fresh);
-        if short.started != started {
-            *short = fresh;
+        let fresh = BelowVolume { started, since: now };
+        let state = self.below_volume.entry(job.to_owned()).or_insert(fresh);
+        if state.started != started {
+            *state = fresh;
         }
-        if now.since(short.since) >= STALLS_AFTER {
-            *short = fresh;
-            self.stalled.insert(job.to_owned(), (started, now + SET_ASIDE_FOR));
+        if now.since(state.since) >= STALL_TIMEOUT {
+            *state = fresh;
+            self.stalled.insert(job.to_owned(), (started, now + STALL_DURATION));
         }
     }
 
-    /// Forgets jobs that are not below their volume any more.
-    pub fn retain(&mut self, mut is_short: impl FnMut(&str) -> bool) {
-        self.short.retain(|job, _| is_short(job));
-        self.stalled.retain(|job, _| is_short(job));
+    /// Removes jobs that are no longer below their volume.
+    pub fn retain(&mut self, mut is_below_volume: impl FnMut(&str) -> bool) {
+        self.below_volume.retain(|job, _| is_below_volume(job));
+        self.stalled.retain(|job, _| is_below_volume(job));
     }
 
-    /// Whether a job makes no use of what it is given.
+    /// Whether a job is stalled.
     pub fn is_stalled(&self, job: &str) -> bool {
         self.stalled.contains_key(job)
     }
--- a/src/coordination/start_gate.rs
+++ b/src/coordination/start_gate.rs
@@ -4,9 +4,9 @@
 //! learns in between may show the task on another machine after all. Then the plan is withdrawn at once
 //! ([`Controller::withdraw_duplicates`]), and whatever should still come to be sent is stopped here and counted.
 
-use crate::coordination::model::{Job, TaskOn};
+use crate::coordination::model::{Job, PlacedTask};
 use crate::coordination::quota::{InForce, Permit};
-use crate::coordination::{ByName, Controller, Counters};
+use crate::coordination::{Controller, Counters, SortedMap};
 use crate::protocol::worker::TaskId;
 
 /// What decides whether a planned start may be sent now.
@@ -14,12 +14,12 @@
     /// Starts announced by statuses up to this one are known to all who must know.
     settled: u64,
     in_force: InForce,
-    jobs: &'a ByName<Job>,
+    jobs: &'a SortedMap<Job>,
 }
 
 impl<'a> StartGate<'a> {
     /// As of one decision of a controller.
-    pub(super) fn new(settled: u64, in_force: InForce, jobs: &'a ByName<Job>) -> Self {
+    pub(super) fn new(settled: u64, in_force: InForce, jobs: &'a SortedMap<Job>) -> Self {
         StartGate { settled, in_force, jobs }
     }
 
@@ -28,10 +28,10 @@
         &self,
         machine: &str,
         id: &TaskId,
-        task: &TaskOn,
+        task: &PlacedTask,
         counters: &mut Counters,
     ) -> Option<Permit> {
-        let permit = task.may_start(self.settled, self.in_force)?;
+        let permit = task.startable_permit(self.settled, self.in_force)?;
         if self.may_run_elsewhere(machine, id) {
             counters.starts_held_back += 1;
             let attempt = task.attempt;
@@ -42,7 +42,7 @@
     }
 
     fn may_run_elsewhere(&self, machine: &str, id: &TaskId) -> bool {
-        let places = self.jobs.get(&id.job).and_then(|job| job.on.get(&id.index));
+        let places = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
         places.is_some_and(|places| places.iter().any(|place| place != machine))
     }
 }
@@ -51,7 +51,7 @@
     /// Takes back the planned starts of tasks that have turned out to be on other machines too.
     pub(super) fn withdraw_duplicates(&mut self, tasks: &[TaskId]) {
         for id in tasks {
-            let places = self.jobs.get(&id.job).and_then(|job| job.on.get(&id.index));
+            let places = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
             for name in places.cloned().unwrap_or_default() {
                 self.drop_planned(&name, |task| task == id);
             }
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -28,30 +28,31 @@
     /// changed hands in this view.
     fn accounted(&self, name: &str, machine: &Machine, me: &Life) -> bool {
         // Since this view nobody but this controller starts tasks of its jobs.
-        if self.inquiry.covers(name) {
+        if self.witness_queries.covers(name) {
             return true;
         }
         if self.owns(machine) {
-            return machine.resolved || self.ledger.listed(name, me);
+            return machine.resolved || self.machine_knowledge.listed(name, me);
         }
         if !self.holds(machine) {
             // Its holder has ended: all that it ordered had been announced, or it is not known.
-            return self.ledger.listed(name, me);
+            return self.machine_knowledge.listed(name, me);
         }
         // Its holder may have been a job's owner until it saw this view.
-        (machine.resolved || self.ledger.listed(name, me)) && self.spoken(machine) >= self.view_stamp
+        (machine.resolved || self.machine_knowledge.listed(name, me))
+            && self.spoken(machine) >= self.view_revision
     }
 
     /// Jobs taken over may be started once every machine that could run them is accounted for.
     pub(super) fn check_adoption(&mut self) {
-        if !self.taking_over || self.blind() {
+        if !self.takeover_in_progress || self.blind() {
             return;
         }
-        let me = self.life();
-        let mut open = std::mem::take(&mut self.unresolved);
+        let me = self.incarnation();
+        let mut open = std::mem::take(&mut self.unresolved_machines);
         open.retain(|name| self.machines.get(name).is_some_and(|m| !self.accounted(name, m, &me)));
-        self.unresolved = open;
-        let open = || self.unresolved.iter().filter_map(|name| self.machines.get(name));
+        self.unresolved_machines = open;
+        let open = || self.unresolved_machines.iter().filter_map(|name| self.machines.get(name));
         // One of each sort stands for all.
         let mut sorts: Vec<&Machine> = Vec::new();
         for m in open() {
@@ -66,20 +67,20 @@
             }
         }
         let free = self.jobs.iter().filter(|(_, j)| {
-            j.adopting
-                && j.owner.as_deref() == Some(self.me())
+            j.takeover_pending
+                && j.owner.as_deref() == Some(self.own_name())
                 && !sorts.iter().any(|m| may_be_on(&j.spec, m))
         });
         let free: Vec<String> = free.map(|(id, _)| id.clone()).collect();
-        let all = self.unresolved.is_empty();
+        let all = self.unresolved_machines.is_empty();
         if all {
-            self.taking_over = false;
-            let held = self.machines.values().filter(|m| !m.unused() && !m.resolved).count();
+            self.takeover_in_progress = false;
+            let held = self.machines.values().filter(|m| !m.never_granted() && !m.resolved).count();
             self.counters.takeovers += 1;
-            self.counters.takeovers_listed += u64::from(held > 0);
+            self.counters.takeovers_fully_known += u64::from(held > 0);
             tracing::info!(jobs = free.len(), listed = held, "took over");
         } else if !free.is_empty() {
-            tracing::info!(jobs = free.len(), open = self.unresolved.len(), "took over in part");
+            tracing::info!(jobs = free.len(), open = self.unresolved_machines.len(), "took over in part");
         }
         for id in &free {
             self.take_up(id);
@@ -89,7 +90,7 @@
         }
         if all || !free.is_empty() {
             self.soon_status();
-            self.place_due = true;
+            self.placement_due = true;
         }
     }
 
@@ -97,12 +98,12 @@
     /// controller need not have been told: a controller that has just joined learns so what the others
     /// have confirmed before they counted on it, also of its own machines of a life before.
     fn ask_witnesses(&mut self) {
-        let Some(question) = self.inquiry.due(self.now) else { return };
-        let view = self.view_stamp;
+        let Some(question) = self.witness_queries.due(self.now) else { return };
+        let view = self.view_revision;
         let status = |member: &String, node: u64| {
             self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.stamp == node)
         };
-        let others = || self.nodes.iter().filter(|(member, _)| **member != self.settings.member);
+        let others = || self.registrations.iter().filter(|(member, _)| **member != self.settings.member);
         if !others().all(|(member, node)| status(member, *node).is_some_and(|s| s.cleared >= view)) {
             return;
         }
@@ -115,9 +116,9 @@
                 .into_iter()
                 .collect(),
         };
-        let question = self.inquiry.ask(self.now);
-        let stamp = self.life().1;
-        tracing::debug!(question, to = ?witnesses, open = self.unresolved.len(), "asking for testimony");
+        let question = self.witness_queries.ask(self.now);
+        let stamp = self.incarnation().1;
+        tracing::debug!(question, to = ?witnesses, open = self.unresolved_machines.len(), "asking for testimony");
         for to in witnesses {
             self.effects.push(Effect::Send(to, PeerMessage::Witness { stamp, question }));
         }
@@ -126,17 +127,17 @@
     /// Tells one who takes jobs over what is known here of machines that are not known in full there.
     pub(super) fn testify(&mut self, asker: Life, question: u64) {
         // What the asker itself has ordered it need not be told; a later life of the same controller would.
-        if self.nodes.get(&asker.0) != Some(&asker.1) {
+        if self.registrations.get(&asker.0) != Some(&asker.1) {
             return;
         }
         // Others may have gone on without a controller that has not read the changes for so long.
         if !self.entitled() {
             return;
         }
-        let me = self.life();
+        let me = self.incarnation();
         // Of others their present holders tell.
-        let open = self.machines.iter().filter(|(_, m)| !(m.unused() || m.resolved && self.holds(m)));
-        let known = open.filter(|(name, _)| self.ledger.listed_for(name, &me, &asker));
+        let open = self.machines.iter().filter(|(_, m)| !(m.never_granted() || m.resolved && self.holds(m)));
+        let known = open.filter(|(name, _)| self.machine_knowledge.listed_for(name, &me, &asker));
         let machines = known.map(|(_, m)| self.word(m)).collect();
         let testimony = PeerMessage::Testimony { stamp: me.1, asker: asker.1, question, machines };
         self.effects.push(Effect::Send(Some(asker.0), testimony));
@@ -144,7 +145,10 @@
 
     /// Another controller has told all that it knows of machines.
     pub(super) fn testified(&mut self, from: &str, stamp: u64, question: u64, told: &[MachineStatus]) {
-        if self.nodes.get(from) != Some(&stamp) || !self.taking_over || !self.inquiry.counts(question) {
+        if self.registrations.get(from) != Some(&stamp)
+            || !self.takeover_in_progress
+            || !self.witness_queries.counts(question)
+        {
             return;
         }
         tracing::debug!(from, question, machines = told.len(), "testimony");
@@ -156,33 +160,33 @@
             if let Some(m) = self.machines.get_mut(&word.machine).filter(|m| m.addr.is_empty()) {
                 m.addr.clone_from(&word.addr);
             }
-            let (nodes, members) = (&self.nodes, &self.view.members);
+            let (nodes, members) = (&self.registrations, &self.view.members);
             let over = |life: &Life| nodes.get(&life.0) != Some(&life.1) && !members.contains(life);
-            self.ledger.witnessed(&word.machine, over);
-            self.inquiry.cover(&word.machine);
+            self.machine_knowledge.witnessed(&word.machine, over);
+            self.witness_queries.cover(&word.machine);
         }
         self.check_adoption();
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// A job is fully taken over: from here on this controller places it.
     fn take_up(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.adopting = false;
-        let places = job.on.iter().flat_map(|(index, on)| on.iter().map(move |name| (*index, name)));
+        job.takeover_pending = false;
+        let places = job.placements.iter().flat_map(|(index, on)| on.iter().map(move |name| (*index, name)));
         let ended = places.filter_map(|(index, name)| {
             let task = TaskId::new(id, index);
             let on = self.machines.get(name)?.tasks.get(&task)?;
             (on.ended() && on.cause == Some(Cause::Done)).then_some(task)
         });
         let ended: Vec<TaskId> = ended.collect();
-        ended.iter().for_each(|task| self.completed(task));
+        ended.iter().for_each(|task| self.record_completion(task));
     }
 
     /// Starts announced by statuses up to this one may be ordered.
     pub(super) fn settled(&self) -> u64 {
         #[cfg(test)]
-        if self.careless {
+        if self.skip_confirmations {
             return u64::MAX;
         }
         self.announcements.settled()
@@ -201,7 +205,7 @@
         self.announcements.confirmed(self.now, &by, sequence);
         if self.cleared() != cleared {
             // Whoever takes jobs over waits for this.
-            self.status_due = Some(self.now);
+            self.status_due_at = Some(self.now);
         }
         if self.announcements.settled() != before {
             self.speak();
@@ -212,30 +216,30 @@
     pub(super) fn uninformed_by(&mut self, member: &str, value: &Json, stamp: u64) {
         let Ok(record) = value.read::<UninformedRecord>() else {
             // What cannot be read may name this controller.
-            if let Some(node) = self.nodes.get(member) {
-                self.ledger.uninformed(&(member.to_owned(), *node), true);
+            if let Some(node) = self.registrations.get(member) {
+                self.machine_knowledge.uninformed(&(member.to_owned(), *node), true);
             }
             return;
         };
-        if member == self.me() {
-            self.uninformed = (record, stamp);
+        if member == self.own_name() {
+            self.uninformed_record = (record, stamp);
         } else {
-            let named = record.peers.contains(&self.life());
-            self.ledger.uninformed(&(member.to_owned(), record.node), named);
+            let named = record.peers.contains(&self.incarnation());
+            self.machine_knowledge.uninformed(&(member.to_owned(), record.node), named);
         }
     }
 
     /// Keeps the record of the controllers that this one does not wait for as it should be.
     pub(super) fn record_uninformed(&mut self) {
         #[cfg(test)]
-        if self.careless {
+        if self.skip_confirmations {
             return;
         }
-        if self.recording || !self.entitled() {
+        if self.uninformed_write_in_flight || !self.entitled() {
             return;
         }
-        let (me, node) = self.life();
-        let stored: BTreeSet<Life> = match &self.uninformed.0 {
+        let (me, node) = self.incarnation();
+        let stored: BTreeSet<Life> = match &self.uninformed_record.0 {
             record if record.node == node => record.peers.iter().cloned().collect(),
             _ => BTreeSet::new(),
         };
@@ -247,21 +251,25 @@
         let Ok(value) = serde_json::to_value(UninformedRecord { node, peers }) else { return };
         let key = records::uninformed(&me);
         let transaction = Transaction {
-            conditions: vec![Condition::new(key.clone(), self.uninformed.1), self.entitlement()],
+            conditions: vec![Condition::new(key.clone(), self.uninformed_record.1), self.entitlement()],
             writes: vec![Write::put(key, value)],
         };
-        self.recording = true;
+        self.uninformed_write_in_flight = true;
         self.announcements.record_sent(&record);
         tracing::debug!(uninformed = ?record, "recording whom starts do not wait for");
-        self.store(Urgency::Entitlement, Purpose::Uninformed { record }, StoreCall::Commit(transaction));
+        self.enqueue_store_call(
+            Urgency::Entitlement,
+            Purpose::Uninformed { record },
+            StoreCall::Commit(transaction),
+        );
     }
 
     pub(super) fn uninformed_recorded(&mut self, record: BTreeSet<Life>, reply: StoreReply) {
-        self.recording = false;
+        self.uninformed_write_in_flight = false;
         if let StoreReply::Committed { revision } = reply {
-            let (node, peers) = (self.life().1, record.iter().cloned().collect());
-            if self.uninformed.1 < revision {
-                self.uninformed = (UninformedRecord { node, peers }, revision);
+            let (node, peers) = (self.incarnation().1, record.iter().cloned().collect());
+            if self.uninformed_record.1 < revision {
+                self.uninformed_record = (UninformedRecord { node, peers }, revision);
             }
             self.announcements.record_holds(self.now, &record);
             self.speak();
--- a/src/coordination/volume_plan.rs
+++ b/src/coordination/volume_plan.rs
@@ -138,11 +138,13 @@
         let mut jobs: Vec<(&String, &Job)> = self
             .jobs
             .iter()
-            .filter(|(id, j)| (j.spec.gpus > 0.0) == accelerated && j.unfinished() > 0 && !self.held(id))
+            .filter(|(id, j)| {
+                (j.spec.gpus > 0.0) == accelerated && j.unfinished() > 0 && !self.awaits_retry(id)
+            })
             .collect();
         // Running jobs keep their floors; the others are admitted by priority, then arrival, when all
         // fit, and else as the shares of team and class allow (`marblewalk_admission::pool`).
-        jobs.sort_by_cached_key(|(_, j)| (j.on.is_empty(), self.precedence(j)));
+        jobs.sort_by_cached_key(|(_, j)| (j.placements.is_empty(), self.precedence(j)));
         let sorts: Vec<&Machine> = supply.sorts.iter().map(|(m, _)| *m).collect();
         let mut sizes: HashMap<_, (f64, f64)> = HashMap::new();
         let size = |spec: &JobSpec| {
@@ -170,7 +172,7 @@
             };
             let priority = job.spec.priority.weight() * weight;
             let claim = Claim { priority, demand: most, floor: offer.floor(), size: offer.size };
-            let (begun, precedence) = (!job.on.is_empty(), self.precedence(job));
+            let (begun, precedence) = (!job.placements.is_empty(), self.precedence(job));
             admitted.push(Admitted { id, job, claim, turn, accelerated, begun, precedence });
         }
         (admitted, flows)
@@ -190,7 +192,7 @@
         }
         move |job| {
             let spec = &job.spec;
-            let age = self.now.since(job.since).as_secs_f64();
+            let age = self.now.since(job.known_since).as_secs_f64();
             let aims = aims.get(spec.class.as_str()).into_iter().flatten().copied();
             let due = spec.deadline_s.into_iter().chain(aims).map(|within| within - age);
             let (size, usable) = size(spec);
@@ -200,17 +202,17 @@
                 team: &spec.team,
                 class: &spec.class,
                 rank: spec.priority as u8,
-                arrival: job.stamp,
-                tasks: self.worth_trying(&spec.id, job),
+                arrival: job.accepted_revision,
+                tasks: self.tasks_worth_starting(&spec.id, job),
                 of: spec.tasks,
                 whole: spec.shape != Shape::Array,
-                begun: !job.on.is_empty(),
+                begun: !job.placements.is_empty(),
                 started: job.started(),
                 size,
                 usable,
                 task_s: spec.estimate_s,
                 due_s: pool::nearest(due, spec.estimate_s),
-                starts_missed: self.starts_missed(job).0,
+                starts_missed: self.missed_starts(job).0,
             }
         }
     }
@@ -235,7 +237,7 @@
             .objectives
             .iter()
             .filter(|o| o.kind == "finished" && o.class.as_deref() == Some(job.spec.class.as_str()));
-        let age = self.now.since(job.since).as_secs_f64();
+        let age = self.now.since(job.known_since).as_secs_f64();
         let mut due = job.spec.deadline_s.into_iter().chain(aims.filter_map(|o| o.within_s));
         if due.any(|within| within - age > job.spec.estimate_s * 0.6) {
             URGENT * (1.0 + SMALL / f64::from(job.unfinished().max(1)).sqrt())
--- a/src/coordination/waiting.rs
+++ b/src/coordination/waiting.rs
@@ -1,49 +1,49 @@
 //! Why jobs have nothing running.
 //!
-//! Placement notes for each job that it passes over what stood in its way. Once a second this is put together with what
-//! keeps a job from being looked at by placement at all: each waiting job of this controller then has exactly one reason.
-//! Operators see the jobs counted by reason, and in the log each job that has waited for long.
+//! Placement records for each job that it cannot place the reason. Once a second this is combined with the reasons for which
+//! placement does not consider a job at all, so that each waiting job of this controller has exactly one reason. The metrics
+//! count waiting jobs by reason, and jobs that have waited for long are logged.
 
 use std::collections::BTreeMap;
 
 use crate::coordination::model::Job;
 use crate::coordination::{Controller, Micros};
 
-/// How often the reasons are put together.
-const NOTE_EVERY: Micros = Micros::from_secs(1);
-/// A job that has waited for so long for one reason is logged.
+/// How often the reasons are updated.
+const UPDATE_INTERVAL: Micros = Micros::from_secs(1);
+/// A job is logged once it has waited this long for the same reason.
 const LOG_AFTER: Micros = Micros::from_secs(30);
-/// The most jobs that are logged at a time.
-const MOST_LOGGED: usize = 20;
+/// Maximum number of jobs logged per update.
+const MAX_LOGGED: usize = 20;
 
 /// What keeps a job from having a task running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WaitReason {
-    /// The leader gives it no volume.
+    /// The leader gives the job no volume.
     NotAdmitted,
-    /// It was taken over, and not all that may still run of it is known.
+    /// The job was taken over, and not all of its tasks that may still run are known.
     TakingOver,
-    /// It fails wherever it runs, and waits for its next try.
+    /// The job's tasks fail on every machine, and it waits for its next try.
     RetryLater,
-    /// Its team's limit is being divided, or nothing of the team may start here after a breach.
+    /// The team's limit is being divided among the controllers, or a breach of it blocks the team's starts here.
     QuotaUndivided,
-    /// This controller's share of the team's processors has no room for it.
+    /// This controller's remaining share of the team's processors is too small.
     QuotaProcessors,
-    /// This controller's share of the team's accelerators has no room for it.
+    /// This controller's remaining share of the team's accelerators is too small.
     QuotaAccelerators,
-    /// No machine of this controller has room for it where it may run.
+    /// No machine of this controller that the job may run on has enough free resources.
     NoMachine,
-    /// Starts are planned and not ordered: not all other controllers have confirmed them.
+    /// Starts are planned and not ordered yet, because not all other controllers have confirmed them.
     Unconfirmed,
 }
 
 impl WaitReason {
-    /// Whether a machine with more room would help.
-    pub(super) fn is_for_machines(self) -> bool {
+    /// Whether a machine with more free resources would help.
+    pub(super) fn is_lack_of_machines(self) -> bool {
         self == WaitReason::NoMachine
     }
 
-    /// Its name among the operators' figures.
+    /// The value of the metrics' `reason` label.
     pub fn name(self) -> &'static str {
         match self {
             WaitReason::NotAdmitted => "not_admitted",
@@ -58,32 +58,33 @@
     }
 }
 
-/// A job's wait, as the controller that keeps it has noted it.
+/// How long a job has been waiting and why, as tracked by its owner.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wait {
-    /// Since when none of its tasks has been placed; none while one is.
-    pub since: Option<Micros>,
-    /// Why placement last passed it over.
-    pub passed_over: Option<WaitReason>,
-    /// The reason last put together, and since when it has been this one.
+pub struct JobWait {
+    /// Since when no task of the job has been placed; `None` while one is.
+    pub unplaced_since: Option<Micros>,
+    /// Why the last placement pass did not place a task of the job.
+    pub placement_refusal: Option<WaitReason>,
+    /// The reason as of the last update, and since when it has been the same.
     reason: Option<(WaitReason, Micros)>,
+    /// Whether the wait for this reason has been logged.
     logged: bool,
 }
 
-impl Wait {
-    /// For how long nothing of the job has been placed.
+impl JobWait {
+    /// How long no task of the job has been placed.
     pub fn waited(&self, now: Micros) -> Micros {
-        self.since.map_or(Micros::ZERO, |since| now.since(since))
+        self.unplaced_since.map_or(Micros::ZERO, |since| now.since(since))
     }
 
-    /// Why it has nothing running, and since when that has been the reason.
+    /// Why the job has nothing running, and since when that has been the reason.
     #[cfg(test)]
     pub fn reason(&self) -> Option<(WaitReason, Micros)> {
         self.reason
     }
 
-    /// Notes a reason; whether it is due to be logged.
-    fn note(&mut self, now: Micros, reason: Option<WaitReason>) -> bool {
+    /// Updates the reason. Returns whether the wait is due to be logged.
+    fn update_reason(&mut self, now: Micros, reason: Option<WaitReason>) -> bool {
         let Some(reason) = reason else {
             (self.reason, self.logged) = (None, false);
             return false;
@@ -98,73 +99,74 @@
     }
 }
 
-/// The waiting jobs of this controller, counted by reason.
+/// Number of this controller's waiting jobs by reason.
 #[derive(Debug, Default)]
-pub(crate) struct Waits {
-    noted_at: Micros,
+pub(crate) struct WaitSummary {
+    updated_at: Micros,
     counts: BTreeMap<WaitReason, u64>,
 }
 
 impl Controller {
-    /// How many jobs of this controller have nothing running, by reason.
+    /// Number of this controller's jobs that have nothing running, by reason.
     pub fn jobs_waiting(&self) -> impl Iterator<Item = (WaitReason, u64)> {
-        self.waits.counts.iter().map(|(reason, count)| (*reason, *count))
+        self.wait_summary.counts.iter().map(|(reason, count)| (*reason, *count))
     }
 
-    /// For how long nothing of a job has been placed.
+    /// How long no task of a job has been placed.
     pub(super) fn waited(&self, id: &str) -> Micros {
         self.jobs.get(id).map_or(Micros::ZERO, |job| job.wait.waited(self.now))
     }
 
-    /// Puts the reasons together, once a second.
-    pub(super) fn note_waits(&mut self) {
-        if self.now.since(self.waits.noted_at) < NOTE_EVERY {
+    /// Updates the wait reasons of all jobs, once a second.
+    pub(super) fn update_wait_reasons(&mut self) {
+        if self.now.since(self.wait_summary.updated_at) < UPDATE_INTERVAL {
             return;
         }
-        self.waits.noted_at = self.now;
+        self.wait_summary.updated_at = self.now;
         let reasons: Vec<Option<WaitReason>> =
             self.jobs.iter().map(|(id, job)| self.wait_reason(id, job)).collect();
         let now = self.now;
         let mut counts = BTreeMap::new();
-        let mut due = Vec::new();
+        let mut to_log = Vec::new();
         for (index, (job, reason)) in self.jobs.values_mut().zip(reasons).enumerate() {
             let placed = job.placed() > 0;
             let wait = &mut job.wait;
             if placed {
-                wait.since = None;
+                wait.unplaced_since = None;
             } else {
-                wait.since.get_or_insert(now);
+                wait.unplaced_since.get_or_insert(now);
             }
             if let Some(reason) = reason {
                 *counts.entry(reason).or_default() += 1;
             }
-            if wait.note(now, reason) && due.len() < MOST_LOGGED {
+            if wait.update_reason(now, reason) && to_log.len() < MAX_LOGGED {
                 wait.logged = true;
-                due.push(index);
+                to_log.push(index);
             }
         }
-        self.waits.counts = counts;
-        due.into_iter().for_each(|index| self.log_wait(index));
+        self.wait_summary.counts = counts;
+        to_log.into_iter().for_each(|index| self.log_wait(index));
     }
 
     /// Why one of this controller's jobs has nothing running.
     fn wait_reason(&self, id: &str, job: &Job) -> Option<WaitReason> {
-        if job.unfinished() == 0 || job.completing || job.owner.as_deref() != Some(self.me()) {
+        if job.unfinished() == 0 || job.completion_in_flight || job.owner.as_deref() != Some(self.own_name())
+        {
             return None;
         }
-        if let Some((index, places)) = job.on.first_key_value().filter(|_| job.placed() > 0) {
+        if let Some((index, places)) = job.placements.first_key_value().filter(|_| job.placed() > 0) {
             let task = crate::protocol::worker::TaskId::new(id, *index);
-            let mut on = places.iter().filter_map(|name| self.machines.get(name)?.tasks.get(&task));
-            return on.all(|t| t.planned()).then_some(WaitReason::Unconfirmed);
+            let mut tasks = places.iter().filter_map(|name| self.machines.get(name)?.tasks.get(&task));
+            return tasks.all(|t| t.planned()).then_some(WaitReason::Unconfirmed);
         }
-        if job.adopting {
+        if job.takeover_pending {
             Some(WaitReason::TakingOver)
-        } else if self.held(id) {
+        } else if self.awaits_retry(id) {
             Some(WaitReason::RetryLater)
         } else if self.wanted(job) == 0 {
             Some(WaitReason::NotAdmitted)
         } else {
-            job.wait.passed_over
+            job.wait.placement_refusal
         }
     }
 
@@ -181,8 +183,8 @@
             turn = ?job.turn,
             share = ?self.quota_share(&job.spec.team),
             used = ?self.team_usage(&job.spec.team),
-            zones_reserved = self.reserved.len(),
-            "a job has nothing running"
+            zones_reserved = self.gang_reservations.len(),
+            "job has nothing running"
         );
     }
 }
--- a/src/coordination/words.rs
+++ b/src/coordination/words.rs
@@ -10,7 +10,7 @@
 use marblewalk_recovery::Hearing;
 
 use crate::coordination::conclusions::{Evidence, Sighting};
-use crate::coordination::model::{Machine, TaskOn};
+use crate::coordination::model::{Machine, PlacedTask};
 use crate::coordination::removal::Removal;
 use crate::coordination::{Controller, Effect, Peer, Phase};
 use crate::protocol::peer::{MachineStatus, PeerMessage, Status, Tally, TaskStatus};
@@ -32,48 +32,49 @@
 impl Controller {
     pub(super) fn soon_status(&mut self) {
         let at = self.now + GATHER;
-        self.status_due = Some(self.status_due.map_or(at, |due| due.min(at)));
+        self.status_due_at = Some(self.status_due_at.map_or(at, |due| due.min(at)));
     }
 
     pub(super) fn status_tick(&mut self) {
-        let regular = self.now.since(self.status_sent) >= REGULAR;
-        let repeat = self.announcements.owed() && self.now.since(self.announced_at) >= REPEAT;
-        if regular || repeat || self.status_due.is_some_and(|at| at <= self.now) {
+        let regular = self.now.since(self.last_regular_status_at) >= REGULAR;
+        let repeat = self.announcements.owed() && self.now.since(self.last_status_at) >= REPEAT;
+        if regular || repeat || self.status_due_at.is_some_and(|at| at <= self.now) {
             self.send_status(regular);
         }
     }
 
     fn send_status(&mut self, regular: bool) {
-        self.status_due = None;
-        self.announced_at = self.now;
+        self.status_due_at = None;
+        self.last_status_at = self.now;
         if regular {
-            self.status_sent = self.now;
+            self.last_regular_status_at = self.now;
         }
-        let whole = self.told.is_empty();
+        let whole = self.sent_machine_statuses.is_empty();
         self.status_sequence += 1;
-        self.statuses_to_single = 0;
+        self.unicast_statuses = 0;
         let (machines, tallies) = self.changed_words(regular);
-        let over = if whole { self.all_ends() } else { self.ends_to_tell(regular) };
-        let confirm = self.mark_announced() || self.announcements.owed() || self.ends_owed();
+        let over = if whole { self.all_ends_for_broadcast() } else { self.ends_to_announce(regular) };
+        let confirm =
+            self.mark_announced() || self.announcements.owed() || self.has_unconfirmed_withdrawals();
         let status = Status { whole, confirm, machines, tallies, over, ..self.bare_status() };
-        if self.lead.is_some() {
+        if self.leader_state.is_some() {
             let own = self.settings.member.clone();
             let status = Some(Status { machines: Vec::new(), tallies: Vec::new(), ..status.clone() });
-            self.peers.insert(own, Peer { heard: self.now, status, ..Default::default() });
+            self.peers.insert(own, Peer { last_heard: self.now, status, ..Default::default() });
         }
         self.effects.push(Effect::Send(None, PeerMessage::Status(status)));
     }
 
     /// All words, for one who has missed some. What has changed meanwhile comes again with the next.
     fn tell_all(&mut self, to: String) {
-        self.statuses_to_single += 1;
+        self.unicast_statuses += 1;
         let machines: Vec<MachineStatus> =
             self.machines.values().filter(|m| self.owns(m)).map(|m| self.word(m)).collect();
         let held = self.machines.values().filter(|m| self.owns(m));
         let tallies =
             held.map(|m| Tally { machine: m.row.machine.clone(), session: m.session, tally: m.tally });
         let tallies = tallies.collect();
-        let over = self.all_ends_for_one();
+        let over = self.all_ends_for_unicast();
         let status = Status { whole: true, machines, tallies, over, ..self.bare_status() };
         self.effects.push(Effect::Send(Some(to), PeerMessage::Status(status)));
     }
@@ -81,7 +82,7 @@
     /// What has changed since the others were told. Every machine is compared, rather than marked
     /// where it changes: there are many such places, and a mark forgotten would be a task forgotten.
     fn changed_words(&mut self, regular: bool) -> (Vec<MachineStatus>, Vec<Tally>) {
-        let mut told = std::mem::take(&mut self.told);
+        let mut told = std::mem::take(&mut self.sent_machine_statuses);
         told.retain(|name, _| self.machines.get(name).is_some_and(|m| self.owns(m)));
         let mut words = Vec::new();
         let mut tallies = Vec::new();
@@ -102,18 +103,18 @@
                 tallies.push(Tally { machine: name.clone(), session: read.0, tally: read.1 });
             }
         }
-        self.told = told;
+        self.sent_machine_statuses = told;
         (words, tallies)
     }
 
     /// All planned starts are in what the others have been told by now. Whether any is new.
     fn mark_announced(&mut self) -> bool {
-        let (me, node) = self.life();
+        let (me, node) = self.incarnation();
         let mut any = false;
         for machine in self.machines.values_mut().filter(|m| m.row.node == node && m.row.owner == me) {
             for t in machine.tasks.values_mut() {
-                if t.planned() && t.announced == 0 {
-                    t.announced = self.status_sequence;
+                if t.planned() && t.announced_in_status == 0 {
+                    t.announced_in_status = self.status_sequence;
                     any = true;
                 }
             }
@@ -130,21 +131,21 @@
 
     /// Since when an own machine has been unheard, if for longer than its report may be late.
     fn unheard_since(&self, machine: &Machine) -> Option<Micros> {
-        let last = machine.heard.unwrap_or(machine.since);
+        let last = machine.last_heard.unwrap_or(machine.known_since);
         (self.now.since(last) > self.latest_report()).then_some(last)
     }
 
     fn still_so(&self, m: &Machine, word: &MachineStatus) -> bool {
-        let task = |((id, t), said): ((&TaskId, &TaskOn), &TaskStatus)| {
+        let task = |((id, t), said): ((&TaskId, &PlacedTask), &TaskStatus)| {
             t.attempt == said.attempt && t.state == said.state && t.cause == said.cause && *id == said.task
         };
         word.token == m.row.token
             && word.resolved == m.resolved
-            && word.renew == m.renew
+            && word.renew == m.token_renewal_needed
             && word.up == m.up
-            && word.apart == m.apart
-            && word.notice == m.notice
-            && word.lost == m.lost
+            && word.apart == m.quarantined
+            && word.notice == m.preemption_notice
+            && word.lost == m.unresponsive
             && word.tasks.len() == m.tasks.len()
             && word.silent_since == self.unheard_since(m)
             && word.idle_since == Self::idle_since(m)
@@ -163,12 +164,12 @@
             machine: m.row.machine.clone(),
             token: m.row.token,
             resolved: m.resolved,
-            renew: m.renew,
+            renew: m.token_renewal_needed,
             addr: m.addr.clone(),
             up: m.up,
-            apart: m.apart,
-            notice: m.notice,
-            lost: m.lost,
+            apart: m.quarantined,
+            notice: m.preemption_notice,
+            lost: m.unresponsive,
             idle_since: Self::idle_since(m),
             silent_since: self.unheard_since(m),
             tasks: tasks.collect(),
@@ -179,15 +180,15 @@
     fn bare_status(&mut self) -> Status {
         Status {
             sequence: self.status_sequence,
-            single: self.statuses_to_single,
+            single: self.unicast_statuses,
             whole: false,
             confirm: false,
             cleared: self.cleared(),
             clock: self.now,
-            applied: self.applied,
-            stamp: self.lease.as_ref().map_or(0, |l| l.stamp),
-            store_ok: self.now.since(self.store_heard) < Micros::from_secs(2),
-            adopted: !self.taking_over && self.in_view(),
+            applied: self.applied_revision,
+            stamp: self.lease.as_ref().map_or(0, |l| l.registration),
+            store_ok: self.now.since(self.last_store_reply_at) < Micros::from_secs(2),
+            adopted: !self.takeover_in_progress && self.in_view(),
             usage: self.usage(),
             usage_exact: self.usage_is_exact(),
             machines: Vec::new(),
@@ -203,7 +204,7 @@
         if self.phase != Phase::Active {
             return;
         }
-        if message.meant_for().is_some_and(|registration| registration != self.life().1) {
+        if message.meant_for().is_some_and(|registration| registration != self.incarnation().1) {
             self.counters.replies_misdirected += 1;
             return;
         }
@@ -215,11 +216,11 @@
                 self.testified(&from, stamp, question, &machines);
             }
             PeerMessage::Seen { stamp, sequence, .. } => {
-                self.status_heard((from.clone(), stamp), sequence);
+                self.status_acknowledged((from.clone(), stamp), sequence);
                 self.confirmed((from, stamp), sequence);
             }
-            PeerMessage::Door(word) => self.door_said(&from, word),
-            PeerMessage::Plan(plan) => self.plan_said(&plan),
+            PeerMessage::Door(word) => self.handle_load_report(&from, word),
+            PeerMessage::Plan(plan) => self.handle_rate_plan(&plan),
             PeerMessage::Volumes { leader, volumes, kept, reserved, surplus, .. } => {
                 if self.leader.as_ref().is_some_and(|l| l.0 == from && l.2 == leader) {
                     self.take_volumes(&volumes, kept, reserved);
@@ -236,12 +237,12 @@
         // Words of a former life, or of a life this controller has not heard of yet, count for nothing.
         let over = std::mem::take(&mut status.over);
         // What is over holds whoever says so.
-        over.iter().for_each(|ended| self.told_end(ended));
-        if self.nodes.get(&from) != Some(&status.stamp) {
+        over.iter().for_each(|ended| self.apply_peer_end(ended));
+        if self.registrations.get(&from) != Some(&status.stamp) {
             return;
         }
         let life = (from.clone(), status.stamp);
-        if !self.ledger.is_newest(&life, status.position()) {
+        if !self.machine_knowledge.is_newest(&life, status.position()) {
             self.counters.statuses_outdated += 1;
             return;
         }
@@ -255,13 +256,13 @@
         let tallies = std::mem::take(&mut status.tallies);
         let stops = std::mem::take(&mut status.stops);
         // What is in no record that the sender had read has left them since, and is spoken of no more.
-        let read = status.applied <= self.applied && !self.blind();
+        let read = status.applied <= self.applied_revision && !self.blind();
         words.retain(|word| !read || self.machines.contains_key(&word.machine));
         let told = !words.is_empty();
         let peer = self.peers.entry(from.clone()).or_default();
         let before = peer.status.as_ref().filter(|s| s.stamp == status.stamp);
         if before.is_none() {
-            peer.words.clear();
+            peer.machine_statuses.clear();
         } else if status.whole {
             // A word under a grant that has not been read here is all that is known of what this controller has confirmed
             // there: the sender may have given the machine away since.
@@ -269,21 +270,21 @@
             let unread = |word: &MachineStatus| {
                 machines.get(&word.machine).is_none_or(|machine| machine.row.token < word.token)
             };
-            peer.words.retain(|_, word| unread(word));
+            peer.machine_statuses.retain(|_, word| unread(word));
         }
-        let hearing = self.ledger.heard(&life, status.sequence, status.whole, status.applied);
+        let hearing = self.machine_knowledge.heard(&life, status.sequence, status.whole, status.applied);
         let reply = match hearing {
             Hearing::Complete if status.confirm || status.whole => {
-                let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
+                let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
                 Some(PeerMessage::Seen { stamp, asker: status.stamp, sequence: status.sequence })
             }
-            Hearing::Broken if now.since(peer.asked_again) >= ASK_SPACING => {
-                peer.asked_again = now;
+            Hearing::Broken if now.since(peer.resync_requested_at) >= ASK_SPACING => {
+                peer.resync_requested_at = now;
                 Some(PeerMessage::Again)
             }
             _ => None,
         };
-        peer.heard = now;
+        peer.last_heard = now;
         peer.status = Some(status);
         for stop in stops {
             self.request_stop(&stop.machine, &stop.task, stop.attempt, Micros::from_millis(stop.grace_ms));
@@ -292,7 +293,7 @@
             self.machine_told(&from, word);
         }
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.words.extend(words.into_iter().map(|w| (w.machine.clone(), w)));
+            peer.machine_statuses.extend(words.into_iter().map(|w| (w.machine.clone(), w)));
         }
         for read in tallies {
             if let Some(machine) = self.machines.get_mut(&read.machine).filter(|m| m.row.owner == from) {
@@ -303,18 +304,19 @@
         if let Some(reply) = reply {
             self.effects.push(Effect::Send(Some(from.clone()), reply));
         }
-        self.refusals.remove(&from);
+        self.refused_connections.remove(&from);
         self.check_adoption();
-        self.place_due |= told;
+        self.placement_due |= told;
     }
 
     /// The revision as of which a machine's owner has spoken of it under its present grant.
     pub(super) fn spoken(&self, machine: &Machine) -> u64 {
         let holder = (machine.row.owner.clone(), machine.row.node);
-        let Some(peer) = self.peers.get(&holder.0).filter(|_| self.ledger.unbroken(&holder)) else {
+        let Some(peer) = self.peers.get(&holder.0).filter(|_| self.machine_knowledge.unbroken(&holder))
+        else {
             return 0;
         };
-        let word = peer.words.get(&machine.row.machine).filter(|w| w.token == machine.row.token);
+        let word = peer.machine_statuses.get(&machine.row.machine).filter(|w| w.token == machine.row.token);
         let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.node && word.is_some());
         status.map_or(0, |s| s.applied)
     }
@@ -323,14 +325,14 @@
     pub(super) fn recall_word(&mut self, name: &str) {
         let Some(machine) = self.machines.get(name) else { return };
         let owner = machine.row.owner.clone();
-        if let Some(word) = self.peers.get(&owner).and_then(|p| p.words.get(name)).cloned() {
+        if let Some(word) = self.peers.get(&owner).and_then(|p| p.machine_statuses.get(name)).cloned() {
             self.machine_told(&owner, &word);
         }
     }
 
     fn machine_told(&mut self, from: &str, told: &MachineStatus) {
         let Some(machine) = self.machines.get(&told.machine) else { return };
-        let node = self.nodes.get(from).copied();
+        let node = self.registrations.get(from).copied();
         if machine.row.token != told.token || machine.row.owner != from || Some(machine.row.node) != node {
             return self.told_too_late(told);
         }
@@ -345,16 +347,16 @@
             if let (TaskState::Ended, Some(cause)) = (t.state, t.cause) {
                 ended.push((t.task.clone(), cause, !before));
             }
-            let on = TaskOn {
+            let on = PlacedTask {
                 attempt: t.attempt,
                 state: t.state,
                 cause: t.cause,
                 need: known.map_or_else(|| self.need_of(&t.task.job), |k| k.need),
                 pending: None,
-                announced: 0,
-                stop: known.and_then(|k| k.stop),
-                told: false,
-                since: known.map_or(self.now, |k| k.since),
+                announced_in_status: 0,
+                stop_grace: known.and_then(|k| k.stop_grace),
+                stop_sent: false,
+                started_at: known.map_or(self.now, |k| k.started_at),
             };
             seen.insert(t.task.clone(), on);
         }
@@ -373,27 +375,27 @@
         self.remember_images(&told.machine);
         if let Some(machine) = self.machines.get_mut(&told.machine) {
             machine.resolved = told.resolved;
-            machine.known |= told.resolved;
-            machine.renew = told.renew;
+            machine.ever_resolved |= told.resolved;
+            machine.token_renewal_needed = told.renew;
             if !told.addr.is_empty() {
                 machine.addr = told.addr.clone();
             }
             machine.up = told.up;
-            machine.apart = told.apart;
-            machine.notice = told.notice;
-            machine.lost = told.lost;
+            machine.quarantined = told.apart;
+            machine.preemption_notice = told.notice;
+            machine.unresponsive = told.lost;
             machine.silent_since = told.silent_since;
             machine.idle_since = told.idle_since.unwrap_or(self.now);
         }
         if let Some(node) = node {
-            self.ledger.told(&told.machine, &(from.to_owned(), node), told.resolved);
+            self.machine_knowledge.told(&told.machine, &(from.to_owned(), node), told.resolved);
         }
         for (task, cause, new) in ended {
             if cause == Cause::Done {
-                self.completed(&task);
+                self.record_completion(&task);
             }
             if new {
-                self.note_outcome(&told.machine, &task, cause);
+                self.record_outcome(&told.machine, &task, cause);
             }
         }
     }
@@ -413,16 +415,16 @@
         let Some(machine) = self.machines.get(&told.machine) else { return };
         let mut tasks = machine.tasks.clone();
         for t in &told.tasks {
-            tasks.entry(t.task.clone()).or_insert_with(|| TaskOn {
+            tasks.entry(t.task.clone()).or_insert_with(|| PlacedTask {
                 attempt: t.attempt,
                 state: t.state,
                 cause: t.cause,
                 need: self.need_of(&t.task.job),
                 pending: None,
-                announced: 0,
-                stop: None,
-                told: false,
-                since: self.now,
+                announced_in_status: 0,
+                stop_grace: None,
+                stop_sent: false,
+                started_at: self.now,
             });
             if let Some(job) = self.jobs.get_mut(&t.task.job) {
                 job.attempt = job.attempt.max(t.attempt);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::coordination::{DRIFT, SLACK};
+use crate::coordination::{CLOCK_DRIFT, LEASE_SLACK};
 use crate::protocol::units::Micros;
 
 #[derive(Debug, thiserror::Error)]
@@ -276,7 +276,7 @@
     }
 
     fn margin(worker_lease: Micros) -> Micros {
-        worker_lease.mul_f64(DRIFT) + SLACK + SLACK
+        worker_lease.mul_f64(CLOCK_DRIFT) + LEASE_SLACK + LEASE_SLACK
     }
 
     /// Checks that a withdrawal holds in time, whatever fails.
--- a/src/transport/links.rs
+++ b/src/transport/links.rs
@@ -61,7 +61,7 @@
         match connected {
             Ok(Ok(stream)) => converse(&me, stream, &mut messages).await,
             Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
-                let _ = inputs.send(Input::Reply(Event::Refused(to.member.clone()))).await;
+                let _ = inputs.send(Input::Reply(Event::ConnectionRefused(to.member.clone()))).await;
             }
             _ => {}
         }
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -88,7 +88,7 @@
                     let (http, inputs) = (worker.at(&addr), inputs.clone());
                     tokio::spawn(async move {
                         let reply = workers::send(&http, &orders).await;
-                        let event = Event::Worker { machine, token: orders.token, reply };
+                        let event = Event::WorkerReply { machine, token: orders.token, reply };
                         let _ = inputs.send(Input::Reply(event)).await;
                     });
                 }
@@ -134,16 +134,16 @@
         ("knowledge_age_ms", c.knowledge_age().as_millis()),
         ("machines_held", held as u64),
         ("machines_known", known as u64),
-        ("machines_unaccounted", c.adopting() as u64),
-        ("machines_apart", c.machines_apart() as u64),
-        ("machines_deaf", c.machines_deaf() as u64),
+        ("machines_unaccounted", c.unresolved_machine_count() as u64),
+        ("machines_apart", c.quarantined_machine_count() as u64),
+        ("machines_deaf", c.non_receiving_machine_count() as u64),
         ("jobs_live", c.job_count() as u64),
-        ("jobs_mistaken", c.jobs_mistaken() as u64),
-        ("store_calls_waiting", c.waiting_calls() as u64),
+        ("jobs_mistaken", c.broken_job_count() as u64),
+        ("store_calls_waiting", c.waiting_store_calls() as u64),
         ("reports_total", n.reports),
         ("reports_stale_total", n.reports_stale),
-        ("reports_odd_total", n.reports_odd),
-        ("placement_passes_total", n.passes),
+        ("reports_odd_total", n.reports_mismatched),
+        ("placement_passes_total", n.placement_passes),
         ("task_starts_total", n.starts),
         ("task_stops_total", n.stops),
         ("task_completions_total", n.completions),
@@ -154,14 +154,14 @@
         ("grants_total", n.grants),
         ("grant_conflicts_total", n.grant_conflicts),
         ("machines_rented_total", n.rentals),
-        ("rentals_refused_total", n.refusals),
+        ("rentals_refused_total", n.rentals_refused),
         ("machines_returned_total", n.returns),
         ("rejoins_total", n.rejoins),
         ("takeovers_total", n.takeovers),
-        ("takeovers_listed_total", n.takeovers_listed),
-        ("confirmations_owed", c.confirmations_owed().into()),
-        ("ends_unsettled", c.ends_unsettled() as u64),
-        ("records_unread", c.records_unread() as u64),
+        ("takeovers_listed_total", n.takeovers_fully_known),
+        ("confirmations_owed", c.has_unconfirmed_starts().into()),
+        ("ends_unsettled", c.unsettled_end_count() as u64),
+        ("records_unread", c.unreadable_record_count() as u64),
         ("direct_starts_already_answered_total", n.starts_already_answered),
         ("starts_held_back_total", n.starts_held_back),
         ("replies_misdirected_total", n.replies_misdirected),
@@ -172,7 +172,7 @@
     let mut text: String = rows.iter().map(|(name, value)| format!("marblewalk_{name} {value}\n")).collect();
     // Names of classes are the users' own: quotes and line ends would make rows of them.
     let name = |s: &str| s.replace(['"', '\\', '\n'], "_");
-    let (planned, appointments, flows) = c.at_the_door();
+    let (planned, appointments, flows) = c.admission_metrics();
     text += &format!("marblewalk_admission_plan_in_force {}\n", u64::from(planned));
     text += &format!("marblewalk_admission_appointments {appointments}\n");
     for (flow, row) in flows {
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -60,15 +60,15 @@
         event: impl FnOnce(RequestId) -> Event,
         patience: Duration,
     ) -> Answer {
-        let Ok(_permit) = pending.try_acquire() else { return Answer::Later(1) };
+        let Ok(_permit) = pending.try_acquire() else { return Answer::RetryLater(1) };
         let request = self.next.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
         if self.inputs.try_send(Input::Request(request, event(request), tx)).is_err() {
-            return Answer::Later(1);
+            return Answer::RetryLater(1);
         }
         match tokio::time::timeout(patience, rx).await {
             Ok(Ok(answer)) => answer,
-            _ => Answer::Later(1),
+            _ => Answer::RetryLater(1),
         }
     }
 }
@@ -98,17 +98,15 @@
         Answer::Orders(orders) => {
             body(StatusCode::OK, serde_json::to_value(orders).unwrap_or_else(|_| json!({})))
         }
-        Answer::Elsewhere(Some(member)) => {
-            body(StatusCode::MISDIRECTED_REQUEST, json!({ "Harbour": member }))
-        }
-        Answer::Elsewhere(None) => body(StatusCode::MISDIRECTED_REQUEST, json!({})),
+        Answer::Redirect(Some(member)) => body(StatusCode::MISDIRECTED_REQUEST, json!({ "Harbour": member })),
+        Answer::Redirect(None) => body(StatusCode::MISDIRECTED_REQUEST, json!({})),
         Answer::Job { created, id, state, done, running } => {
             let status = if created { StatusCode::CREATED } else { StatusCode::OK };
             body(status, json!({ "Uid": id, "Status": state.name(), "done": done, "running": running }))
         }
         Answer::NotFound => error(StatusCode::NOT_FOUND, "no such job"),
-        Answer::Impossible(why) => error(StatusCode::UNPROCESSABLE_ENTITY, why),
-        Answer::Later(seconds) => {
+        Answer::Rejected(why) => error(StatusCode::UNPROCESSABLE_ENTITY, why),
+        Answer::RetryLater(seconds) => {
             let mut response = error(StatusCode::SERVICE_UNAVAILABLE, "not now");
             response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(seconds));
             response
