--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -13,16 +13,16 @@
 use crate::protocol::peer::PeerMessage;
 use crate::protocol::units::Micros;
 
-/// The usable part of the state service's limits. The rest is a margin for clock differences and for calls that the service
-/// counts later than they were sent.
+/// The usable part of the state service's limits. The rest is a margin for clock differences and for calls that the
+/// service counts later than they were sent.
 const LIMIT_MARGIN: f64 = 0.95;
-/// The leader's part of the write limit. The leader writes grants and rentals, and with many controllers an even part would
-/// not allow one grant per second.
+/// The leader's part of the write limit. The leader writes grants and rentals, and with many controllers an even part
+/// would not allow one grant per second.
 const LEADER_WRITE_SHARE: f64 = 1.0 / 3.0;
 /// The part of the limits that the leader's plans lease to controllers. The rest is divided statically.
 const LEASED_SHARE: f64 = 0.25;
-/// The part of a controller's writes that new submissions may use. The rest is for recording the progress and the end of
-/// accepted jobs.
+/// The part of a controller's writes that new submissions may use. The rest is for recording the progress and the end
+/// of accepted jobs.
 const SUBMISSION_WRITE_SHARE: f64 = 0.6;
 /// How often controllers send load reports.
 const LOAD_REPORT_INTERVAL: Micros = Micros::from_millis(500);
@@ -30,15 +30,19 @@
 const PLAN_INTERVAL: Micros = Micros::from_secs(1);
 
 impl Controller {
-    /// For the metrics: whether a rate plan is in force here, the number of open retry slots, and by team and class how many
-    /// submissions were offered, accepted and deferred.
+    /// For the metrics: whether a rate plan is in force here, the number of open retry slots, and by team and class how
+    /// many submissions were offered, accepted and deferred.
     pub fn admission_metrics(&self) -> (bool, usize, Vec<(Flow, Row)>) {
         let rows = self.submission_limiter.flows.iter().map(|(flow, row)| (flow, row.clone()));
-        (self.held_lease.in_force(self.now).is_some(), self.submission_limiter.appointments(), rows.collect())
+        (
+            self.held_rate_lease.in_force(self.now).is_some(),
+            self.submission_limiter.appointments(),
+            rows.collect(),
+        )
     }
 
-    /// For the metrics of the leader: demand and share of the teams and classes with the highest demand, and for how many
-    /// seconds the oldest job of each has been waiting for its first task.
+    /// For the metrics of the leader: demand and share of the teams and classes with the highest demand, and for how
+    /// many seconds the oldest job of each has been waiting for its first task.
     pub fn pool_shares(&self) -> Vec<(&FlowShare, f64)> {
         let mut shares: Vec<&FlowShare> = self.leader_state.iter().flat_map(|l| &l.shares).collect();
         if shares.is_empty() {
@@ -66,14 +70,15 @@
         Rates { changes: part(state.write_rps), calls: part(state.rps) }
     }
 
-    /// Sets the rates of calls to the state service: this controller's static part plus what it holds by a plan in force.
+    /// Sets the rates of calls to the state service: this controller's static part plus what it holds by a plan in
+    /// force.
     pub(super) fn set_rates(&mut self) {
         let (count, state) = (self.controller_count(), self.settings.params.state);
         let own = if count > 1.0 { LIMIT_MARGIN * (1.0 - LEASED_SHARE) } else { LIMIT_MARGIN };
         let leaders = LEADER_WRITE_SHARE.max(1.0 / count);
         let leads = self.leader_state.is_some() || count == 1.0;
         let part = if leads { leaders } else { (1.0 - leaders) / (count - 1.0) };
-        let held = self.held_lease.rates(self.now);
+        let held = self.held_rate_lease.rates(self.now);
         let calls = state.rps * own / count + held.calls as f64 / 1e3;
         let writes = state.write_rps * own * part + held.changes as f64 / 1e3;
         self.base_rates = (state.rps * own / count, state.write_rps * own * part);
@@ -91,7 +96,7 @@
     /// Sends this controller's load report and, if it is the leader, publishes the next rate plan, as each is due.
     pub(super) fn admission_tick(&mut self) {
         self.set_rates();
-        self.submission_limiter.follow(self.held_lease.in_force(self.now));
+        self.submission_limiter.follow(self.held_rate_lease.in_force(self.now));
         if self.now >= self.next_load_report_at && self.entitled() && self.controller_count() > 1.0 {
             self.next_load_report_at = self.now + LOAD_REPORT_INTERVAL;
             let word = self.build_load_report();
@@ -112,8 +117,8 @@
         Word {
             life: self.lease.as_ref().map_or(0, |l| l.registration),
             clock: self.now,
-            plan: self.held_lease.number(),
-            holds: self.held_lease.rates(self.now),
+            plan: self.held_rate_lease.number(),
+            holds: self.held_rate_lease.rates(self.now),
             wants: Rates {
                 changes: beyond(changes, self.base_rates.1),
                 calls: beyond(calls, self.base_rates.0),
@@ -146,7 +151,7 @@
     pub(super) fn handle_rate_plan(&mut self, plan: &Plan) {
         let leader = self.leader.as_ref().map_or(0, |l| l.2);
         let life = self.lease.as_ref().map_or(0, |l| l.registration);
-        if self.held_lease.take(self.now, (&self.settings.member, life), leader, plan) {
+        if self.held_rate_lease.take(self.now, (&self.settings.member, life), leader, plan) {
             self.set_rates();
         }
     }
--- a/src/coordination/eligibility.rs
+++ b/src/coordination/eligibility.rs
@@ -10,9 +10,9 @@
 /// Accelerators count as spare while at least one in this many is free.
 const SPARE_DIVISOR: u64 = 4;
 
-/// Whether a task would occupy a machine that is more expensive than it needs: an idle accelerator machine, if it uses no
-/// accelerators, or an on-demand machine, if it may run on a spot machine. If left idle, such a machine can be returned or
-/// used by work that requires it.
+/// Whether a task would occupy a machine that is more expensive than it needs: an idle accelerator machine, if it uses
+/// no accelerators, or an on-demand machine, if it may run on a spot machine. If left idle, such a machine can be
+/// returned or used by work that requires it.
 pub(super) fn keeps_costly_machine(spec: &JobSpec, machine: &Machine) -> bool {
     (spec.gpus == 0.0 && machine.supply.gpu > 0 && machine.idle()) || (spec.spot && !machine.row.spot)
 }
@@ -20,7 +20,8 @@
 /// How much of accelerator machines jobs without accelerators leave to jobs that use them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AcceleratorPolicy {
-    /// Processors, in thousandths, to leave free for each free accelerator: the most that a live job uses per accelerator.
+    /// Processors, in thousandths, to leave free for each free accelerator: the most that a live job uses per
+    /// accelerator.
     cpu_per_accelerator: u64,
     /// Teams are guaranteed accelerators, so that the machines are retained anyway, and many accelerators are free.
     many_spare: bool,
@@ -41,8 +42,9 @@
 
     /// Whether a job may not start a task in the free `room` of a machine, to leave it to jobs that use accelerators.
     ///
-    /// A job without accelerators may use what accelerator work leaves free on a machine. It may not occupy an accelerator
-    /// machine alone, which costs several times as much as another one, unless that machine is retained and paid for anyway.
+    /// A job without accelerators may use what accelerator work leaves free on a machine. It may not occupy an
+    /// accelerator machine alone, which costs several times as much as another one, unless that machine is retained and
+    /// paid for anyway.
     pub(super) fn excludes(self, spec: &JobSpec, machine: &Machine, room: Resources) -> bool {
         let unrestricted = self.overdue || self.is_spare(machine);
         if spec.gpus > 0.0 || machine.supply.gpu == 0 || spec.types.is_some() || unrestricted {
@@ -82,8 +84,8 @@
     (!spec.one_zone || all == here) && (!spec.spread || here < spec.tasks.div_ceil(2))
 }
 
-/// Machines held back from a job for gangs that have precedence and fit nowhere yet: zone, or empty for all zones, and the
-/// gang's description.
+/// Machines held back from a job for gangs that have precedence and fit nowhere yet: zone, or empty for all zones, and
+/// the gang's description.
 pub(super) struct GangHold<'a>(Vec<(&'a str, &'a JobSpec)>);
 
 impl<'a> GangHold<'a> {
--- a/src/coordination/failures.rs
+++ b/src/coordination/failures.rs
@@ -6,8 +6,8 @@
 use crate::protocol::worker::{Cause, TaskId, TaskState};
 use marblewalk_blame::Standing;
 
-/// A service counts as healthy if one of its replicas has run this long on another machine. Other jobs only count as healthy
-/// once a task has completed, because a fault in the job may show in a task's last second.
+/// A service counts as healthy if one of its replicas has run this long on another machine. Other jobs only count as
+/// healthy once a task has completed, because a fault in the job may show in a task's last second.
 const HEALTHY_REPLICA_AGE: Micros = Micros::from_secs(60);
 
 impl Controller {
@@ -43,8 +43,8 @@
             )
     }
 
-    /// Quarantines own machines or ends their quarantine after an outcome on `name`: checks that machine and all machines on
-    /// which the job has failed.
+    /// Quarantines own machines or ends their quarantine after an outcome on `name`: checks that machine and all
+    /// machines on which the job has failed.
     fn update_quarantine(&mut self, name: &str, job: &str) {
         let mut names = self.fault_attribution.failed_on(job);
         names.push(name.to_owned());
@@ -96,7 +96,8 @@
             && matches!(self.fault_attribution.job(id), Standing::Mistaken { until } if until > self.now)
     }
 
-    /// How many of a job's tasks are worth starting. For a broken array one task is enough to see whether it still fails.
+    /// How many of a job's tasks are worth starting. For a broken array one task is enough to see whether it still
+    /// fails.
     pub(super) fn tasks_worth_starting(&self, id: &str, job: &Job) -> u32 {
         let all = job.unfinished();
         if job.spec.shape == Shape::Array && all > 1 && self.is_broken(id) { 1 } else { all }
--- a/src/coordination/finals.rs
+++ b/src/coordination/finals.rs
@@ -1,17 +1,17 @@
 //! Final states of jobs: caching them, announcing them to the other controllers, and answering users with them.
 //!
 //! A final state never changes, so a controller that knows one can answer with it without asking the state service. A
-//! controller announces to the others the ends that it has recorded or found in the records, and reads the ends recorded
-//! before it joined page by page. Otherwise each query about an ended job would cost two requests at every controller that
-//! has not been asked before: after a restart of all controllers, queries about a thousand such jobs would stay unanswered
-//! for longer than their users wait.
+//! controller announces to the others the ends that it has recorded or found in the records, and reads the ends
+//! recorded before it joined page by page. Otherwise each query about an ended job would cost two requests at every
+//! controller that has not been asked before: after a restart of all controllers, queries about a thousand such jobs
+//! would stay unanswered for longer than their users wait.
 //!
-//! A withdrawal is confirmed to its user only when it is *settled*: every controller knows of it or is inactive. After the
-//! confirmation no task of the job may start, and a controller that does not know of the withdrawal might start one. Until
-//! then the request waits, and it is deferred when its user would not wait longer. A withdrawal is also settled once a
-//! controller that has not read it must be inactive (see `knowledge.rs`). The answer that a job is done waits for the other
-//! controllers as well, but for a second at most, because the only rule that depends on it is that no controller may give
-//! an older answer afterwards.
+//! A withdrawal is confirmed to its user only when it is *settled*: every controller knows of it or is inactive. After
+//! the confirmation no task of the job may start, and a controller that does not know of the withdrawal might start
+//! one. Until then the request waits, and it is deferred when its user would not wait longer. A withdrawal is also
+//! settled once a controller that has not read it must be inactive (see `knowledge.rs`). The answer that a job is done
+//! waits for the other controllers as well, but for a second at most, because the only rule that depends on it is that
+//! no controller may give an older answer afterwards.
 
 use std::collections::BTreeSet;
 
@@ -30,8 +30,8 @@
 const SCAN_RETRY_DELAY: Micros = Micros::from_secs(1);
 /// Maximum number of ends in one status; further ones go with the next.
 const MAX_ENDS_PER_STATUS: usize = 500;
-/// How long the answer that a job is done waits at most until every controller knows of it, because a check by another one
-/// that found the job live may still be in flight. Users expect the answer within 3 s.
+/// How long the answer that a job is done waits at most until every controller knows of it, because a check by another
+/// one that found the job live may still be in flight. Users expect the answer within 3 s.
 const MAX_DONE_DELAY: Micros = Micros::from_secs(1);
 /// Minimum time between two checks of the requests that wait for an end to be settled.
 const MIN_END_CHECK_INTERVAL: Micros = Micros::from_millis(10);
@@ -45,8 +45,8 @@
     tasks: u32,
     /// The revision that recorded the end, or a later one.
     revision: u64,
-    /// Time from which the end counts as settled in any case. For a withdrawal, every controller that does not know of it
-    /// is inactive by then; that a job is done is answered from then on even if another controller does not know.
+    /// Time from which the end counts as settled in any case. For a withdrawal, every controller that does not know of
+    /// it is inactive by then; that a job is done is answered from then on even if another controller does not know.
     settled_at: Micros,
     /// Whether this controller announces the end to the others.
     announce: bool,
@@ -86,7 +86,8 @@
 }
 
 impl Controller {
-    /// Stores a job's final state, which was recorded at `revision` or earlier, and tracks whether all controllers know it.
+    /// Stores a job's final state, which was recorded at `revision` or earlier, and tracks whether all controllers know
+    /// it.
     pub(super) fn record_end(&mut self, id: &str, end: FinalRecord, revision: u64, source: EndSource) {
         self.final_states.insert(id, end.state, end.tasks);
         let announce = source == EndSource::Records;
@@ -121,15 +122,16 @@
     }
 
     /// Applies an end announced by another controller. As an end is final, the job's tasks are stopped at once, without
-    /// waiting for the change in the records, which the state service may not deliver to this controller for a long time.
+    /// waiting for the change in the records, which the state service may not deliver to this controller for a long
+    /// time.
     pub(super) fn apply_peer_end(&mut self, ended: &Ended) {
         let end = FinalRecord { state: ended.state, tasks: ended.tasks };
         self.record_end(&ended.job, end, ended.revision, EndSource::Peer);
         self.retire(&ended.job);
     }
 
-    /// Whether every registered controller has applied the changes up to `revision`, or has received the status numbered
-    /// `announced_in_status`. A controller that registers later loads records that are at least as recent.
+    /// Whether every registered controller has applied the changes up to `revision`, or has received the status
+    /// numbered `announced_in_status`. A controller that registers later loads records that are at least as recent.
     fn known_to_all(&self, revision: u64, announced_in_status: Option<u64>) -> bool {
         let received = |member: &String, registration: u64| {
             let status = announced_in_status.filter(|n| *n > 0);
@@ -192,8 +194,8 @@
         }
     }
 
-    /// The ends to announce in the next status. Every status announces new ones; a `regular` status repeats those that some
-    /// controllers may not know of, because a status may be lost.
+    /// The ends to announce in the next status. Every status announces new ones; a `regular` status repeats those that
+    /// some controllers may not know of, because a status may be lost.
     pub(super) fn ends_to_announce(&mut self, regular: bool) -> Vec<Ended> {
         if self.unsettled_ends.is_empty() {
             return Vec::new();
@@ -214,8 +216,8 @@
         announced
     }
 
-    /// All ends that this controller announces, for a full broadcast status. Its receipt confirms all earlier statuses as
-    /// well, so ends that do not fit have to be announced again.
+    /// All ends that this controller announces, for a full broadcast status. Its receipt confirms all earlier statuses
+    /// as well, so ends that do not fit have to be announced again.
     pub(super) fn all_ends_for_broadcast(&mut self) -> Vec<Ended> {
         let mut unsettled = std::mem::take(&mut self.unsettled_ends);
         let chosen = select_ends(&unsettled, |s| s.announce);
@@ -228,8 +230,8 @@
 
     /// The same for a status to a single controller.
     ///
-    /// It has the number of the last broadcast, which the other controllers may have confirmed without receiving these ends.
-    /// Therefore the ends are not marked as announced in it.
+    /// It has the number of the last broadcast, which the other controllers may have confirmed without receiving these
+    /// ends. Therefore the ends are not marked as announced in it.
     pub(super) fn all_ends_for_unicast(&mut self) -> Vec<Ended> {
         let chosen = select_ends(&self.unsettled_ends, |s| s.announce);
         reannounce_unselected(&mut self.unsettled_ends, &chosen);
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -10,8 +10,8 @@
 use crate::protocol::worker::{TaskId, TaskState};
 
 impl Controller {
-    /// Plans starts of all tasks of a gang and returns their number, or plans none and returns the reason. If tasks of the
-    /// gang are still placed, only replacements for missing ones of the same attempt are planned.
+    /// Plans starts of all tasks of a gang and returns their number, or plans none and returns the reason. If tasks of
+    /// the gang are still placed, only replacements for missing ones of the same attempt are planned.
     pub(super) fn place_gang(&mut self, id: &str, rooms: &mut Rooms) -> Result<usize, WaitReason> {
         let Some(job) = self.jobs.get(id) else { return Ok(0) };
         let spec = job.spec.clone();
@@ -35,7 +35,8 @@
             zones = names.into_iter().map(|z| Some(z.clone())).collect();
         }
         let size = spec.tasks as usize;
-        // Best fit: of the zones that have room for the gang, the one with the least room, as a larger gang may come next.
+        // Best fit: of the zones that have room for the gang, the one with the least room, as a larger gang may come
+        // next.
         let mut best: Option<(usize, Vec<String>)> = None;
         for zone in zones {
             let only = zone.as_deref().map_or(Only::All, Only::Zone);
@@ -55,8 +56,8 @@
         Ok(size)
     }
 
-    /// Plans replacements for missing tasks of a gang that has not begun to run, with the gang's attempt number. A task is
-    /// missing if its start was lost or refused.
+    /// Plans replacements for missing tasks of a gang that has not begun to run, with the gang's attempt number. A task
+    /// is missing if its start was lost or refused.
     fn replace_missing_gang_tasks(&mut self, id: &str, spec: &JobSpec, rooms: &mut Rooms) -> usize {
         let Some(job) = self.jobs.get(id) else { return 0 };
         let mut attempts = BTreeSet::new();
@@ -80,8 +81,8 @@
         names.len()
     }
 
-    /// Stops all tasks of a gang if one of them is being stopped, or if its machine has a preemption notice, so that all
-    /// tasks save their state.
+    /// Stops all tasks of a gang if one of them is being stopped, or if its machine has a preemption notice, so that
+    /// all tasks save their state.
     pub(super) fn propagate_gang_stops(&mut self) {
         let mut stops: Vec<(String, TaskId, Micros)> = Vec::new();
         for (id, job) in &self.jobs {
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Checks in one transaction whether the polled jobs are still live. A read for each poll would exceed this controller's
-    /// part of the request limit.
+    /// Checks in one transaction whether the polled jobs are still live. A read for each poll would exceed this
+    /// controller's part of the request limit.
     pub(super) fn check_polls(&mut self) {
         if self.pending_polls.is_empty() || self.now < self.next_poll_check_at {
             return;
@@ -209,7 +209,8 @@
             if conditions.len() == max_jobs && !conditions.contains_key(job.as_str()) {
                 break;
             }
-            // No record has this revision, so the condition fails and a job that has ended in the meantime is looked up.
+            // No record has this revision, so the condition fails and a job that has ended in the meantime is looked
+            // up.
             let stamp = self.jobs.get(job).map_or(u64::MAX >> 1, |j| j.accepted_revision);
             conditions.insert(job, stamp);
             checked += 1;
@@ -324,8 +325,9 @@
                 Err(_) => self.answer(question.request, Answer::RetryLater(1)),
             },
             StoreReply::Missing => match missing {
-                // A job was never accepted only if it was not live, and after that had no final record either. Without the
-                // first check, a withdrawal that failed because its controller had been evicted was answered with 404.
+                // A job was never accepted only if it was not live, and after that had no final record either. Without
+                // the first check, a withdrawal that failed because its controller had been evicted was answered with
+                // 404.
                 Missing::Unknown { as_of, wanted } if self.is_recent(as_of) => {
                     let answer = match wanted {
                         Wanted::Refusal(why) => Answer::Rejected(why),
--- a/src/coordination/knowledge.rs
+++ b/src/coordination/knowledge.rs
@@ -1,9 +1,9 @@
 //! Bounds the age of the knowledge that a controller acts on.
 //!
-//! A controller answers workers, starts tasks and answers users about its jobs only while its knowledge is recent enough;
-//! otherwise it is inactive. It may act for one lease term after the *older* of two successful requests to the state
-//! service, counted from the time each was sent: the last renewal of its lease, and the last request that returned all
-//! changes.
+//! A controller answers workers, starts tasks and answers users about its jobs only while its knowledge is recent
+//! enough; otherwise it is inactive. It may act for one lease term after the *older* of two successful requests to the
+//! state service, counted from the time each was sent: the last renewal of its lease, and the last request that
+//! returned all changes.
 //!
 //! Neither is sufficient alone. A renewal shows that the controller's machines were not granted to others, but nothing
 //! about jobs. After an outage of the state service all leases get their full term again, so a controller that had been
@@ -53,12 +53,13 @@
     Live,
     /// The job's record has been applied and deleted since, so the job has ended.
     Ended,
-    /// The reply is too old or this controller may not act. Another controller may have ended the job and told its user.
+    /// The reply is too old or this controller may not act. Another controller may have ended the job and told its
+    /// user.
     Uncertain,
 }
 
-/// Maximum age of a state service reply on which a user is told that a job is live, or unknown. Replies take milliseconds,
-/// and occasionally a few hundred.
+/// Maximum age of a state service reply on which a user is told that a job is live, or unknown. Replies take
+/// milliseconds, and occasionally a few hundred.
 const MAX_LOOKUP_AGE: Micros = Micros::from_millis(500);
 
 impl Controller {
@@ -89,15 +90,15 @@
         }
     }
 
-    /// The time from which every controller has read the changes up to `revision` or is inactive, derived from when this
-    /// controller read them.
+    /// The time from which every controller has read the changes up to `revision` or is inactive, derived from when
+    /// this controller read them.
     pub(super) fn read_by_all_at(&self, revision: u64) -> Micros {
         let read = self.read_history.iter().find(|(applied, _)| *applied >= revision).map(|(_, at)| *at);
         read.unwrap_or(self.now) + self.lease_term
     }
 
-    /// Records that the changes up to the applied revision have been read now. Entries are a sixteenth of a lease term apart,
-    /// which is precise enough for [`Controller::read_by_all_at`].
+    /// Records that the changes up to the applied revision have been read now. Entries are a sixteenth of a lease term
+    /// apart, which is precise enough for [`Controller::read_by_all_at`].
     pub(super) fn record_read_revision(&mut self) {
         let interval = Micros(self.lease_term.0 / 16);
         if self.read_history.back().is_some_and(|(_, at)| self.now.since(*at) < interval) {
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Whether an evicted controller may still be active. It may not know of the eviction until its lease, possibly renewed
-    /// just before, has expired, unless it has registered again.
+    /// Whether an evicted controller may still be active. It may not know of the eviction until its lease, possibly
+    /// renewed just before, has expired, unless it has registered again.
     pub(super) fn evicted_may_act(&self) -> bool {
         let term = self.lease_term + self.lease_term.mul_f64(CLOCK_DRIFT) + LEASE_SLACK;
         let registered_again = |member: &String, eviction: u64| {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,7 +1,7 @@
 //! The controller's scheduling and coordination logic, as state machines without I/O and without a clock.
 //!
-//! A [`Controller`] handles events, each with a time on its monotonic clock, and returns the effects that the caller is to
-//! carry out. It never blocks, so a seeded test can simulate a whole cluster step by step.
+//! A [`Controller`] handles events, each with a time on its monotonic clock, and returns the effects that the caller is
+//! to carry out. It never blocks, so a seeded test can simulate a whole cluster step by step.
 
 mod admission;
 mod backfill;
@@ -85,8 +85,8 @@
 
 /// A map from names of jobs or machines, sorted by name: insert with `insert_sorted`, remove with `shift_remove`.
 ///
-/// Lookups and full scans are far more frequent than changes. A `BTreeMap` spent a fifth of all processor time on comparing
-/// names.
+/// Lookups and full scans are far more frequent than changes. A `BTreeMap` spent a fifth of all processor time on
+/// comparing names.
 pub(crate) type SortedMap<T> = IndexMap<String, T, FxBuildHasher>;
 
 /// State of a controller's registration.
@@ -152,7 +152,7 @@
     pub(crate) base_rates: (f64, f64),
     pub(crate) submission_limiter: Door,
     /// The part of the state service's limits that this controller holds by a plan of the leader.
-    pub(crate) held_lease: Held,
+    pub(crate) held_rate_lease: Held,
     pub(crate) next_load_report_at: Micros,
     pub(crate) cloud_calls: Budget<(CloudPurpose, CloudCall)>,
     cloud_calls_in_flight: HashMap<CallId, CloudPurpose>,
@@ -193,8 +193,8 @@
     pub(crate) shards: BTreeMap<usize, (Block, u64)>,
     /// Jobs that have ended while some of their tasks may still be on machines.
     pub(crate) retired: BTreeMap<String, Job>,
-    /// By job, the machines with tasks of jobs that this controller has no record of: the record has not been read yet, or
-    /// has been deleted. A new job looks up its machines here instead of scanning all of them.
+    /// By job, the machines with tasks of jobs that this controller has no record of: the record has not been read yet,
+    /// or has been deleted. A new job looks up its machines here instead of scanning all of them.
     pub(crate) machines_with_unknown_tasks: HashMap<String, BTreeSet<String>>,
     /// Recently ended jobs, whose tasks may still take resources: when the job was removed, its team, and the amount.
     pub(crate) recently_removed: VecDeque<(Micros, String, Resources)>,
@@ -222,8 +222,8 @@
     pub(crate) resumed_at: Micros,
     /// Controllers that refuse connections: time of the first refusal, and number of refusals.
     pub(crate) refused_connections: BTreeMap<String, (Micros, u32)>,
-    /// Workers that reported to this controller instead of their owner, by owner and machine: the first such report, and
-    /// the last one after the worker had been redirected to its owner.
+    /// Workers that reported to this controller instead of their owner, by owner and machine: the first such report,
+    /// and the last one after the worker had been redirected to its owner.
     pub(crate) worker_failovers: BTreeMap<(String, String), (Micros, Micros)>,
     /// Last known eviction of each controller: when this controller learned of it, and its revision.
     pub(crate) evictions: BTreeMap<String, (Micros, u64)>,
@@ -247,7 +247,8 @@
     pub(crate) remote_stops_pending: bool,
     /// Machines not accounted for yet since jobs were taken over.
     pub(crate) unresolved_machines: BTreeSet<String>,
-    /// Users' queries about jobs that this controller knows as live, waiting for the next check against the state service.
+    /// Users' queries about jobs that this controller knows as live, waiting for the next check against the state
+    /// service.
     pub(crate) pending_polls: Vec<Question>,
     pub(crate) next_poll_check_at: Micros,
     /// Final states of ended jobs.
@@ -317,7 +318,7 @@
             store_calls: Budget::new(state.rps * 0.95 / count, state.write_rps * 0.95 / count, 0.9),
             base_rates: (0.0, 0.0),
             submission_limiter: Door::default(),
-            held_lease: Held::default(),
+            held_rate_lease: Held::default(),
             next_load_report_at: Micros::ZERO,
             store_calls_in_flight: HashMap::new(),
             cloud_calls: Budget::new(cloud.rps * 0.8, cloud.rps, 1.0),
@@ -448,8 +449,8 @@
 
     /// Returns whether a placement pass is due; if so, the caller has to run it, as it counts as begun.
     ///
-    /// Passes are spaced because many events call for one. On a large deployment a pass for each event would take more than
-    /// the controller's whole share of the processor.
+    /// Passes are spaced because many events call for one. On a large deployment a pass for each event would take more
+    /// than the controller's whole share of the processor.
     pub(crate) fn begin_due_placement(&mut self) -> bool {
         let due = self.placement_due && self.now >= self.next_placement_at;
         if due {
@@ -550,9 +551,9 @@
 
     /// Whether the load balancer should send requests to this controller.
     ///
-    /// During an outage of the state service all controllers stay healthy and defer requests, because removing them from
-    /// the load balancer would only prolong the outage. A controller is unhealthy if it cannot reach the state service
-    /// while others can.
+    /// During an outage of the state service all controllers stay healthy and defer requests, because removing them
+    /// from the load balancer would only prolong the outage. A controller is unhealthy if it cannot reach the state
+    /// service while others can.
     pub fn healthy(&self) -> bool {
         if self.phase != Phase::Active {
             return false;
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -242,7 +242,8 @@
     }
 
     /// The permit of a planned start, if the start may be ordered now: the permit is valid, and every controller that
-    /// has to know of the start has confirmed it. `confirmed_through` is the number of the last status that they have confirmed.
+    /// has to know of the start has confirmed it. `confirmed_through` is the number of the last status that they have
+    /// confirmed.
     pub(in crate::coordination) fn startable_permit(
         &self,
         confirmed_through: u64,
@@ -260,8 +261,8 @@
 
 /// A recorded machine: its grant, its worker's messages and the tasks on it.
 ///
-/// The owner of a machine is the controller that it is granted to. For machines of other controllers some fields hold what
-/// their owners' statuses report.
+/// The owner of a machine is the controller that it is granted to. For machines of other controllers some fields hold
+/// what their owners' statuses report.
 #[derive(Debug)]
 pub struct Machine {
     pub row: BlockRow,
@@ -280,8 +281,8 @@
     pub session: u64,
     /// Number of the worker's last message in that session, report or reply to direct orders.
     pub tally: u64,
-    /// When a message of the present session was first received, which is no earlier than the session began. `None` if the
-    /// previous session has lapsed and no message of its successor has arrived yet.
+    /// When a message of the present session was first received, which is no earlier than the session began. `None` if
+    /// the previous session has lapsed and no message of its successor has arrived yet.
     pub session_seen_at: Option<Micros>,
     /// Number of the worker's last report. Unlike `tally` it ignores replies to direct orders.
     pub last_report_tally: u64,
@@ -301,8 +302,8 @@
     pub call_in_flight: bool,
     /// No direct call is made before this time.
     pub next_call_at: Micros,
-    /// A direct order may still arrive late. Until the machine has a fresh fencing token, which rules that out, its worker
-    /// is not ordered to forget tasks and gets no direct calls.
+    /// A direct order may still arrive late. Until the machine has a fresh fencing token, which rules that out, its
+    /// worker is not ordered to forget tasks and gets no direct calls.
     pub token_renewal_needed: bool,
     /// When a report, or the first message under the present grant, was last received.
     pub last_heard: Option<Micros>,
--- a/src/coordination/precedence.rs
+++ b/src/coordination/precedence.rs
@@ -21,8 +21,8 @@
 }
 
 impl Controller {
-    /// The order in which jobs are placed: [`Controller::precedence`], except that a backfilled array that has waited too
-    /// long comes first, so that its one task comes before further tasks of running jobs of any rank.
+    /// The order in which jobs are placed: [`Controller::precedence`], except that a backfilled array that has waited
+    /// too long comes first, so that its one task comes before further tasks of running jobs of any rank.
     pub(super) fn placement_precedence(&self, job: &Job) -> Precedence {
         let precedence = self.precedence(job);
         let backfilled_array = job.turn == Turn::Backfill && job.spec.shape == Shape::Array;
@@ -32,12 +32,12 @@
         precedence
     }
 
-    /// The order of jobs: by rank, then by the turn in the leader's plan if there is not enough capacity for all, else by
-    /// arrival.
+    /// The order of jobs: by rank, then by the turn in the leader's plan if there is not enough capacity for all, else
+    /// by arrival.
     ///
-    /// Gangs of a class with a start objective are ordered by the number of objectives they have missed, and then by size,
-    /// because in a full fleet one large gang would make many small ones late. A gang that has waited for longer than
-    /// `longest_wait_s` comes first in its rank. Broken jobs come last in their rank.
+    /// Gangs of a class with a start objective are ordered by the number of objectives they have missed, and then by
+    /// size, because in a full fleet one large gang would make many small ones late. A gang that has waited for longer
+    /// than `longest_wait_s` comes first in its rank. Broken jobs come last in their rank.
     pub(super) fn precedence(&self, job: &Job) -> Precedence {
         let rank = u8::MAX - job.spec.priority as u8;
         let at = |group, position| Precedence { rank, group, position, arrival: job.accepted_revision };
@@ -65,7 +65,8 @@
         }
     }
 
-    /// How many of its class's start objectives a job has missed, and the longest objective in seconds; 0 if there is none.
+    /// How many of its class's start objectives a job has missed, and the longest objective in seconds; 0 if there is
+    /// none.
     pub(super) fn missed_starts(&self, job: &Job) -> (u8, f64) {
         let age = self.now.since(job.known_since).as_secs_f64();
         let objectives = &self.settings.params.objectives;
--- a/src/coordination/progress.rs
+++ b/src/coordination/progress.rs
@@ -15,8 +15,9 @@
 impl Controller {
     /// Records in memory that a task has completed, as its worker reported to the machine's owner.
     ///
-    /// Only the job's owner does so, because it alone writes the record. If the leader counted a completion that the owner
-    /// does not know because it was lost with its machine, it would never again give the job a volume for that task.
+    /// Only the job's owner does so, because it alone writes the record. If the leader counted a completion that the
+    /// owner does not know because it was lost with its machine, it would never again give the job a volume for that
+    /// task.
     pub(super) fn record_completion(&mut self, task: &TaskId) {
         let me = self.settings.member.clone();
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|j| j.owner.as_ref() == Some(&me)) {
@@ -35,7 +36,8 @@
         self.next_progress_flush_at = self.now + Micros::from_millis(100);
         let me = self.settings.member.clone();
         let now = self.now;
-        // Workers keep ended tasks until their completions are recorded, so no completion is lost if many jobs take turns.
+        // Workers keep ended tasks until their completions are recorded, so no completion is lost if many jobs take
+        // turns.
         let jobs_with_progress =
             self.jobs.values().filter(|j| !j.dirty_chunks.is_empty() && j.owner.as_deref() == Some(&me));
         let cycle_s =
@@ -106,7 +108,8 @@
                 tracing::debug!(job = id, "job done");
                 self.soon_round();
             }
-            // The job was withdrawn, or this controller's registration has ended; the changes of the records will show it.
+            // The job was withdrawn, or this controller's registration has ended; the changes of the records will show
+            // it.
             _ => {
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.completion_in_flight = false;
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -8,7 +8,8 @@
 
 /// How long after the time for its first report a machine may stay unheard under a new grant.
 const UNHEARD_TIMEOUT: Micros = Micros::from_secs(3);
-/// How long a machine that does not answer direct calls may stay unheard under a new grant if jobs taken over wait for it.
+/// How long a machine that does not answer direct calls may stay unheard under a new grant if jobs taken over wait for
+/// it.
 const UNRESPONSIVE_TIMEOUT: Micros = Micros::from_secs(4);
 
 /// How well an owner reaches its machines.
@@ -38,11 +39,12 @@
     /// Machines that most likely are gone and are to be returned.
     ///
     /// These are machines that have not been heard since they were granted although their owner hears its others, and
-    /// machines with service replicas that neither report nor answer. Jobs taken over would wait for the former for as long
-    /// as the leases of the former owner and the worker together; the cloud's confirmation that a machine is returned ends
-    /// the wait at once.
+    /// machines with service replicas that neither report nor answer. Jobs taken over would wait for the former for as
+    /// long as the leases of the former owner and the worker together; the cloud's confirmation that a machine is
+    /// returned ends the wait at once.
     pub(super) fn unreachable_machines(&mut self) -> BTreeSet<String> {
-        // Reports come up to a quarter of their interval late, and a worker tries one controller per second to find its owner.
+        // Reports come up to a quarter of their interval late, and a worker tries one controller per second to find its
+        // owner.
         let limit = self.latest_report() + UNHEARD_TIMEOUT;
         let late = self.latest_report().as_secs_f64();
         let mut found = BTreeSet::new();
@@ -78,7 +80,8 @@
             let unheard_s = f64::from(self.dark(m));
             zone.expected += 1;
             zone.reporting += usize::from(m.resolved && unheard_s <= late);
-            // A machine that reports to another controller but takes no token for longer than its lease is not receiving.
+            // A machine that reports to another controller but takes no token for longer than its lease is not
+            // receiving.
             let not_receiving = lead.rescued.get(name).is_some_and(|times| *times >= DEAF)
                 || self.now.since(m.grant_seen_at) > self.worker_lease;
             if overdue && (not_receiving || !heard(name)) {
@@ -92,8 +95,8 @@
         }
         for (member, owner) in reach {
             // If an owner is cut off from a zone, no machine there is heard one report interval after the first missed
-            // report. The zone's machines are not returned; they are reassigned to controllers that hear them. After the
-            // cut its machines are heard again one by one, so the zone counts as silent for a worker lease longer.
+            // report. The zone's machines are not returned; they are reassigned to controllers that hear them. After
+            // the cut its machines are heard again one by one, so the zone counts as silent for a worker lease longer.
             for (zone, zone_reach) in &owner.zones {
                 if zone_reach.reporting * 2 < zone_reach.expected {
                     silent_zones.insert((member.to_owned(), (*zone).to_owned()), self.now);
--- a/src/coordination/rules.rs
+++ b/src/coordination/rules.rs
@@ -6,7 +6,8 @@
 
 use crate::protocol::units::Micros;
 
-/// Joining, which is registration and loading. The jitter keeps controllers that restart together from joining together.
+/// Joining, which is registration and loading. The jitter keeps controllers that restart together from joining
+/// together.
 pub const JOIN: Rule =
     Rule { first: Micros::from_millis(400), most: Micros::from_secs(2), growth: 1.5, jitter: 0.75 };
 
--- a/src/coordination/simulation/meetings_jobs.rs
+++ b/src/coordination/simulation/meetings_jobs.rs
@@ -19,20 +19,20 @@
     };
     for (node, c) in world.controllers.iter().enumerate().filter_map(|(n, c)| Some((n, c.as_ref()?))) {
         most("retired", c.retired.len());
-        most("removed", c.recently_removed.len());
-        most("strangers", c.machines_with_unknown_tasks.len());
+        most("recently removed", c.recently_removed.len());
+        most("machines with unknown tasks", c.machines_with_unknown_tasks.len());
         most("done_keys", c.done_keys.len());
-        most("spreading", c.unsettled_ends.len());
-        most("awaiting", c.end_waiters.len());
-        most("statuses heard", c.status_acks.len());
-        most("read by", c.read_history.len());
-        most("refusals", c.refused_connections.len());
-        most("turned", c.worker_failovers.len());
-        most("evicted", c.evictions.len());
+        most("unsettled ends", c.unsettled_ends.len());
+        most("end waiters", c.end_waiters.len());
+        most("status acks", c.status_acks.len());
+        most("read history", c.read_history.len());
+        most("refused connections", c.refused_connections.len());
+        most("worker failovers", c.worker_failovers.len());
+        most("evictions", c.evictions.len());
         most("rentals", c.rentals.len());
-        most("polls", c.pending_polls.len());
-        most("told", c.sent_machine_statuses.len());
-        most("quick", c.fast_start_jobs.len());
+        most("pending polls", c.pending_polls.len());
+        most("sent machine statuses", c.sent_machine_statuses.len());
+        most("fast start jobs", c.fast_start_jobs.len());
         most("calls in flight", c.store_calls_in_flight.len() + c.cloud_calls_in_flight.len());
         most("calls waiting", c.waiting_store_calls());
         let gone = |name: &&String| !c.machines.contains_key(*name);
@@ -42,10 +42,10 @@
         let (_, appointments, rows) = c.admission_metrics();
         most("appointments", appointments);
         most("rows at the door", rows.len());
-        most("blame", length(&c.fault_attribution));
-        most("ledger", length(&c.machine_knowledge));
+        most("fault attribution", length(&c.fault_attribution));
+        most("machine knowledge", length(&c.machine_knowledge));
         most("announcements", length(&c.announcements));
-        most("inquiry", length(&c.witness_queries));
+        most("witness queries", length(&c.witness_queries));
         if let Some(lead) = &c.leader_state {
             let fleet = &lead.fleet;
             most("rentals of the leader", fleet.open.len() + fleet.unclear.len() + fleet.closing.len());
@@ -148,15 +148,15 @@
     "words on machines that are gone",
     "notes on machines that are gone",
     "retired",
-    "removed",
-    "strangers",
+    "recently removed",
+    "machines with unknown tasks",
     "done_keys",
-    "awaiting",
-    "spreading",
+    "end waiters",
+    "unsettled ends",
     "rentals",
     "rentals of the leader",
     "starved",
-    "polls",
+    "pending polls",
     "live records",
     "chunks of progress",
     "records of rentals",
--- a/src/coordination/stalls.rs
+++ b/src/coordination/stalls.rs
@@ -1,8 +1,8 @@
 //! Detection of stalled jobs: jobs that do not use the volume they are given.
 //!
-//! A job may have a volume, and its owner enough of the team's limit, and still start no task because no machine fits or
-//! its zone is full. The resources that it does not use would stay idle meanwhile. So the leader tracks how long a job could
-//! have started a task without doing so, and then plans without the job for a while.
+//! A job may have a volume, and its owner enough of the team's limit, and still start no task because no machine fits
+//! or its zone is full. The resources that it does not use would stay idle meanwhile. So the leader tracks how long a
+//! job could have started a task without doing so, and then plans without the job for a while.
 
 use std::collections::BTreeMap;
 
@@ -29,8 +29,8 @@
 }
 
 impl StallTracker {
-    /// Updates the state of a job below its volume. `started` is the number of its tasks that have been started; `has_room`
-    /// tells whether the owner's share of the team's limit allows another one.
+    /// Updates the state of a job below its volume. `started` is the number of its tasks that have been started;
+    /// `has_room` tells whether the owner's share of the team's limit allows another one.
     pub fn observe(&mut self, now: Micros, job: &str, started: u32, has_room: bool) {
         if self.stalled.get(job).is_some_and(|(then, until)| *then != started || *until <= now) {
             self.stalled.remove(job);
