--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -74,14 +74,14 @@
     /// force.
     pub(super) fn set_rates(&mut self) {
         let (count, state) = (self.controller_count(), self.settings.params.state);
-        let own = if count > 1.0 { LIMIT_MARGIN * (1.0 - LEASED_SHARE) } else { LIMIT_MARGIN };
-        let leaders = LEADER_WRITE_SHARE.max(1.0 / count);
-        let leads = self.leader_state.is_some() || count == 1.0;
-        let part = if leads { leaders } else { (1.0 - leaders) / (count - 1.0) };
+        let static_share = if count > 1.0 { LIMIT_MARGIN * (1.0 - LEASED_SHARE) } else { LIMIT_MARGIN };
+        let leader_share = LEADER_WRITE_SHARE.max(1.0 / count);
+        let is_leader = self.leader_state.is_some() || count == 1.0;
+        let write_share = if is_leader { leader_share } else { (1.0 - leader_share) / (count - 1.0) };
         let held = self.held_rate_lease.rates(self.now);
-        let calls = state.rps * own / count + held.calls as f64 / 1e3;
-        let writes = state.write_rps * own * part + held.changes as f64 / 1e3;
-        self.base_rates = (state.rps * own / count, state.write_rps * own * part);
+        let calls = state.rps * static_share / count + held.calls as f64 / 1e3;
+        let writes = state.write_rps * static_share * write_share + held.changes as f64 / 1e3;
+        self.base_rates = (state.rps * static_share / count, state.write_rps * static_share * write_share);
         self.store_calls.set_rates(self.now, calls, writes);
     }
 
@@ -99,12 +99,12 @@
         self.submission_limiter.follow(self.held_rate_lease.in_force(self.now));
         if self.now >= self.next_load_report_at && self.entitled() && self.controller_count() > 1.0 {
             self.next_load_report_at = self.now + LOAD_REPORT_INTERVAL;
-            let word = self.build_load_report();
-            let plans = self.leader_state.as_mut().and_then(|l| l.planner.as_mut());
-            if let Some(planner) = plans {
-                planner.heard(self.now, &self.settings.member, word.clone());
+            let report = self.build_load_report();
+            let planner = self.leader_state.as_mut().and_then(|l| l.planner.as_mut());
+            if let Some(planner) = planner {
+                planner.heard(self.now, &self.settings.member, report.clone());
             }
-            self.effects.push(Effect::Send(None, PeerMessage::Door(word)));
+            self.effects.push(Effect::Send(None, PeerMessage::Door(report)));
         }
         if self.leader_state.as_ref().is_some_and(|l| self.now >= l.plan_at) && self.entitled() {
             self.publish_rate_plan();
@@ -140,18 +140,18 @@
     }
 
     /// Handles another controller's load report.
-    pub(super) fn handle_load_report(&mut self, from: &str, word: Word) {
-        self.submission_limiter.told(self.now, &word.appointments);
+    pub(super) fn handle_load_report(&mut self, from: &str, report: Word) {
+        self.submission_limiter.told(self.now, &report.appointments);
         if let Some(planner) = self.leader_state.as_mut().and_then(|l| l.planner.as_mut()) {
-            planner.heard(self.now, from, word);
+            planner.heard(self.now, from, report);
         }
     }
 
     /// Applies a rate plan if it is from the recorded leader.
     pub(super) fn handle_rate_plan(&mut self, plan: &Plan) {
         let leader = self.leader.as_ref().map_or(0, |l| l.2);
-        let life = self.lease.as_ref().map_or(0, |l| l.registration);
-        if self.held_rate_lease.take(self.now, (&self.settings.member, life), leader, plan) {
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
+        if self.held_rate_lease.take(self.now, (&self.settings.member, registration), leader, plan) {
             self.set_rates();
         }
     }
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -35,16 +35,16 @@
             zones = names.into_iter().map(|z| Some(z.clone())).collect();
         }
         let size = spec.tasks as usize;
-        // Best fit: of the zones that have room for the gang, the one with the least room, as a larger gang may come
-        // next.
+        // Best fit: of the zones with enough slots for the gang, the one with the fewest slots, as a larger gang may
+        // come next.
         let mut best: Option<(usize, Vec<String>)> = None;
         for zone in zones {
             let only = zone.as_deref().map_or(Only::All, Only::Zone);
             let mut names = self.choose(&spec, size.max(MOST_STARTS), rooms, BTreeMap::new(), &only);
-            let room = names.len();
+            let slots = names.len();
             names.truncate(size);
-            if names.len() == size && best.as_ref().is_none_or(|(least, _)| room < *least) {
-                best = Some((room, names));
+            if names.len() == size && best.as_ref().is_none_or(|(least, _)| slots < *least) {
+                best = Some((slots, names));
             }
         }
         let Some((_, chosen)) = best else { return Err(WaitReason::NoMachine) };
@@ -72,8 +72,8 @@
         let missing: Vec<u32> = (0..spec.tasks).filter(|i| !job.placements.contains_key(i)).collect();
         let (Some(attempt), 1) = (attempts.first().copied(), attempts.len()) else { return 0 };
         let mut allowance = self.allowance(spec);
-        let most = spec.need().times_in(allowance.room()).min(missing.len() as u64);
-        let names = self.choose(spec, most as usize, rooms, self.zone_counts(id), &Only::All);
+        let max_tasks = spec.need().times_in(allowance.room()).min(missing.len() as u64);
+        let names = self.choose(spec, max_tasks as usize, rooms, self.zone_counts(id), &Only::All);
         rooms.take(&names, spec.need());
         for (index, name) in missing.iter().zip(&names) {
             self.plan(id, *index, attempt, name, &mut allowance);
@@ -81,8 +81,8 @@
         names.len()
     }
 
-    /// Stops all tasks of a gang if one of them is being stopped, or if its machine has a preemption notice, so that
-    /// all tasks save their state.
+    /// Stops all tasks of a gang if one of them is being stopped, or the machine of one has a preemption notice, so
+    /// that all tasks save their state.
     pub(super) fn propagate_gang_stops(&mut self) {
         let mut stops: Vec<(String, TaskId, Micros)> = Vec::new();
         for (id, job) in &self.jobs {
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -41,9 +41,9 @@
         self.answer(request, Answer::RetryLater(seconds));
     }
 
-    /// A query about a job whose user waits for `patience`.
-    fn new_query(&self, request: RequestId, job: String, patience: Micros) -> Question {
-        Question { request, job, until: self.now + patience }
+    /// A query about a job whose user waits for `timeout`.
+    fn new_query(&self, request: RequestId, job: String, timeout: Micros) -> Question {
+        Question { request, job, until: self.now + timeout }
     }
 
     /// Answers with the job's final state if it is known. Returns whether it is.
@@ -200,8 +200,8 @@
         self.next_poll_check_at = self.now + MIN_POLL_CHECK_INTERVAL;
         let max_jobs = self.settings.params.state.txn_ops * 4;
         if self.pending_polls.len() > max_jobs {
-            let (now, door) = (self.now, &self.submission_limiter);
-            self.pending_polls.sort_by_cached_key(|q| door.asked(now, &q.job));
+            let (now, limiter) = (self.now, &self.submission_limiter);
+            self.pending_polls.sort_by_cached_key(|q| limiter.asked(now, &q.job));
         }
         let mut conditions: BTreeMap<&str, u64> = BTreeMap::new();
         let mut checked = 0;
@@ -211,11 +211,12 @@
             }
             // No record has this revision, so the condition fails and a job that has ended in the meantime is looked
             // up.
-            let stamp = self.jobs.get(job).map_or(u64::MAX >> 1, |j| j.accepted_revision);
-            conditions.insert(job, stamp);
+            let revision = self.jobs.get(job).map_or(u64::MAX >> 1, |j| j.accepted_revision);
+            conditions.insert(job, revision);
             checked += 1;
         }
-        let conditions = conditions.into_iter().map(|(job, stamp)| Condition::new(records::live(job), stamp));
+        let conditions =
+            conditions.into_iter().map(|(job, revision)| Condition::new(records::live(job), revision));
         let transaction = Transaction { conditions: conditions.collect(), writes: Vec::new() };
         let polls = self.pending_polls.drain(..checked).collect();
         self.enqueue_store_call(Urgency::Rest, Purpose::CheckLive { polls }, StoreCall::Commit(transaction));
@@ -252,12 +253,14 @@
         self.look_up_live(question, Wanted::Withdrawal);
     }
 
+    /// Reads a job's live record.
     fn look_up_live(&mut self, question: Question, wanted: Wanted) {
         let key = records::live(&question.job);
         let urgency = if wanted == Wanted::Withdrawal { Urgency::Withdrawal } else { Urgency::Rest };
         self.enqueue_store_call(urgency, Purpose::LookLive { question, wanted }, StoreCall::Get { key });
     }
 
+    /// Reads a job's final record. `missing` tells what it means if there is none.
     fn look_up_final(&mut self, question: Question, missing: Missing) {
         let key = records::finished(&question.job);
         self.enqueue_store_call(
@@ -286,6 +289,7 @@
         }
     }
 
+    /// Replaces a job's live record with a final one, provided that it still has `record_revision`.
     fn commit_withdrawal(&mut self, question: Question, record_revision: u64, tasks: u32) {
         let record = FinalRecord { state: Final::Withdrawn, tasks };
         let Ok(value) = serde_json::to_value(record) else {
--- a/src/coordination/knowledge.rs
+++ b/src/coordination/knowledge.rs
@@ -165,9 +165,9 @@
         let age_s = self.knowledge_age().as_secs_f64();
         match reason {
             Some(why) if self.last_inactive_reason.is_none() => {
-                tracing::warn!(?why, age_s, "inactive: the lease or the replica is too old to act on")
+                tracing::warn!(?why, age_s, "became inactive")
             }
-            None => tracing::info!(was = ?self.last_inactive_reason, age_s, "active again"),
+            None => tracing::info!(was = ?self.last_inactive_reason, age_s, "became active"),
             _ => {}
         }
         self.last_inactive_reason = reason;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -138,6 +138,7 @@
     pub(crate) lease_term: Micros,
     /// Term of a worker's lease, which answers to its reports renew.
     pub(crate) worker_lease: Micros,
+    /// Regular time between two reports of a worker.
     pub(crate) report_every: Micros,
     /// Time of the event being handled.
     pub(crate) now: Micros,
@@ -406,10 +407,12 @@
         }
     }
 
+    /// This controller's member name.
     pub fn own_name(&self) -> &str {
         &self.settings.member
     }
 
+    /// This controller's name and the revision of its registration, 0 without one.
     pub(crate) fn incarnation(&self) -> Life {
         (self.settings.member.clone(), self.lease.as_ref().map_or(0, |l| l.registration))
     }
@@ -494,6 +497,7 @@
         self.cloud_calls.push(self.now, urgency, 0, (purpose, call));
     }
 
+    /// Moves queued calls to the effects, as far as their rates allow.
     fn send_calls(&mut self) {
         while let Some((purpose, call)) = self.store_calls.pop(self.now) {
             self.next_call += 1;
@@ -507,6 +511,7 @@
         }
     }
 
+    /// Answers an external request.
     pub(crate) fn answer(&mut self, request: RequestId, answer: Answer) {
         if matches!(answer, Answer::RetryLater(_)) {
             self.counters.deferred += 1;
@@ -514,6 +519,7 @@
         self.effects.push(Effect::Answer(request, answer));
     }
 
+    /// Handles the reply to a call that was sent at `sent`. Calls that expired in the queue get a refusal.
     fn handle_store_reply(&mut self, purpose: Purpose, sent: Micros, reply: StoreReply) {
         match reply {
             StoreReply::Refused | StoreReply::Unclear => self.counters.store_failures += 1,
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -91,10 +91,12 @@
         }
     }
 
+    /// Number of tasks that are not done.
     pub fn unfinished(&self) -> u32 {
         self.spec.tasks - self.done.len()
     }
 
+    /// Adds a machine that the task is on or may be on.
     pub fn add_placement(&mut self, index: u32, machine: &str) {
         self.set_ended(index, machine, false);
         let places = self.placements.entry(index).or_default();
@@ -106,6 +108,7 @@
         }
     }
 
+    /// Removes a machine that the task is certainly not on any more.
     pub fn remove_placement(&mut self, index: u32, machine: &str) {
         self.set_ended(index, machine, false);
         if let Some(places) = self.placements.get_mut(&index) {
@@ -420,7 +423,7 @@
     /// Guards against a job that never completes. Its former owner became the leader, still counted completions that it
     /// had not recorded, and gave the job no volume for the tasks that the new owner had yet to run.
     #[test]
-    fn a_job_that_leaves_its_owner_takes_only_recorded_completions_along() {
+    fn a_job_that_changes_owners_keeps_only_recorded_completions() {
         let spec: JobSpec = serde_json::from_value(serde_json::json!({
             "Uid": "j-000001", "Jobclass": "any", "Crew": "blue", "Shape": "sweep", "Rank": "normal",
             "Pieces": 4, "Cpus": 1.0, "Cards": 0.0, "MemoryGb": 1.0, "Kit": "img", "SizeGb": 1.0,
--- a/src/coordination/precedence.rs
+++ b/src/coordination/precedence.rs
@@ -35,9 +35,10 @@
     /// The order of jobs: by rank, then by the turn in the leader's plan if there is not enough capacity for all, else
     /// by arrival.
     ///
-    /// Gangs of a class with a start objective are ordered by the number of objectives they have missed, and then by
-    /// size, because in a full fleet one large gang would make many small ones late. A gang that has waited for longer
-    /// than `longest_wait_s` comes first in its rank. Broken jobs come last in their rank.
+    /// If there is capacity for all, gangs of a class with start objectives are ordered by the number of objectives
+    /// they have missed, and then by size, because in a full fleet one large gang would make many small ones late. A
+    /// gang that has waited for longer than `longest_wait_s` comes first in its rank. Broken jobs come last in their
+    /// rank.
     pub(super) fn precedence(&self, job: &Job) -> Precedence {
         let rank = u8::MAX - job.spec.priority as u8;
         let at = |group, position| Precedence { rank, group, position, arrival: job.accepted_revision };
--- a/src/coordination/waiting.rs
+++ b/src/coordination/waiting.rs
@@ -1,8 +1,8 @@
 //! Why jobs have nothing running.
 //!
-//! Placement records for each job that it cannot place the reason. Once a second this is combined with the reasons for
-//! which placement does not consider a job at all, so that each waiting job of this controller has exactly one reason.
-//! The metrics count waiting jobs by reason, and jobs that have waited for long are logged.
+//! A placement pass stores with each job the reason why it placed no task of it. Once a second these reasons are
+//! combined with those for which placement does not consider a job at all, so that each waiting job of this controller
+//! has exactly one reason. The metrics count waiting jobs by reason, and jobs that have waited for long are logged.
 
 use std::collections::BTreeMap;
 
