--- a/src/coordination/eligibility.rs
+++ b/src/coordination/eligibility.rs
@@ -89,6 +89,7 @@
 pub(super) struct GangHold<'a>(Vec<(&'a str, &'a JobSpec)>);
 
 impl<'a> GangHold<'a> {
+    /// The machines held back from the job `spec` by the reservations for gangs that have precedence over it.
     pub(super) fn from(controller: &'a Controller, reserved: &'a [(String, String)], spec: &JobSpec) -> Self {
         let has_precedence = |gang: &JobSpec| {
             gang.id != spec.id && gang.priority >= spec.priority && (gang.gpus > 0.0) == (spec.gpus > 0.0)
@@ -99,6 +100,7 @@
         GangHold(gangs.filter(|(_, gang)| has_precedence(gang)).collect())
     }
 
+    /// Whether a machine is held back from the job.
     pub(super) fn covers(&self, machine: &Machine) -> bool {
         let includes = |zone: &str| zone.is_empty() || *zone == machine.row.zone;
         self.0.iter().any(|(zone, gang)| includes(zone) && allows(gang, machine))
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -19,7 +19,7 @@
     registration: u64,
     /// Number of machines that it owns.
     machines: usize,
-    /// Machines not heard since they were granted: zone and name.
+    /// Machines from which no message has arrived since they were granted: zone and name.
     unheard: Vec<(&'a str, &'a String)>,
     zones: BTreeMap<&'a str, ZoneReach<'a>>,
 }
@@ -38,7 +38,7 @@
 impl Controller {
     /// Machines that most likely are gone and are to be returned.
     ///
-    /// These are machines that have not been heard since they were granted although their owner hears its others, and
+    /// These are machines that have sent no message since they were granted, although their owner's others do, and
     /// machines with service replicas that neither report nor answer. Jobs taken over would wait for the former for as
     /// long as the leases of the former owner and the worker together; the cloud's confirmation that a machine is
     /// returned ends the wait at once.
@@ -94,9 +94,10 @@
             }
         }
         for (member, owner) in reach {
-            // If an owner is cut off from a zone, no machine there is heard one report interval after the first missed
-            // report. The zone's machines are not returned; they are reassigned to controllers that hear them. After
-            // the cut its machines are heard again one by one, so the zone counts as silent for a worker lease longer.
+            // If an owner is cut off from a zone, none of its machines there reports one interval after the first
+            // missed report. The zone's machines are not returned; they are reassigned to controllers that they reach.
+            // After the cut its machines report again one by one, so the zone counts as silent for a worker lease
+            // longer.
             for (zone, zone_reach) in &owner.zones {
                 if zone_reach.reporting * 2 < zone_reach.expected {
                     silent_zones.insert((member.to_owned(), (*zone).to_owned()), self.now);
