--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -2,7 +2,7 @@
 //! their replies.
 
 use crate::coordination::machines::MAX_ORDERS;
-use crate::coordination::model::{PendingStart, TaskOn};
+use crate::coordination::model::{PendingStart, PlacedTask};
 use crate::coordination::start_gate::StartGate;
 use crate::coordination::{Controller, Effect};
 use crate::protocol::units::Micros;
@@ -21,38 +21,44 @@
     /// Sends planned starts and due stops directly to the workers rather than with the answers to their next reports,
     /// asks machines that have just been granted for their tasks, and probes machines whose reports are overdue.
     pub(super) fn send_direct_calls(&mut self) {
-        let Some(proof) = self.proof().filter(|_| self.placing) else { return };
+        let Some(proof) = self.authorization().filter(|_| self.is_view_member) else { return };
         let now = self.now;
         let recent = Micros(self.report_every.0 * 2);
         let overdue = self.max_report_gap() + PROBE_DELAY;
-        let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
+        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
         let gate = StartGate::new(self.confirmed_through(), self.permits_in_force(), &self.jobs);
         for (name, m) in &mut self.machines {
             let mine = m.row.node == stamp && m.row.owner == self.settings.member;
             let known = m.session != 0 || !m.resolved;
-            if !mine || m.talking || m.addr.is_empty() || !known || now < m.talk_after || m.renew {
+            if !mine
+                || m.call_in_flight
+                || m.addr.is_empty()
+                || !known
+                || now < m.next_call_at
+                || m.token_renewal_needed
+            {
                 continue;
             }
             // A worker that has never been heard is most likely in its first session. If not, its reply contains the
             // session.
             let (session, token) = (m.session.max(1), m.row.token);
             let mut orders = Vec::new();
-            let unheard = !m.lost && m.heard.is_some_and(|at| now.since(at) > overdue);
-            if m.resolved && (unheard || m.hearing.is_not_receiving()) {
+            let unheard = !m.unresponsive && m.last_heard.is_some_and(|at| now.since(at) > overdue);
+            if m.resolved && (unheard || m.delivery.is_not_receiving()) {
                 // A call without orders probes whether the machine still answers.
-                m.asked = true;
-                m.talk_after = now + Micros::from_secs(1);
+                m.probe_in_flight = true;
+                m.next_call_at = now + Micros::from_secs(1);
             } else if m.resolved {
-                if m.session_at.is_none() || m.heard.is_none_or(|at| now.since(at) > recent) {
+                if m.session_seen_at.is_none() || m.last_heard.is_none_or(|at| now.since(at) > recent) {
                     continue;
                 }
                 // Stops come before starts, to free the resources that the starts need. A stop that arrives late has no
                 // effect, since it names an attempt that has already gone.
                 for (id, t) in m.tasks.iter_mut().take(MAX_ORDERS) {
-                    let grace = t.stop.filter(|_| !t.told && !t.ended() && !t.planned());
+                    let grace = t.stop_grace.filter(|_| !t.stop_sent && !t.ended() && !t.planned());
                     if let Some(grace) = grace.filter(|g| t.state != TaskState::Saving || *g == Micros::ZERO)
                     {
-                        t.told = true;
+                        t.stop_sent = true;
                         self.counters.stops += 1;
                         let (task, grace_s) = (id.text(), grace.as_secs_f64());
                         orders.push(Order::Stop { task, attempt: t.attempt, grace_s });
@@ -62,7 +68,7 @@
                     if let Some(permit) = gate.permit(name, id, t, &mut self.counters) {
                         t.pending =
                             Some(PendingStart::SentDirectly { session, token, permit, repeated: None });
-                        t.since = now;
+                        t.started_at = now;
                         self.counters.starts += 1;
                         tracing::debug!(
                             machine = name,
@@ -72,7 +78,7 @@
                         );
                         self.conclusions.record_start(now, name, id, t.attempt);
                         orders.push(Order::Start { task: id.text(), attempt: t.attempt });
-                        m.starting.push(id.clone());
+                        m.starts_in_call.push(id.clone());
                     }
                 }
                 if orders.is_empty() {
@@ -81,9 +87,9 @@
             } else {
                 // A call without orders suffices: its token fences off the former owner's orders, and the reply lists
                 // the worker's tasks.
-                m.talk_after = now + Micros::from_secs(1);
+                m.next_call_at = now + Micros::from_secs(1);
             }
-            m.talking = true;
+            m.call_in_flight = true;
             tracing::trace!(machine = name, token, session, ?orders, "direct call sent");
             let orders = proof.order(token, session, orders);
             self.effects.push(Effect::Orders { machine: name.clone(), addr: m.addr.clone(), orders });
@@ -102,19 +108,20 @@
             return;
         }
         let Some(m) = self.machines.get_mut(name) else { return };
-        m.talking = false;
+        m.call_in_flight = false;
         if !matches!(reply, DirectReply::Unclear | DirectReply::NotSent) {
-            if m.hearing.is_not_receiving() {
+            if m.delivery.is_not_receiving() {
                 tracing::info!(machine = name, "machine receives messages again");
-                m.apart = false;
+                m.quarantined = false;
             }
-            m.hearing.mark_receiving();
+            m.delivery.mark_receiving();
         }
-        let asked = std::mem::take(&mut m.asked);
-        let starting = std::mem::take(&mut m.starting);
+        let asked = std::mem::take(&mut m.probe_in_flight);
+        let starting = std::mem::take(&mut m.starts_in_call);
         let silent = matches!(reply, DirectReply::Unclear | DirectReply::NotSent);
-        m.unanswered = if silent && !m.resolved { m.unanswered + 1 } else { 0 };
-        m.lost |= silent && (asked || m.unanswered >= MAX_UNANSWERED_CALLS && m.heard.is_none());
+        m.unanswered_calls = if silent && !m.resolved { m.unanswered_calls + 1 } else { 0 };
+        m.unresponsive |=
+            silent && (asked || m.unanswered_calls >= MAX_UNANSWERED_CALLS && m.last_heard.is_none());
         let first_contact = m.session == 0;
         match &reply {
             DirectReply::Done(_) => {}
@@ -144,8 +151,8 @@
                         "direct call with starts was not carried out"
                     );
                 }
-                m.talk_after = if first_contact && !silent { now } else { now + CALL_RETRY_DELAY };
-                if m.lost {
+                m.next_call_at = if first_contact && !silent { now } else { now + CALL_RETRY_DELAY };
+                if m.unresponsive {
                     self.schedule_status();
                 }
                 self.drop_disowned_starts(name);
@@ -153,12 +160,12 @@
             }
             DirectReply::Unclear if asked => self.schedule_status(),
             DirectReply::Unclear => {
-                m.talk_after =
+                m.next_call_at =
                     now + if starting.is_empty() { CALL_RETRY_DELAY } else { Micros::from_secs(3) };
                 // A fresh token is also needed if a report has shown the tasks since: they may have been started by an
                 // answer, while this call is still in transit.
-                let unclear = |t: &TaskOn| matches!(t.pending, Some(PendingStart::SentDirectly { .. }));
-                m.renew |= !starting.is_empty() || m.tasks.values().any(unclear);
+                let unclear = |t: &PlacedTask| matches!(t.pending, Some(PendingStart::SentDirectly { .. }));
+                m.token_renewal_needed |= !starting.is_empty() || m.tasks.values().any(unclear);
                 self.schedule_status();
             }
         }
--- a/src/coordination/displacement.rs
+++ b/src/coordination/displacement.rs
@@ -5,7 +5,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::eligibility::allows;
-use crate::coordination::model::{Machine, TaskOn};
+use crate::coordination::model::{Machine, PlacedTask};
 use crate::coordination::placement::Rooms;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::units::{Micros, Resources};
@@ -23,11 +23,11 @@
         &'a self,
         spec: &'a JobSpec,
         machine: &'a Machine,
-    ) -> impl Iterator<Item = (&'a TaskId, &'a TaskOn)> {
+    ) -> impl Iterator<Item = (&'a TaskId, &'a PlacedTask)> {
         machine.tasks.iter().filter(move |(id, t)| {
             let other = self.jobs.get(&id.job).map(|j| &j.spec);
             let lower = other.is_some_and(|o| o.priority < spec.priority && o.shape == Shape::Array);
-            !t.ended() && t.stop.is_none() && lower
+            !t.ended() && t.stop_grace.is_none() && lower
         })
     }
 
@@ -71,8 +71,8 @@
         for (_, _, name) in options {
             let m = &self.machines[&name];
             let here = zones.entry(m.row.zone.clone()).or_default();
-            let mut preemptible: Vec<(&TaskId, &TaskOn)> = self.preemptible_tasks(spec, m).collect();
-            preemptible.sort_by_key(|(task, t)| (t.since, *task));
+            let mut preemptible: Vec<(&TaskId, &PlacedTask)> = self.preemptible_tasks(spec, m).collect();
+            preemptible.sort_by_key(|(task, t)| (t.started_at, *task));
             let mut room = rooms.soon[&name];
             while missing > 0 && (!spec.spread || *here < max_per_zone) {
                 let mut preempted = Vec::new();
@@ -99,7 +99,7 @@
             let grace =
                 self.jobs.get(&task.job).map_or(Micros::ZERO, |j| j.spec.save() + Micros::from_secs(1));
             if let Some(t) = self.machines.get_mut(&name).and_then(|m| m.tasks.get_mut(&task)) {
-                t.stop = Some(grace);
+                t.stop_grace = Some(grace);
             }
             self.drop_planned_starts(&name, |t| *t == task);
         }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -7,7 +7,7 @@
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, BlockRow};
 use crate::coordination::eligibility::allows;
-use crate::coordination::model::{Job, Machine, TaskOn};
+use crate::coordination::model::{Job, Machine, PlacedTask};
 use crate::coordination::{CloudPurpose, Controller, Purpose};
 use crate::protocol::cloud::{CloudCall, MachineType, Rental};
 use crate::protocol::job::{JobSpec, Shape};
@@ -86,16 +86,16 @@
 impl Controller {
     /// Reads the machine types when due. Every controller does so, because it checks submissions against them.
     pub(super) fn types_tick(&mut self) {
-        let due = match self.types_at {
+        let due = match self.machine_types_requested_at {
             None => true,
             Some(at) => {
                 self.now.since(at)
-                    >= if self.types.is_empty() { Micros::from_secs(1) } else { TYPES_INTERVAL }
+                    >= if self.machine_types.is_empty() { Micros::from_secs(1) } else { TYPES_INTERVAL }
             }
         };
         if due {
-            self.types_at = Some(self.now);
-            self.cloud(Urgency::Acceptance, CloudPurpose::Types, CloudCall::Types);
+            self.machine_types_requested_at = Some(self.now);
+            self.enqueue_cloud_call(Urgency::Acceptance, CloudPurpose::Types, CloudCall::Types);
         }
     }
 
@@ -111,8 +111,8 @@
         if self.has_unreadable_blocks() {
             return;
         }
-        let Some(lead) = &mut self.lead else { return };
-        if lead.fleet.returned_at.contains_key(&machine) || !self.types.contains_key(&kind) {
+        let Some(lead) = &mut self.leader_state else { return };
+        if lead.fleet.returned_at.contains_key(&machine) || !self.machine_types.contains_key(&kind) {
             return;
         }
         let row = BlockRow {
@@ -125,7 +125,7 @@
             returning: false,
             token: 0,
         };
-        let granted = self.machines.get(&machine).is_some_and(|m| !m.unused());
+        let granted = self.machines.get(&machine).is_some_and(|m| !m.never_granted());
         if !granted && lead.unrecorded_machines.insert(machine, (row, now)).is_none() {
             self.schedule_round();
         }
@@ -133,14 +133,14 @@
 
     /// Whether a machine is booting, or up and not yet granted to a controller.
     pub(super) fn is_incoming(&self, machine: &Machine) -> bool {
-        machine.unused() && !machine.row.returning
+        machine.never_granted() && !machine.row.returning
     }
 
     /// Expires old state of the fleet, lists the machines when due, and continues rentals and returns.
     pub(super) fn fleet_tick(&mut self) {
         let now = self.now;
         let no_jobs = self.jobs.is_empty();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         lead.fleet.no_jobs_since = no_jobs.then(|| lead.fleet.no_jobs_since.unwrap_or(now));
         for (_, times) in lead.fleet.recent_arrivals.values_mut() {
             times.retain(|(at, _)| now.since(*at) < ARRIVAL_WINDOW);
@@ -148,7 +148,7 @@
         lead.unrecorded_machines.retain(|_, (_, at)| now.since(*at) < Micros::from_secs(10));
         lead.fleet.returned_at.retain(|_, at| now.since(*at) < Micros::from_secs(120));
         let machines = &self.machines;
-        lead.unrecorded_machines.retain(|name, _| machines.get(name).is_none_or(Machine::unused));
+        lead.unrecorded_machines.retain(|name, _| machines.get(name).is_none_or(Machine::never_granted));
         // Names are never reused, so state of machines that have left the records is not needed any more.
         lead.misdirected_reports.retain(|name, _| machines.contains_key(name));
         lead.fleet.failed.retain(|name| machines.contains_key(name));
@@ -159,7 +159,11 @@
             lead.fleet.list_started_at = Some(now);
             lead.fleet.list_cursor.clear();
             lead.fleet.unlisted.retain(|name| self.machines.contains_key(name));
-            self.cloud(Urgency::Rest, CloudPurpose::List, CloudCall::List { after: String::new() });
+            self.enqueue_cloud_call(
+                Urgency::Rest,
+                CloudPurpose::List,
+                CloudCall::List { after: String::new() },
+            );
         }
         self.retry_rentals();
         self.record_rented_machines();
@@ -168,7 +172,7 @@
 
     /// Records rented machines, without an owner until they report. Then deletes the records of completed rentals.
     fn record_rented_machines(&mut self) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         if lead.grant_in_flight {
             return;
         }
@@ -185,7 +189,7 @@
                 conditions: vec![self.registration_condition()],
                 writes: vec![Write::delete(records::rental(&request))],
             };
-            self.store(
+            self.enqueue_store_call(
                 Urgency::Completion,
                 Purpose::RentalClosed { request },
                 StoreCall::Commit(transaction),
@@ -195,7 +199,7 @@
 
     /// Whether the cloud no longer lists a machine and its owner has received no report from it in time.
     fn is_gone(&self, name: &str, m: &Machine) -> bool {
-        let unlisted = self.lead.as_ref().is_some_and(|l| l.fleet.unlisted.contains(name));
+        let unlisted = self.leader_state.as_ref().is_some_and(|l| l.fleet.unlisted.contains(name));
         let reported_in_time =
             m.resolved && f64::from(self.seconds_unheard(m)) <= self.max_report_gap().as_secs_f64();
         unlisted && !reported_in_time
@@ -203,24 +207,24 @@
 
     /// The reason for which a machine should be returned, if any.
     fn return_reason(&self, name: &str, m: &Machine, max_idle: Micros) -> Option<&'static str> {
-        let boot_s = || self.types.get(&m.row.kind).map_or(60.0, |t| t.boot_s);
+        let boot_s = || self.machine_types.get(&m.row.kind).map_or(60.0, |t| t.boot_s);
         let lease_s = self.worker_lease.as_secs_f64() as u32;
-        let failed = self.lead.as_ref().is_some_and(|l| l.fleet.failed.contains(name));
+        let failed = self.leader_state.as_ref().is_some_and(|l| l.fleet.failed.contains(name));
         if self.is_gone(name, m) {
             Some("gone")
         } else if failed {
             Some("failed")
-        } else if m.unused() && self.now.since(m.since).as_secs_f64() > boot_s() * 2.2 + 10.0 {
+        } else if m.never_granted() && self.now.since(m.known_since).as_secs_f64() > boot_s() * 2.2 + 10.0 {
             Some("slow to boot")
-        } else if m.apart {
+        } else if m.quarantined {
             Some("faulty")
-        } else if !m.unused() && m.resolved && self.seconds_unheard(m) > lease_s + 25 {
+        } else if !m.never_granted() && m.resolved && self.seconds_unheard(m) > lease_s + 25 {
             Some("silent")
-        } else if !m.unused()
+        } else if !m.never_granted()
             && m.up
             && m.resolved
             && m.tasks.is_empty()
-            && !m.notice
+            && !m.preemption_notice
             && self.now.since(m.idle_since) > max_idle
         {
             Some("idle")
@@ -238,14 +242,14 @@
         let max_idle = Micros::from_secs_f64(self.tuning.idle_return_s * idle_factor);
         let mut idle_names = Vec::new();
         let mut names = Vec::new();
-        let Some(lead) = self.lead.as_ref().filter(|l| !l.grant_in_flight) else { return };
+        let Some(lead) = self.leader_state.as_ref().filter(|l| !l.grant_in_flight) else { return };
         // A new leader first collects the others' statuses. It removes only machines that are gone, because those
         // block jobs until they leave the records.
         let is_new_leader = self.now.since(lead.since) < Micros::from_secs(4);
         if is_new_leader && lead.fleet.unlisted.is_empty() {
             return;
         }
-        let unreachable = self.unreachable();
+        let unreachable = self.unreachable_machines();
         for (name, m) in &self.machines {
             if m.row.returning || is_new_leader && !self.is_gone(name, m) {
                 continue;
@@ -270,7 +274,7 @@
         // Marked machines are returned to the cloud, and leave the records once the cloud has confirmed that.
         let marked: Vec<String> =
             self.machines.iter().filter(|(_, m)| m.row.returning).map(|(n, _)| n.clone()).collect();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let confirmed: BTreeSet<String> =
             marked.iter().filter(|n| lead.fleet.returned_at.contains_key(*n)).cloned().collect();
         let to_return: Vec<String> = marked
@@ -281,7 +285,7 @@
         if !to_return.is_empty() {
             lead.fleet.returns_in_flight.extend(to_return.iter().cloned());
             self.counters.returns += to_return.len() as u64;
-            self.cloud(
+            self.enqueue_cloud_call(
                 Urgency::Withdrawal,
                 CloudPurpose::Return(to_return.clone()),
                 CloudCall::Return(to_return),
@@ -306,10 +310,10 @@
         for name in idle {
             let m = &self.machines[&name];
             // A gang may wait for this machine together with one that is still booting.
-            if self.lead.as_ref().is_some_and(|l| l.reserved_by_plan.contains(&name)) {
+            if self.leader_state.as_ref().is_some_and(|l| l.reserved_by_plan.contains(&name)) {
                 continue;
             }
-            if self.kept.contains_key(&name) {
+            if self.fast_start_reservations.contains_key(&name) {
                 continue;
             }
             let is_short = |target: Resources, supply: Resources| {
@@ -331,7 +335,7 @@
 
     /// Whether no job has been live for [`NO_JOBS_PERIOD`]. Then no idle machine is kept, even for guarantees.
     fn no_jobs_lately(&self) -> bool {
-        let since = self.lead.as_ref().and_then(|l| l.fleet.no_jobs_since);
+        let since = self.leader_state.as_ref().and_then(|l| l.fleet.no_jobs_since);
         since.is_some_and(|at| self.now.since(at) > NO_JOBS_PERIOD)
     }
 
@@ -339,9 +343,9 @@
     pub(super) fn scale_up(&mut self) {
         let now = self.now;
         self.update_peak_demand();
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader_state else { return };
         // A new leader first collects the state of the fleet.
-        if self.types.is_empty()
+        if self.machine_types.is_empty()
             || now.since(lead.since) < NEW_LEADER_RENTAL_DELAY
             || now.since(lead.fleet.last_rental_at) < Micros::from_millis(500)
         {
@@ -354,11 +358,11 @@
             .map(|m| (m.row.kind.clone(), m.row.zone.clone(), m.row.spot, m.supply))
             .collect();
         for r in lead.fleet.pending_rentals.values() {
-            let supply = self.types.get(&r.kind).map(MachineType::supply).unwrap_or_default();
+            let supply = self.machine_types.get(&r.kind).map(MachineType::supply).unwrap_or_default();
             incoming.extend((0..r.count).map(|_| (r.kind.clone(), r.zone.clone(), r.spot, supply)));
         }
         for r in lead.fleet.machines_to_record.iter().filter(|r| !self.machines.contains_key(&r.machine)) {
-            let supply = self.types.get(&r.kind).map(MachineType::supply).unwrap_or_default();
+            let supply = self.machine_types.get(&r.kind).map(MachineType::supply).unwrap_or_default();
             incoming.push((r.kind.clone(), r.zone.clone(), r.spot, supply));
         }
         let mut wanted: BTreeMap<(String, String, bool), f64> = BTreeMap::new();
@@ -367,7 +371,7 @@
             let Some(job) = self.jobs.get(&u.job).filter(|j| self.worth_renting_for(&u.job, j)) else {
                 continue;
             };
-            let waiting = u64::from(self.worth_trying(&u.job, job).saturating_sub(job.placed()));
+            let waiting = u64::from(self.tasks_worth_starting(&u.job, job).saturating_sub(job.placed()));
             self.add_wanted(
                 &job.spec,
                 u.count.max(waiting),
@@ -382,8 +386,8 @@
         let counted: BTreeSet<&String> = lead.unplaced.iter().map(|u| &u.job).collect();
         let other_jobs = self.jobs.iter().filter(|(id, _)| !counted.contains(id));
         for (id, job) in other_jobs.filter(|(id, j)| self.worth_renting_for(id, j)) {
-            let waiting = self.worth_trying(id, job).saturating_sub(job.placed());
-            if waiting > 0 && (job.spec.floor() == 1 || job.on.is_empty()) {
+            let waiting = self.tasks_worth_starting(id, job).saturating_sub(job.placed());
+            if waiting > 0 && (job.spec.floor() == 1 || job.placements.is_empty()) {
                 let zones = self.zones_left(id, job, std::iter::empty());
                 self.add_wanted(
                     &job.spec,
@@ -400,8 +404,8 @@
             self.add_wanted(&spec, count, None, &mut incoming, &mut freed_slots, &mut wanted);
         }
         // Room to keep free for classes that must start sooner than a machine boots.
-        for (class, spec) in &self.quick {
-            let kept_machines = self.kept.values().filter(|c| *c == class).count();
+        for (class, spec) in &self.fast_start_jobs {
+            let kept_machines = self.fast_start_reservations.values().filter(|c| *c == class).count();
             let lacking = self.fast_start_slots(spec).saturating_sub(kept_machines) as u64;
             self.add_wanted(
                 spec,
@@ -426,7 +430,7 @@
                 left -= count;
             }
         }
-        if requested && let Some(lead) = &mut self.lead {
+        if requested && let Some(lead) = &mut self.leader_state {
             lead.fleet.last_rental_at = now;
         }
     }
@@ -435,12 +439,15 @@
     /// tried again and no existing machine could run it.
     fn worth_renting_for(&self, id: &str, job: &Job) -> bool {
         let anywhere = || self.machines.values().any(|m| self.is_schedulable(m) && allows(&job.spec, m));
-        !self.mistaken(id) || !self.held(id) && !anywhere()
+        !self.is_broken(id) || !self.awaits_retry(id) && !anywhere()
     }
 
     /// Whether rentals of this type, zone and pricing were refused so recently that none is tried.
     fn is_refused(&self, key: &(String, String, bool)) -> bool {
-        self.lead.as_ref().and_then(|l| l.fleet.refusals.get(key)).is_some_and(|(until, _)| *until > self.now)
+        self.leader_state
+            .as_ref()
+            .and_then(|l| l.fleet.refusals.get(key))
+            .is_some_and(|(until, _)| *until > self.now)
     }
 
     /// Places `count` tasks on incoming machines and into slots that running tasks will free, and adds the machines to
@@ -509,10 +516,13 @@
         }
         let mut options = Vec::new();
         let mut cheapest = f64::INFINITY;
-        for t in self.types.values().filter(|t| type_ok(&t.name) && need.fits(t.supply())) {
+        for t in self.machine_types.values().filter(|t| type_ok(&t.name) && need.fits(t.supply())) {
             if spec.gpus == 0.0
                 && t.gpus > 0.0
-                && self.types.values().any(|o| o.gpus == 0.0 && type_ok(&o.name) && need.fits(o.supply()))
+                && self
+                    .machine_types
+                    .values()
+                    .any(|o| o.gpus == 0.0 && type_ok(&o.name) && need.fits(o.supply()))
             {
                 continue;
             }
@@ -558,9 +568,12 @@
     /// themselves.
     fn occupied_slots(&self, spec: &JobSpec) -> usize {
         let need = spec.need();
-        let usable = self.machines.values().filter(|m| m.up && !m.row.returning && !m.apart && !m.notice);
+        let usable = self
+            .machines
+            .values()
+            .filter(|m| m.up && !m.row.returning && !m.quarantined && !m.preemption_notice);
         let services = self.jobs.values().any(|j| j.spec.shape == Shape::Service);
-        let similar = |(id, t): &(&TaskId, &TaskOn)| {
+        let similar = |(id, t): &(&TaskId, &PlacedTask)| {
             !t.ended()
                 && (t.need.gpu > 0) == (need.gpu > 0)
                 && t.need.cpu * 2 >= need.cpu
@@ -573,8 +586,8 @@
     fn add_wanted_for_guarantees(&self, wanted: &mut BTreeMap<(String, String, bool), f64>) {
         let targets = self.guarantee_targets();
         let mut supply = self.retained_supply();
-        for r in self.lead.iter().flat_map(|l| l.fleet.pending_rentals.values()) {
-            if let Some(t) = self.types.get(&r.kind) {
+        for r in self.leader_state.iter().flat_map(|l| l.fleet.pending_rentals.values()) {
+            if let Some(t) = self.machine_types.get(&r.kind) {
                 let incoming = t.supply().times(u64::from(r.count));
                 supply.1 = supply.1.plus(incoming);
                 if !r.spot {
@@ -590,7 +603,7 @@
                     continue;
                 }
                 let cheapest = self
-                    .types
+                    .machine_types
                     .values()
                     .filter(|t| (t.gpus > 0.0) == accelerated)
                     .flat_map(|t| t.zones.iter().map(move |z| (t, z)))
--- a/src/coordination/fleet_demand.rs
+++ b/src/coordination/fleet_demand.rs
@@ -38,7 +38,7 @@
         let deviation = |x: f64| (DEMAND_DEVIATIONS * x.sqrt()) as u64;
         let margin = Resources { cpu: deviation(cpu), gpu: deviation(gpu), memory: 0 };
         let now = self.now;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let decay = (-now.since(lead.fleet.demand_updated_at).as_secs_f64() / PEAK_DECAY_S).exp();
         lead.fleet.demand_updated_at = now;
         lead.fleet.demand_margin = lead.fleet.demand_margin.scaled(decay).max(margin);
@@ -54,7 +54,7 @@
     /// Records the arrival of a job, from which future arrivals of its class are estimated.
     pub(super) fn record_arrival(&mut self, spec: &JobSpec) {
         let now = self.now;
-        if let Some(lead) = &mut self.lead
+        if let Some(lead) = &mut self.leader_state
             && spec.shape == Shape::Array
             && spec.estimate_s > 0.0
         {
@@ -72,7 +72,7 @@
     /// there is room now and at most as many as fit in the unused guarantees. Only guaranteed work must not wait: for
     /// other work it is cheaper to rent machines once it has arrived.
     pub(super) fn expected_arrivals(&self) -> Vec<(JobSpec, u64)> {
-        let Some(lead) = &self.lead else { return Vec::new() };
+        let Some(lead) = &self.leader_state else { return Vec::new() };
         let mut left = self.unused_guarantee();
         let schedulable = || self.machines.values().filter(|m| self.is_schedulable(m));
         let mut expected = Vec::new();
@@ -108,7 +108,7 @@
         let suitable = |t: &&MachineType| {
             spec.types.as_ref().is_none_or(|names| names.contains(&t.name)) && spec.need().fits(t.supply())
         };
-        self.types.values().filter(suitable).map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
+        self.machine_types.values().filter(suitable).map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 
     /// Current demand of each team: of jobs that need ordinary (non-spot) machines, and of all jobs.
@@ -130,7 +130,7 @@
     pub(super) fn guarantee_targets(&self) -> (Resources, Resources) {
         let mut sum = (Resources::default(), Resources::default());
         let mut limit = Resources::default();
-        let Some(lead) = &self.lead else { return sum };
+        let Some(lead) = &self.leader_state else { return sum };
         for team in &self.settings.params.teams {
             let Some((ordinary, all)) = lead.fleet.peak_demand.get(&team.name) else { continue };
             let guarantee = Resources::need(team.cpus, team.gpus, 0.0);
@@ -143,7 +143,8 @@
 
     /// Capacity of the machines that exist or are booting and are expected to stay: of ordinary ones, and of all.
     pub(super) fn retained_supply(&self) -> (Resources, Resources) {
-        let retained = self.machines.values().filter(|m| !m.row.returning && !m.apart && !m.notice);
+        let retained =
+            self.machines.values().filter(|m| !m.row.returning && !m.quarantined && !m.preemption_notice);
         retained.fold(Default::default(), |(ordinary, all): (Resources, Resources), m| {
             (if m.row.spot { ordinary } else { ordinary.plus(m.supply) }, all.plus(m.supply))
         })
--- a/src/coordination/lapses.rs
+++ b/src/coordination/lapses.rs
@@ -4,23 +4,23 @@
 use std::collections::BTreeMap;
 
 use crate::coordination::removal::RemovalGround;
-use crate::coordination::{Controller, DRIFT, Phase, SLACK};
+use crate::coordination::{CLOCK_DRIFT, Controller, LEASE_SLACK, Phase};
 use crate::protocol::units::Micros;
 
 impl Controller {
     /// Removes the tasks of own machines whose workers' leases have certainly expired.
     pub(super) fn machines_tick(&mut self) {
-        self.stop_gangs();
-        self.retired.retain(|_, job| !job.on.is_empty());
+        self.propagate_gang_stops();
+        self.retired.retain(|_, job| !job.placements.is_empty());
         // All tasks of a withdrawn job must have ended `cancel_s` after its withdrawal.
         let cancel_period = Micros::from_secs_f64(self.settings.params.workers.cancel_s);
-        while self.removed.front().is_some_and(|(at, ..)| self.now.since(*at) > cancel_period) {
-            self.removed.pop_front();
+        while self.recently_removed.front().is_some_and(|(at, ..)| self.now.since(*at) > cancel_period) {
+            self.recently_removed.pop_front();
         }
-        let silence = self.worker_lease + self.worker_lease.mul_f64(DRIFT) + SLACK + SLACK;
+        let silence = self.worker_lease + self.worker_lease.mul_f64(CLOCK_DRIFT) + LEASE_SLACK + LEASE_SLACK;
         let min_applied = self.min_revision_of_others();
-        let (now, followed) = (self.now, self.followed_at);
-        let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
+        let (now, followed) = (self.now, self.replica_as_of);
+        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
         let mut lapsed = Vec::new();
         for (name, machine) in &mut self.machines {
             let is_own = machine.row.node == stamp && machine.row.owner == self.settings.member;
@@ -28,13 +28,16 @@
                 continue;
             }
             // Once all other controllers have applied the grant, none of them answers the machine any more.
-            let applied_by_others = min_applied.is_some_and(|revision| revision >= machine.stamp);
-            machine.former_gone = machine.former_gone.or(applied_by_others.then_some(now));
-            let Some(sole_owner_since) = machine.former_gone else { continue };
+            let applied_by_others = min_applied.is_some_and(|revision| revision >= machine.grant_revision);
+            machine.former_owners_gone_since =
+                machine.former_owners_gone_since.or(applied_by_others.then_some(now));
+            let Some(sole_owner_since) = machine.former_owners_gone_since else { continue };
             // If the machine is resolved, a former owner's answer does not renew its lease. A session lasts for a
             // lease from its beginning, even if none of its reports is answered.
-            let mut last_renewal =
-                machine.answered.unwrap_or(sole_owner_since).max(machine.session_at.unwrap_or_default());
+            let mut last_renewal = machine
+                .last_answered
+                .unwrap_or(sole_owner_since)
+                .max(machine.session_seen_at.unwrap_or_default());
             if !machine.resolved {
                 last_renewal = last_renewal.max(sole_owner_since);
             }
@@ -52,14 +55,14 @@
             tracing::info!(machine = name, "worker lease expired, removing its tasks");
             // Planned starts have not been sent, so they can be planned again in the next session.
             self.replace_tasks(&name, BTreeMap::new(), RemovalGround::LeaseExpired);
-            self.ledger.holder_reported(&name, &self.life(), true);
+            self.machine_knowledge.holder_reported(&name, &self.incarnation(), true);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.resolved = true;
-                machine.known = true;
+                machine.ever_resolved = true;
                 // Late reports of the ended session are ignored.
-                if machine.heard.is_some() {
+                if machine.last_heard.is_some() {
                     machine.session += 1;
-                    machine.session_at = None;
+                    machine.session_seen_at = None;
                     machine.tally = 0;
                 }
             }
@@ -67,7 +70,7 @@
         self.check_takeover();
         self.schedule_status();
         self.schedule_round();
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// Lowest revision that all other controllers that may act are known to have applied: the registered ones have
@@ -76,7 +79,7 @@
         if self.phase != Phase::Active || self.evicted_may_act() {
             return None;
         }
-        let others = self.nodes.iter().filter(|(member, _)| *member != self.me());
+        let others = self.registrations.iter().filter(|(member, _)| *member != self.own_name());
         others
             .map(|(member, node)| {
                 let status = self.peers.get(member)?.status.as_ref()?;
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -15,7 +15,7 @@
 use crate::coordination::eligibility::allows;
 use crate::coordination::fleet::FleetState;
 use crate::coordination::model::{Job, Machine};
-use crate::coordination::stalls::Stalls;
+use crate::coordination::stalls::StallTracker;
 use crate::coordination::{Controller, Effect, Purpose, rules};
 use crate::protocol::job::JobSpec;
 use crate::protocol::peer::{PeerMessage, Volume};
@@ -84,7 +84,7 @@
     /// Jobs that run on capacity that the volumes leave idle.
     pub backfill: Backfill,
     /// Jobs that do not use their volumes.
-    pub stalls: Stalls,
+    pub stalls: StallTracker,
     /// Divides the leased part of the state service's rate limits among the controllers.
     pub planner: Option<Planner>,
     /// When the planner is to make the next rate plan.
@@ -107,17 +107,17 @@
 impl Controller {
     /// Starts or ends this controller's leadership after a change of the leader record.
     pub(super) fn leadership_changed(&mut self) {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
-        let mine = self.leader.as_ref().is_some_and(|l| l.0 == self.me() && l.1 == stamp && stamp != 0);
-        if mine && self.lead.is_none() {
+        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
+        let mine = self.leader.as_ref().is_some_and(|l| l.0 == self.own_name() && l.1 == stamp && stamp != 0);
+        if mine && self.leader_state.is_none() {
             tracing::info!("became leader");
             let stamp = self.leader.as_ref().map_or(0, |l| l.2);
             let planner = Some(Planner::new(self.now, stamp, self.leased_rates()));
-            self.lead = Some(LeaderState { since: self.now, planner, ..Default::default() });
-            self.volumes_heard = self.now;
+            self.leader_state = Some(LeaderState { since: self.now, planner, ..Default::default() });
+            self.volumes_received_at = self.now;
             self.resume_rentals();
         } else if !mine {
-            self.lead = None;
+            self.leader_state = None;
         }
         self.set_rates();
     }
@@ -126,7 +126,7 @@
     /// rounds are spaced by [`MIN_ROUND_INTERVAL`].
     pub(super) fn schedule_round(&mut self) {
         let now = self.now;
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             let soon = (now + Micros::from_millis(50)).max(lead.round_done + MIN_ROUND_INTERVAL);
             lead.round_at = lead.round_at.min(soon);
         }
@@ -134,19 +134,19 @@
 
     /// Runs a round if one is due and this controller may act as leader. If the view is stale, it is updated instead.
     pub(super) fn leader_tick(&mut self) {
-        if self.lead.is_none() || !self.entitled() {
+        if self.leader_state.is_none() || !self.entitled() {
             return;
         }
         self.fleet_tick();
-        if self.lead.as_ref().is_some_and(|l| l.awaiting_quota_acks) && self.may_divide() {
+        if self.leader_state.as_ref().is_some_and(|l| l.awaiting_quota_acks) && self.may_divide() {
             self.schedule_round();
         }
-        if self.lead.as_ref().is_none_or(|l| self.now < l.round_at) {
+        if self.leader_state.as_ref().is_none_or(|l| self.now < l.round_at) {
             return;
         }
         if self.view_is_stale() {
             self.update_view();
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader_state {
                 lead.round_at = self.now + MIN_ROUND_INTERVAL;
             }
             return;
@@ -154,7 +154,7 @@
         let regular = Micros::from_secs_f64(self.tuning.round_s);
         let now = self.now;
         self.run_round();
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.round += 1;
             lead.round_done = now;
             // `schedule_round` may bring this forward, but not below the minimum interval.
@@ -164,18 +164,18 @@
 
     /// Whether the registered controllers differ from the members of the view.
     fn view_is_stale(&self) -> bool {
-        let members: Vec<(String, u64)> = self.nodes.iter().map(|(m, s)| (m.clone(), *s)).collect();
+        let members: Vec<(String, u64)> = self.registrations.iter().map(|(m, s)| (m.clone(), *s)).collect();
         self.view.members != members
     }
 
     /// Whether the registration that a machine was granted to still exists.
     pub(super) fn owner_is_registered(&self, machine: &Machine) -> bool {
-        self.nodes.get(&machine.row.owner) == Some(&machine.row.node)
+        self.registrations.get(&machine.row.owner) == Some(&machine.row.node)
     }
 
     /// Makes the registered controllers the members of the view, and grants them the machines of those that left.
     fn update_view(&mut self) {
-        let members: Vec<(String, u64)> = self.nodes.iter().map(|(m, s)| (m.clone(), *s)).collect();
+        let members: Vec<(String, u64)> = self.registrations.iter().map(|(m, s)| (m.clone(), *s)).collect();
         let mut moves = BTreeMap::new();
         self.reassign_orphaned_machines(&mut moves);
         self.grant(moves, Vec::new(), BTreeSet::new(), Some(ViewRecord { members }));
@@ -184,11 +184,11 @@
     /// Adds moves that give the machines of controllers that have left to registered ones. One grant may be too
     /// small for all of them, so some may remain to be granted after the view has changed.
     pub(super) fn reassign_orphaned_machines(&self, moves: &mut BTreeMap<String, String>) {
-        let orphaned = |m: &Machine| !m.unused() && !self.owner_is_registered(m);
+        let orphaned = |m: &Machine| !m.never_granted() && !self.owner_is_registered(m);
         if !self.machines.values().any(orphaned) {
             return;
         }
-        let mut counts: BTreeMap<&str, usize> = self.nodes.keys().map(|m| (m.as_str(), 0)).collect();
+        let mut counts: BTreeMap<&str, usize> = self.registrations.keys().map(|m| (m.as_str(), 0)).collect();
         for machine in self.machines.values().filter(|m| self.owner_is_registered(m)) {
             *counts.entry(&machine.row.owner).or_default() += 1;
         }
@@ -219,10 +219,12 @@
         let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
         // One grant at a time, and an update of the view takes precedence: on a large fleet there is always a
         // machine to return, and a controller that had registered again waited 1.4 s for its view behind such grants.
-        if self.lead.as_ref().is_none_or(|l| l.grant_in_flight) || view.is_none() && self.view_is_stale() {
+        if self.leader_state.as_ref().is_none_or(|l| l.grant_in_flight)
+            || view.is_none() && self.view_is_stale()
+        {
             return false;
         }
-        let mut token = self.counter.0;
+        let mut token = self.token_counter.0;
         // A row grows when its machine is granted, and a block that has become too long could never be written
         // again. So each row counts with the largest size that it may reach.
         let names_bytes = self.max_names_bytes(&added) + blocks::FRAME_BYTES;
@@ -256,7 +258,7 @@
                     token += 1;
                     row.token = token;
                     row.owner = to.clone();
-                    row.node = self.nodes.get(to).copied().unwrap_or(0);
+                    row.node = self.registrations.get(to).copied().unwrap_or(0);
                 }
             }
         }
@@ -278,8 +280,9 @@
                     && extra <= bytes_left
                     && (changed.contains(*n) || changed.len() < max_blocks)
             });
-            let is_free =
-                |n: &usize| !block_bytes.contains_key(n) && !self.unreadable.contains(&records::blocks(*n));
+            let is_free = |n: &usize| {
+                !block_bytes.contains_key(n) && !self.unreadable_keys.contains(&records::blocks(*n))
+            };
             let n = open.map(|(n, _)| *n).unwrap_or_else(|| (0..).find(is_free).unwrap_or(0));
             let used = block_bytes.entry(n).or_insert(names_bytes);
             let extra = if changed.contains(&n) { row_bytes } else { *used + row_bytes };
@@ -306,21 +309,21 @@
         if let Some(view) = view
             && let Ok(value) = serde_json::to_value(view)
         {
-            transaction.conditions.push(Condition::new(records::VIEW, self.view_stamp));
+            transaction.conditions.push(Condition::new(records::VIEW, self.view_revision));
             transaction.writes.push(Write::put(records::VIEW, value));
         }
         if transaction.writes.is_empty() {
             return false;
         }
-        if token != self.counter.0 || !new.is_empty() {
-            transaction.conditions.push(Condition::new(records::COUNTER, self.counter.1));
+        if token != self.token_counter.0 || !new.is_empty() {
+            transaction.conditions.push(Condition::new(records::COUNTER, self.token_counter.1));
             transaction.writes.push(Write::put(records::COUNTER, token.into()));
         }
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.grant_in_flight = true;
         }
         self.counters.grants += 1;
-        self.store(Urgency::Entitlement, Purpose::Grant, StoreCall::Commit(transaction));
+        self.enqueue_store_call(Urgency::Entitlement, Purpose::Grant, StoreCall::Commit(transaction));
         true
     }
 
@@ -329,7 +332,7 @@
         let others = self.settings.members.iter().map(|m| m.member.as_str());
         let rows = self.machines.values().map(|m| &m.row).chain(added);
         let used = rows.flat_map(|r| [r.kind.as_str(), r.zone.as_str()]);
-        let names: BTreeSet<&str> = others.chain([self.me(), ""]).chain(used).collect();
+        let names: BTreeSet<&str> = others.chain([self.own_name(), ""]).chain(used).collect();
         names.into_iter().map(blocks::name_bytes).sum()
     }
 
@@ -338,8 +341,8 @@
         let granted = matches!(reply, StoreReply::Committed { .. });
         self.counters.grant_conflicts += u64::from(!granted);
         // The next grant is computed from the replica, so the store's changes are requested at once.
-        self.follow_at = self.follow_at.map(|_| self.now);
-        if let Some(lead) = &mut self.lead {
+        self.next_follow_at = self.next_follow_at.map(|_| self.now);
+        if let Some(lead) = &mut self.leader_state {
             lead.grant_in_flight = false;
             lead.round_at = if granted {
                 lead.grant_backoff.succeeded();
@@ -353,17 +356,17 @@
     /// Whether tasks can be planned on a machine, according to its owner's last status.
     pub(super) fn is_schedulable(&self, machine: &Machine) -> bool {
         !machine.row.returning
-            && !machine.apart
-            && !machine.notice
+            && !machine.quarantined
+            && !machine.preemption_notice
             && self.owner_is_registered(machine)
             && machine.up
-            && !machine.lost
+            && !machine.unresponsive
             && self.seconds_unheard(machine) < 10
     }
 
     /// Logs a summary of the deployment for operators.
     fn log_summary(&self, volumes: &[Volume]) {
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader_state else { return };
         let count = |f: &dyn Fn(&Machine) -> bool| self.machines.values().filter(|m| f(m)).count();
         let tasks = |f: &dyn Fn(&Job) -> u32| self.jobs.values().map(f).sum::<u32>();
         tracing::info!(
@@ -389,26 +392,26 @@
         let (mut volumes, shares) = self.volumes();
         self.note_stalls();
         self.backfill(&mut volumes);
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.shares = shares;
         }
-        if self.lead.as_ref().is_some_and(|l| self.now >= l.summarized_at + SUMMARY_INTERVAL) {
+        if self.leader_state.as_ref().is_some_and(|l| self.now >= l.summarized_at + SUMMARY_INTERVAL) {
             self.log_summary(&volumes);
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader_state {
                 lead.summarized_at = self.now;
             }
         }
         let leader = self.leader.as_ref().map_or(0, |l| l.2);
-        let round = self.lead.as_ref().map_or(0, |l| l.round);
+        let round = self.leader_state.as_ref().map_or(0, |l| l.round);
         let kept = self.choose_fast_start_machines();
         let surplus = self.find_surplus(&volumes);
-        let reserved = self.reserved.clone();
+        let reserved = self.gang_reservations.clone();
         self.take_volumes(&volumes, kept.clone(), reserved.clone());
         let message =
             PeerMessage::Volumes { leader, round, volumes, kept, reserved, surplus: surplus.clone() };
         self.effects.push(Effect::Send(None, message));
         self.stop_surplus(&surplus);
-        if self.lead.as_ref().is_some_and(|l| l.grant_in_flight) {
+        if self.leader_state.as_ref().is_some_and(|l| l.grant_in_flight) {
             return;
         }
         self.check_usage();
@@ -418,7 +421,7 @@
         let (moves, added) = self.plan_blocks();
         if !moves.is_empty() || !added.is_empty() {
             let moved_at = self.now;
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader_state {
                 for name in moves.keys() {
                     lead.moved_at.insert(name.clone(), moved_at);
                 }
@@ -437,7 +440,7 @@
     fn find_surplus(&mut self, volumes: &[Volume]) -> Vec<(String, u32)> {
         let now = self.now;
         let wait = Micros::from_secs_f64(self.tuning.surplus_wait_s);
-        let Some(lead) = &mut self.lead else { return Vec::new() };
+        let Some(lead) = &mut self.leader_state else { return Vec::new() };
         let waiting: BTreeMap<String, u64> = lead.unplaced.iter().map(|u| (u.job.clone(), u.count)).collect();
         lead.starved.retain(|job, _| waiting.contains_key(job));
         for job in waiting.keys() {
@@ -479,7 +482,7 @@
     /// priority.
     fn choose_fast_start_machines(&self) -> Vec<(String, String)> {
         let mut kept: Vec<(String, String)> = Vec::new();
-        for (class, spec) in &self.quick {
+        for (class, spec) in &self.fast_start_jobs {
             let need = spec.need();
             let mut options: Vec<(bool, u64, u64, &String)> = Vec::new();
             let fits = |m: &Machine| (spec.gpus > 0.0 || m.supply.gpu == 0) && allows(spec, m);
@@ -490,9 +493,9 @@
                     .iter()
                     .filter(|(id, t)| !t.ended() && self.jobs.get(&id.job).is_none_or(not_lower));
                 let room = staying.fold(m.supply, |room, (_, t)| room.minus(t.need));
-                let Some(kind) = self.types.get(&m.row.kind) else { continue };
+                let Some(kind) = self.machine_types.get(&m.row.kind) else { continue };
                 if need.fits(room) {
-                    let already_kept = self.kept.get(name) == Some(class);
+                    let already_kept = self.fast_start_reservations.get(name) == Some(class);
                     options.push((
                         !already_kept,
                         (1e6 / kind.fetch_gb_per_s.max(1e-3)) as u64,
@@ -523,16 +526,18 @@
     /// Whether every registered controller is known to have applied the store's changes up to this revision.
     pub(super) fn all_controllers_applied(&self, revision: u64) -> bool {
         let applied = |m: &str, node| self.status_of(m, node).is_some_and(|s| s.applied >= revision);
-        self.nodes.iter().all(|(m, node)| (m == self.me() && self.applied >= revision) || applied(m, *node))
+        self.registrations
+            .iter()
+            .all(|(m, node)| (m == self.own_name() && self.applied_revision >= revision) || applied(m, *node))
     }
 
     /// Deletes a batch of completion records whose jobs have ended.
     fn delete_completion_records(&mut self) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         // With a fixed interval the records accumulated when jobs ended faster than they were deleted.
-        let batch_s = CLEANUP_BATCH as f64 / (self.calls.writes_per_s() * CLEANUP_WRITE_SHARE);
+        let batch_s = CLEANUP_BATCH as f64 / (self.store_calls.writes_per_s() * CLEANUP_WRITE_SHARE);
         let spacing = Micros::from_secs_f64(batch_s).min(MAX_CLEANUP_INTERVAL);
-        if self.now.since(lead.cleaned_up_at) < spacing || self.calls.waiting(Urgency::Rest) > 4 {
+        if self.now.since(lead.cleaned_up_at) < spacing || self.store_calls.waiting(Urgency::Rest) > 4 {
             return;
         }
         let orphans = self.done_keys.iter().filter(|(job, _)| !self.jobs.contains_key(*job));
@@ -548,6 +553,6 @@
             conditions: vec![self.registration_condition()],
             writes: keys.into_iter().map(Write::delete).collect(),
         };
-        self.store(Urgency::Rest, Purpose::Cleanup, StoreCall::Commit(transaction));
+        self.enqueue_store_call(Urgency::Rest, Purpose::Cleanup, StoreCall::Commit(transaction));
     }
 }
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -6,8 +6,8 @@
 
 use crate::bookkeeping::records;
 use crate::coordination::conclusions::Evidence;
-use crate::coordination::knowledge::Proof;
-use crate::coordination::model::{Machine, PendingStart, TaskOn};
+use crate::coordination::knowledge::Authorization;
+use crate::coordination::model::{Machine, PendingStart, PlacedTask};
 use crate::coordination::pending::WorkerMessage;
 use crate::coordination::removal::RemovalGround;
 use crate::coordination::start_gate::StartGate;
@@ -27,51 +27,52 @@
     /// Handles a worker's report: applies it and answers with orders, or redirects the worker to its machine's owner.
     pub(super) fn handle_report(&mut self, request: RequestId, report: Report) {
         self.counters.reports += 1;
-        let Some(proof) = self.proof() else {
-            return self.answer(request, Answer::Later(1));
+        let Some(proof) = self.authorization() else {
+            return self.answer(request, Answer::RetryLater(1));
         };
         let Some(machine) = self.machines.get(&report.machine) else {
             self.check_report(&report, Evidence::OutOfDate);
             self.notify_leader_of_unrecorded_machine(report);
-            return self.answer(request, Answer::Elsewhere(None));
+            return self.answer(request, Answer::Redirect(None));
         };
-        if machine.unused() {
+        if machine.never_granted() {
             self.notify_leader_of_unrecorded_machine(report);
-            return self.answer(request, Answer::Elsewhere(None));
+            return self.answer(request, Answer::Redirect(None));
         }
         let row = &machine.row;
         if (&row.kind, &row.zone, row.spot) != (&report.kind, &report.zone, report.spot) {
             // The worker uses another machine's name or is misconfigured. Its tasks must not be attributed to the
             // recorded machine.
-            self.counters.reports_odd += 1;
+            self.counters.reports_mismatched += 1;
             tracing::warn!(
                 machine = report.machine,
                 kind = report.kind,
                 zone = report.zone,
                 "report does not match the machine's record"
             );
-            return self.answer(request, Answer::Later(1));
+            return self.answer(request, Answer::RetryLater(1));
         }
         if !self.owns(machine) {
             // Redirecting a worker to a controller that is no longer registered would only make it go round in circles.
             let owner = machine.row.owner.clone();
-            let owner_registered = owner != self.me() && self.nodes.get(&owner) == Some(&machine.row.node);
+            let owner_registered =
+                owner != self.own_name() && self.registrations.get(&owner) == Some(&machine.row.node);
             // The worker of a machine that was granted some time ago should have found its owner.
-            let settled = machine.resolved && self.now.since(machine.granted) > OWNER_DISCOVERY_GRACE;
+            let settled = machine.resolved && self.now.since(machine.grant_seen_at) > OWNER_DISCOVERY_GRACE;
             self.check_report(&report, Evidence::AnotherController);
             self.note_worker_failover(&owner, &report.machine, settled);
             self.notify_leader_of_misdirected_report(&report.machine);
-            return self.answer(request, Answer::Elsewhere(owner_registered.then_some(owner)));
+            return self.answer(request, Answer::Redirect(owner_registered.then_some(owner)));
         }
         // A report that was delayed in transit is older than the known state. A report with a newer token than the one
         // known here means that the machine has been granted to another controller.
         let newer = (report.session, report.tally) > (machine.session, machine.tally);
         // A report that was overtaken by the worker's reply to a direct call is answered, but not applied.
-        let overtaken = report.session == machine.session && report.tally > machine.reported;
+        let overtaken = report.session == machine.session && report.tally > machine.last_report_tally;
         if !(newer || overtaken) || report.token > machine.row.token {
             self.counters.reports_stale += 1;
             self.check_report(&report, Evidence::OutOfDate);
-            return self.answer(request, Answer::Later(1));
+            return self.answer(request, Answer::RetryLater(1));
         }
         let name = report.machine.clone();
         let (session, tally) = (report.session, report.tally);
@@ -80,14 +81,14 @@
             self.apply_report(report, false);
         }
         if let Some(machine) = self.machines.get_mut(&name) {
-            machine.reported = tally;
-            machine.heard = Some(self.now);
-            machine.lost = machine.hearing.is_not_receiving();
+            machine.last_report_tally = tally;
+            machine.last_heard = Some(self.now);
+            machine.unresponsive = machine.delivery.is_not_receiving();
         }
         if self.is_abandoned_as_not_receiving(&name) {
-            return self.answer(request, Answer::Later(1));
+            return self.answer(request, Answer::RetryLater(1));
         }
-        let placed = self.may_place();
+        let placed = self.begin_due_placement();
         if placed {
             self.place();
             self.status_tick();
@@ -95,7 +96,7 @@
         let answer = self.build_report_answer(&proof, &name, session, tally);
         let starts = answer.orders.iter().any(|o| matches!(o, Order::Start { .. }));
         if let Some(machine) = self.machines.get_mut(&name) {
-            machine.hearing.answered(self.now, shown, answer.token, starts);
+            machine.delivery.answered(self.now, shown, answer.token, starts);
         }
         self.answer(request, Answer::Orders(answer));
         if placed {
@@ -116,7 +117,7 @@
         let mut tasks = report.tasks.iter().filter_map(|t| Some((TaskId::parse(&t.task)?, t.attempt)));
         let start = tasks.any(|(id, attempt)| ordered(&id, attempt));
         let shown = ReportedState { session, tally, token, lists_start: start };
-        machine.hearing.reported(self.now, shown, self.worker_lease.mul_f64(0.8));
+        machine.delivery.reported(self.now, shown, self.worker_lease.mul_f64(0.8));
         shown
     }
 
@@ -127,17 +128,17 @@
     /// apply while more than a quarter of the controller's machines (and more than two) do not receive: then the fault
     /// is more likely on this side, and a controller that is late with its answers must not give up all its workers.
     fn is_abandoned_as_not_receiving(&mut self, name: &str) -> bool {
-        let Some(since) = self.machines.get(name).and_then(|m| m.hearing.not_receiving_since()) else {
+        let Some(since) = self.machines.get(name).and_then(|m| m.delivery.not_receiving_since()) else {
             return false;
         };
         let own = || self.machines.values().filter(|m| self.owns(m));
-        if own().filter(|m| m.hearing.is_not_receiving()).count() * 4 > own().count().max(8) {
+        if own().filter(|m| m.delivery.is_not_receiving()).count() * 4 > own().count().max(8) {
             return false;
         }
         self.schedule_status();
         let lease_expired = self.now.since(since) > self.worker_lease + Micros::from_secs(5);
-        if let Some(machine) = self.machines.get_mut(name).filter(|m| lease_expired && !m.apart) {
-            machine.apart = true;
+        if let Some(machine) = self.machines.get_mut(name).filter(|m| lease_expired && !m.quarantined) {
+            machine.quarantined = true;
             tracing::warn!(
                 machine = name,
                 "machine quarantined: its reports arrive, but it receives no answers"
@@ -153,11 +154,11 @@
         self.check_applied_report(&report, direct);
         let now = self.now;
         let name = report.machine;
-        let mut tasks: BTreeMap<TaskId, TaskOn> = BTreeMap::new();
+        let mut tasks: BTreeMap<TaskId, PlacedTask> = BTreeMap::new();
         let mut ended = Vec::new();
         let Some(machine) = self.machines.get(&name) else { return };
         let was_idle = machine.idle();
-        let was_ready = machine.heard.is_some();
+        let was_ready = machine.last_heard.is_some();
         // Until the worker has seen the current token, its report may be older than the known state, and orders of a
         // former owner may still arrive.
         let fenced = report.token >= machine.row.token;
@@ -173,16 +174,16 @@
                 tasks.insert(id, later.clone());
                 continue;
             }
-            let on = TaskOn {
+            let on = PlacedTask {
                 attempt: t.attempt,
                 state: t.state,
                 cause: t.cause,
                 need: known.map(|k| k.need).unwrap_or_else(|| self.need_of(&id.job)),
                 pending: None,
-                announced: 0,
-                stop: same_attempt.and_then(|k| k.stop),
-                told: same_attempt.is_some_and(|k| k.told),
-                since: same_attempt.map_or(now, |k| k.since),
+                announced_in_status: 0,
+                stop_grace: same_attempt.and_then(|k| k.stop_grace),
+                stop_sent: same_attempt.is_some_and(|k| k.stop_sent),
+                started_at: same_attempt.map_or(now, |k| k.started_at),
             };
             tasks.insert(id, on);
         }
@@ -204,43 +205,43 @@
         self.record_cached_images(&name);
         let Some(machine) = self.machines.get_mut(&name) else { return };
         let noticed = report.notice_s.is_some();
-        let state_changed = changed || noticed != machine.notice || !was_ready;
-        if report.session != machine.session || machine.session_at.is_none() {
-            machine.session_at = Some(now);
+        let state_changed = changed || noticed != machine.preemption_notice || !was_ready;
+        if report.session != machine.session || machine.session_seen_at.is_none() {
+            machine.session_seen_at = Some(now);
         }
         machine.session = report.session;
         machine.tally = report.tally;
         if !report.addr.is_empty() {
             machine.addr = report.addr;
         }
-        machine.heard = machine.heard.filter(|_| direct).or(Some(now));
+        machine.last_heard = machine.last_heard.filter(|_| direct).or(Some(now));
         machine.up = true;
-        machine.lost = machine.hearing.is_not_receiving();
-        machine.notice = noticed;
+        machine.unresponsive = machine.delivery.is_not_receiving();
+        machine.preemption_notice = noticed;
         machine.silent_since = None;
         if !was_idle || !machine.idle() {
             machine.idle_since = now;
         }
         let newly_resolved = fenced && !machine.resolved;
         machine.resolved |= fenced;
-        machine.known |= fenced;
+        machine.ever_resolved |= fenced;
         if let Some(left) = report.notice_s {
             let left = Micros::from_secs_f64(left).since(Micros::from_secs(1));
-            for t in machine.tasks.values_mut().filter(|t| !t.ended() && t.stop.is_none()) {
-                t.stop = Some(left);
+            for t in machine.tasks.values_mut().filter(|t| !t.ended() && t.stop_grace.is_none()) {
+                t.stop_grace = Some(left);
             }
         }
         for (task, cause) in ended {
             self.handle_task_end(&name, &task, cause);
         }
         if newly_resolved {
-            self.ledger.holder_reported(&name, &self.life(), true);
+            self.machine_knowledge.holder_reported(&name, &self.incarnation(), true);
             self.check_takeover();
         }
         if state_changed || newly_resolved {
             self.schedule_status();
             self.schedule_round();
-            self.place_due = true;
+            self.placement_due = true;
         }
     }
 
@@ -252,13 +253,13 @@
     /// Records that the images of a machine's waiting and running tasks are in its cache.
     pub(super) fn record_cached_images(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let cache_gb = self.types.get(&machine.row.kind).map_or(0.0, |t| t.cache_gb);
-        let has_image = |t: &TaskOn| matches!(t.state, TaskState::Running | TaskState::Waiting);
+        let cache_gb = self.machine_types.get(&machine.row.kind).map_or(0.0, |t| t.cache_gb);
+        let has_image = |t: &PlacedTask| matches!(t.state, TaskState::Running | TaskState::Waiting);
         let jobs =
             machine.tasks.iter().filter(|(_, t)| has_image(t)).filter_map(|(id, _)| self.jobs.get(&id.job));
         let images: BTreeMap<&str, f64> = jobs.map(|j| (j.spec.image.as_str(), j.spec.image_gb)).collect();
         for (image, gb) in images {
-            machine.remember_image(image, gb, cache_gb);
+            machine.record_cached_image(image, gb, cache_gb);
         }
     }
 
@@ -267,20 +268,28 @@
         self.counters.completions += u64::from(cause == Cause::Done);
         self.counters.task_errors += u64::from(cause == Cause::Error);
         if cause == Cause::Done {
-            self.completed(task);
+            self.record_completion(task);
         }
-        self.note_outcome(name, task, cause);
+        self.record_outcome(name, task, cause);
     }
 
     /// The answer to a report: all orders that are due on the machine. Starts are added while it has fewer than
     /// [`MAX_ORDERS`] orders.
-    fn build_report_answer(&mut self, proof: &Proof, name: &str, session: u64, tally: u64) -> ReportAnswer {
+    fn build_report_answer(
+        &mut self,
+        proof: &Authorization,
+        name: &str,
+        session: u64,
+        tally: u64,
+    ) -> ReportAnswer {
         let mut orders = Vec::new();
         // Planned starts that are to be stopped were never sent: they are dropped rather than stopped.
         let unwanted: Vec<TaskId> = self
             .machines
             .get(name)
-            .map(|m| m.tasks.iter().filter(|(_, t)| t.stop.is_some()).map(|(id, _)| id.clone()).collect())
+            .map(|m| {
+                m.tasks.iter().filter(|(_, t)| t.stop_grace.is_some()).map(|(id, _)| id.clone()).collect()
+            })
             .unwrap_or_default();
         self.drop_planned_starts(name, |id| unwanted.contains(id));
         self.drop_disowned_starts(name);
@@ -293,12 +302,12 @@
         let forgettable: Vec<TaskId> = self
             .machines
             .get(name)
-            .filter(|m| !m.renew)
+            .filter(|m| !m.token_renewal_needed)
             .map(|m| {
                 m.tasks
                     .iter()
                     // A task that is forgotten while its start may still arrive would run again.
-                    .filter(|(id, t)| t.ended() && self.may_forget(id, t) && !m.starting.contains(id))
+                    .filter(|(id, t)| t.ended() && self.may_forget(id, t) && !m.starts_in_call.contains(id))
                     .map(|(id, _)| id.clone())
                     .collect()
             })
@@ -318,9 +327,9 @@
             }
             if !live.get(&id.job).copied().unwrap_or(false) {
                 // The job is no longer live: it was withdrawn, or has completed.
-                t.stop = Some(Micros::ZERO);
+                t.stop_grace = Some(Micros::ZERO);
             }
-            if let Some(grace) = t.stop
+            if let Some(grace) = t.stop_grace
                 && !t.planned()
                 && (t.state != TaskState::Saving || grace == Micros::ZERO)
             {
@@ -337,7 +346,7 @@
                 break;
             }
             // Repeats a start from a direct call. It has no effect if the call has arrived.
-            if t.stop.is_none()
+            if t.stop_grace.is_none()
                 && let Some(pending) = &mut t.pending
                 && pending.repeat_in_answer(tally, machine.row.token)
             {
@@ -345,7 +354,7 @@
             }
             if gate.permit(name, id, t, &mut self.counters).is_some() {
                 t.pending = Some(PendingStart::SentInAnswer { session, tally });
-                t.since = now;
+                t.started_at = now;
                 self.counters.starts += 1;
                 tracing::debug!(
                     machine = name,
@@ -366,18 +375,18 @@
             ?orders,
             "report answered"
         );
-        machine.answered = Some(now);
+        machine.last_answered = Some(now);
         proof.answer(machine.row.token, orders)
     }
 
     /// Whether the store has a live record of a job, even one that this version cannot read.
     pub(super) fn is_live(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
-            || !self.unreadable.is_empty() && self.unreadable.contains(&records::live(job))
+            || !self.unreadable_keys.is_empty() && self.unreadable_keys.contains(&records::live(job))
     }
 
     /// Whether the worker may forget an ended task: a completion must be stored first.
-    fn may_forget(&self, id: &TaskId, task: &TaskOn) -> bool {
+    fn may_forget(&self, id: &TaskId, task: &PlacedTask) -> bool {
         match task.cause {
             Some(Cause::Done) => self.is_stored(id),
             _ => true,
@@ -405,7 +414,7 @@
             && t.attempt == attempt
             && !t.ended()
         {
-            t.stop = Some(t.stop.map_or(grace, |g| g.min(grace)));
+            t.stop_grace = Some(t.stop_grace.map_or(grace, |g| g.min(grace)));
         }
     }
 
@@ -414,13 +423,13 @@
     pub(super) fn take_peer_stop_requests(&mut self) -> Vec<StopRequest> {
         let mut stops = Vec::new();
         // Called for every status, while stops are rare: the flag avoids a scan of all machines.
-        if !std::mem::take(&mut self.stops_abroad) {
+        if !std::mem::take(&mut self.remote_stops_pending) {
             return stops;
         }
         for machine in self.machines.values().filter(|m| !self.owns(m)) {
             for (id, t) in machine.tasks.iter().filter(|(_, t)| !t.ended()) {
-                if let Some(grace) = t.stop
-                    && self.jobs.get(&id.job).is_some_and(|j| j.owner.as_deref() == Some(self.me()))
+                if let Some(grace) = t.stop_grace
+                    && self.jobs.get(&id.job).is_some_and(|j| j.owner.as_deref() == Some(self.own_name()))
                 {
                     stops.push(StopRequest {
                         machine: machine.row.machine.clone(),
@@ -431,14 +440,14 @@
                 }
             }
         }
-        self.stops_abroad = !stops.is_empty();
+        self.remote_stops_pending = !stops.is_empty();
         stops
     }
 
     /// Seconds since a machine's owner last received a message from it.
     pub(super) fn seconds_unheard(&self, machine: &Machine) -> u32 {
         if self.owns(machine) {
-            self.now.since(machine.heard.unwrap_or(machine.since)).as_secs_f64() as u32
+            self.now.since(machine.last_heard.unwrap_or(machine.known_since)).as_secs_f64() as u32
         } else {
             machine.silent_since.map_or(0, |at| self.now.since(at).as_secs_f64() as u32)
         }
@@ -449,7 +458,7 @@
         for (name, addr) in list {
             if let Some(machine) = self.machines.get_mut(name).filter(|m| m.addr.is_empty()) {
                 machine.addr.clone_from(addr);
-                self.place_due = true;
+                self.placement_due = true;
             }
         }
     }
@@ -457,7 +466,7 @@
     /// Tells the leader that a machine has reported to this controller instead of its owner.
     fn notify_leader_of_misdirected_report(&mut self, machine: &str) {
         let me = self.settings.member.clone();
-        if self.lead.is_some() {
+        if self.leader_state.is_some() {
             self.heard_elsewhere(machine.to_owned(), me);
         } else if let Some((leader, ..)) = &self.leader {
             let heard = PeerMessage::Heard { machine: machine.to_owned() };
@@ -473,7 +482,7 @@
             zone: report.zone.clone(),
             spot: report.spot,
         };
-        if self.lead.is_some() {
+        if self.leader_state.is_some() {
             self.note_unrecorded_machine(report.machine, report.kind, report.zone, report.spot);
         } else if let Some((leader, ..)) = &self.leader {
             self.effects.push(Effect::Send(Some(leader.clone()), stray));
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -32,23 +32,27 @@
     /// Registers if necessary, renews the lease, follows the store's changes, and elects or evicts controllers.
     pub(super) fn membership_tick(&mut self) {
         match self.phase {
-            Phase::Outside if self.joining.ready(self.now) => {
+            Phase::Unregistered if self.join_backoff.ready(self.now) => {
                 self.phase = Phase::Registering;
-                let key = records::node(self.me());
-                self.store(Urgency::Entitlement, Purpose::FindFormerRegistration, StoreCall::Get { key });
+                let key = records::node(self.own_name());
+                self.enqueue_store_call(
+                    Urgency::Entitlement,
+                    Purpose::FindFormerRegistration,
+                    StoreCall::Get { key },
+                );
             }
             Phase::Active | Phase::Loading => self.renew_when_due(),
             _ => {}
         }
         if self.phase == Phase::Active {
-            if self.follow_at.is_some_and(|at| at <= self.now) {
-                self.follow_at = None;
+            if self.next_follow_at.is_some_and(|at| at <= self.now) {
+                self.next_follow_at = None;
                 let call = StoreCall::Follow {
                     prefix: records::FOLLOWED.to_owned(),
-                    after: self.applied,
+                    after: self.applied_revision,
                     hold_ms: WATCH_HOLD.as_millis(),
                 };
-                self.store(Urgency::Entitlement, Purpose::Follow, call);
+                self.enqueue_store_call(Urgency::Entitlement, Purpose::Follow, call);
             }
             self.try_become_leader();
             self.evict_suspects();
@@ -60,71 +64,78 @@
         let every = Micros(self.lease_term.0 / 6);
         let now = self.now;
         if let Some(lease) = &mut self.lease
-            && !lease.renewing
-            && now.since(lease.renewed) >= every
+            && !lease.renewal_in_flight
+            && now.since(lease.renewed_at) >= every
         {
-            lease.renewing = true;
+            lease.renewal_in_flight = true;
             let call = StoreCall::Renew { lease: lease.id };
-            self.store(Urgency::Entitlement, Purpose::Renew, call);
+            self.enqueue_store_call(Urgency::Entitlement, Purpose::Renew, call);
         }
     }
 
     /// Tries to become the leader if there is none. The attempts of the members are staggered by their order.
     fn try_become_leader(&mut self) {
         if self.leader.is_some() {
-            self.lead_at = Micros::ZERO;
+            self.next_leader_attempt_at = Micros::ZERO;
             return;
         }
-        if self.lead_at == Micros::ZERO {
-            let rank = self.settings.everyone().iter().position(|m| m == self.me()).unwrap_or(0) as u64;
-            self.lead_at = self.now + Micros::from_millis(120 * rank);
+        if self.next_leader_attempt_at == Micros::ZERO {
+            let rank = self.settings.everyone().iter().position(|m| m == self.own_name()).unwrap_or(0) as u64;
+            self.next_leader_attempt_at = self.now + Micros::from_millis(120 * rank);
         }
-        if self.now < self.lead_at || !self.entitled() {
+        if self.now < self.next_leader_attempt_at || !self.entitled() {
             return;
         }
-        self.lead_at = self.now + Micros::from_secs(2);
+        self.next_leader_attempt_at = self.now + Micros::from_secs(2);
         let Some(lease) = &self.lease else { return };
-        let record = LeaderRecord { member: self.me().to_owned(), node: lease.stamp };
+        let record = LeaderRecord { member: self.own_name().to_owned(), node: lease.registration };
         let Ok(value) = serde_json::to_value(record) else { return };
         let transaction = Transaction {
             conditions: vec![Condition::new(records::LEADER, 0), self.registration_condition()],
             writes: vec![Write::leased(records::LEADER, value, lease.id)],
         };
-        self.store(Urgency::Entitlement, Purpose::TakeLeadership, StoreCall::Commit(transaction));
+        self.enqueue_store_call(
+            Urgency::Entitlement,
+            Purpose::TakeLeadership,
+            StoreCall::Commit(transaction),
+        );
     }
 
     /// Counts that a controller has refused a connection.
     pub(super) fn handle_connection_refused(&mut self, member: String) {
         let now = self.now;
-        let (_, times) = self.refusals.entry(member).or_insert((now, 0));
+        let (_, times) = self.refused_connections.entry(member).or_insert((now, 0));
         *times += 1;
     }
 
     /// Detects whether this process was paused. If so, it has received no messages meanwhile, and the others' silence
     /// proves nothing until they have had time to send some.
     pub(super) fn detect_process_pause(&mut self) {
-        if self.now.since(self.ticked) > PAUSE_THRESHOLD {
-            self.awake_since = self.now;
+        if self.now.since(self.last_tick_at) > PAUSE_THRESHOLD {
+            self.resumed_at = self.now;
         }
-        self.ticked = self.now;
+        self.last_tick_at = self.now;
     }
 
     /// Registered controllers that have been silent for too long: for a short time if they refuse connections, or for
     /// a longer one otherwise, as a paused or partitioned controller does not refuse any.
     pub(super) fn suspects(&self) -> Vec<String> {
         let short_silence = Micros::from_millis(1_200);
-        let silent = |m: &String| self.peers.get(m).is_none_or(|p| self.now.since(p.heard) > short_silence);
+        let silent =
+            |m: &String| self.peers.get(m).is_none_or(|p| self.now.since(p.last_heard) > short_silence);
         let refused = self
-            .refusals
+            .refused_connections
             .iter()
             .filter(|(_, (at, n))| *n >= 3 && self.now.since(*at) > Micros::from_millis(700));
-        let mut suspects: Vec<String> =
-            refused.map(|(m, _)| m.clone()).filter(|m| self.nodes.contains_key(m) && silent(m)).collect();
-        let timed_out = self.nodes.iter().filter(|(member, node)| {
+        let mut suspects: Vec<String> = refused
+            .map(|(m, _)| m.clone())
+            .filter(|m| self.registrations.contains_key(m) && silent(m))
+            .collect();
+        let timed_out = self.registrations.iter().filter(|(member, node)| {
             // A controller that has just registered may take long to load the records before its first status.
             let heard =
                 self.peers.get(*member).filter(|p| p.status.as_ref().is_some_and(|s| s.stamp == **node));
-            let heard_at = heard.map(|p| p.heard.max(self.awake_since));
+            let heard_at = heard.map(|p| p.last_heard.max(self.resumed_at));
             **member != self.settings.member
                 && heard_at.is_some_and(|at| self.now.since(at) > SILENCE_TIMEOUT)
         });
@@ -139,7 +150,8 @@
     /// Whether the agreement of all other non-suspects is enough to treat a suspect as failed. It is if the suspect has
     /// refused connections; if it is only silent, the non-suspects must be a majority of the registered controllers.
     fn has_eviction_quorum(&self, member: &str, suspects: &[String]) -> bool {
-        self.refusals.contains_key(member) || (self.nodes.len() - suspects.len()) * 2 > self.nodes.len()
+        self.refused_connections.contains_key(member)
+            || (self.registrations.len() - suspects.len()) * 2 > self.registrations.len()
     }
 
     /// Controllers whose workers have failed over to this one although they knew their owner. A packet filter between
@@ -147,7 +159,7 @@
     /// still reach them.
     pub(super) fn deserted_controllers(&self) -> Vec<String> {
         let mut counts: BTreeMap<&String, usize> = BTreeMap::new();
-        for ((owner, _), (_, again)) in &self.turned {
+        for ((owner, _), (_, again)) in &self.worker_failovers {
             let recent = *again > Micros::ZERO && self.now.since(*again) < FAILOVER_WINDOW;
             *counts.entry(owner).or_default() += usize::from(recent);
         }
@@ -162,9 +174,10 @@
     /// owner, so it counts only if it reports here again after it was redirected to the owner.
     pub(super) fn note_worker_failover(&mut self, owner: &str, machine: &str, settled: bool) {
         let now = self.now;
-        self.turned.retain(|_, (first, again)| now.since((*first).max(*again)) < REDIRECT_RETURN_WINDOW);
+        self.worker_failovers
+            .retain(|_, (first, again)| now.since((*first).max(*again)) < REDIRECT_RETURN_WINDOW);
         let key = (owner.to_owned(), machine.to_owned());
-        self.turned
+        self.worker_failovers
             .entry(key)
             .and_modify(|(first, again)| {
                 if now.since(*first) > Micros::from_millis(500) {
@@ -182,14 +195,14 @@
     /// within 30 s, so that a wrong decision is not repeated at once.
     fn evict_suspects(&mut self) {
         let suspects = self.suspects();
-        if suspects.is_empty() || !self.entitled() || self.now < self.evict_at {
+        if suspects.is_empty() || !self.entitled() || self.now < self.next_eviction_at {
             return;
         }
         let me = self.settings.member.clone();
-        let others = || self.nodes.keys().filter(|m| !suspects.contains(*m));
+        let others = || self.registrations.keys().filter(|m| !suspects.contains(*m));
         let other_statuses = || {
             others().filter(|m| **m != me).map(|m| {
-                let peer = self.peers.get(m).filter(|p| self.now.since(p.heard) < Micros::from_secs(3));
+                let peer = self.peers.get(m).filter(|p| self.now.since(p.last_heard) < Micros::from_secs(3));
                 peer.and_then(|p| p.status.as_ref())
             })
         };
@@ -201,7 +214,7 @@
         };
         let min_interval = Micros::from_secs(30);
         let not_recently_evicted =
-            |m: &String| self.evicted.get(m).is_none_or(|(at, _)| self.now.since(*at) > min_interval);
+            |m: &String| self.evictions.get(m).is_none_or(|(at, _)| self.now.since(*at) > min_interval);
         let Some((leader, _, leader_stamp)) = self.leader.clone() else { return };
         // The leader evicts. If it is a suspect itself, the first of the other members evicts it and takes over.
         let takes_over = suspects.contains(&leader);
@@ -216,7 +229,7 @@
         let Some(member) = candidate.filter(|m| not_recently_evicted(m) && agreed(m)).cloned() else {
             return;
         };
-        let (Some(node), Some(lease)) = (self.nodes.get(&member), &self.lease) else { return };
+        let (Some(node), Some(lease)) = (self.registrations.get(&member), &self.lease) else { return };
         let mut transaction = Transaction {
             conditions: vec![
                 Condition::new(records::LEADER, leader_stamp),
@@ -229,20 +242,20 @@
             ],
         };
         if takes_over {
-            let record = LeaderRecord { member: me, node: lease.stamp };
+            let record = LeaderRecord { member: me, node: lease.registration };
             let Ok(value) = serde_json::to_value(record) else { return };
             transaction.writes.push(Write::leased(records::LEADER, value, lease.id));
         }
         tracing::warn!(member, "evicting controller: it is silent and its workers have failed over");
-        self.evict_at = self.now + Micros::from_millis(800);
-        self.store(Urgency::Entitlement, Purpose::Evict, StoreCall::Commit(transaction));
+        self.next_eviction_at = self.now + Micros::from_millis(800);
+        self.enqueue_store_call(Urgency::Entitlement, Purpose::Evict, StoreCall::Commit(transaction));
     }
 
     /// The condition that every transaction of this controller carries: its registration is still in force.
     pub(super) fn registration_condition(&self) -> Condition {
         // No registration has this stamp. Without a registration every transaction fails.
-        let stamp = self.lease.as_ref().map_or(u64::MAX >> 1, |l| l.stamp);
-        Condition::new(records::node(self.me()), stamp)
+        let stamp = self.lease.as_ref().map_or(u64::MAX >> 1, |l| l.registration);
+        Condition::new(records::node(self.own_name()), stamp)
     }
 
     /// Handles replies to the calls of registration, loading, renewal, election and eviction.
@@ -251,56 +264,64 @@
             (Purpose::FindFormerRegistration, StoreReply::Found { value, .. }) => {
                 // There is one process per controller, so the one that made this registration has ended.
                 let lease = serde_json::from_value(value).map_or(0, |r: NodeRecord| r.lease);
-                self.store(Urgency::Entitlement, Purpose::ReleaseFormerLease, StoreCall::Release { lease });
+                self.enqueue_store_call(
+                    Urgency::Entitlement,
+                    Purpose::ReleaseFormerLease,
+                    StoreCall::Release { lease },
+                );
             }
             (Purpose::FindFormerRegistration, StoreReply::Missing)
             | (Purpose::ReleaseFormerLease, StoreReply::Renewed | StoreReply::Missing) => {
                 let life_ms = self.lease_term.as_millis();
-                self.store(Urgency::Entitlement, Purpose::Lease, StoreCall::Lease { life_ms });
+                self.enqueue_store_call(Urgency::Entitlement, Purpose::Lease, StoreCall::Lease { life_ms });
             }
             (Purpose::Lease, StoreReply::Leased { lease }) => {
-                let valid_until = self.until(sent);
+                let valid_until = self.valid_until(sent);
                 self.lease = Some(Lease {
                     id: lease,
-                    stamp: 0,
+                    registration: 0,
                     valid_until,
-                    proved: sent,
-                    renewed: sent,
-                    renewing: false,
+                    confirmed_at: sent,
+                    renewed_at: sent,
+                    renewal_in_flight: false,
                 });
-                let key = records::node(self.me());
+                let key = records::node(self.own_name());
                 let Ok(value) = serde_json::to_value(NodeRecord { lease }) else { return };
                 let transaction = Transaction {
                     conditions: vec![Condition::new(key.clone(), 0)],
                     writes: vec![Write::leased(key, value, lease)],
                 };
-                self.store(Urgency::Entitlement, Purpose::Register { lease }, StoreCall::Commit(transaction));
+                self.enqueue_store_call(
+                    Urgency::Entitlement,
+                    Purpose::Register { lease },
+                    StoreCall::Commit(transaction),
+                );
             }
             (Purpose::Register { lease }, StoreReply::Committed { revision }) => {
                 if let Some(l) = &mut self.lease
                     && l.id == lease
                 {
-                    l.stamp = revision;
+                    l.registration = revision;
                 }
                 self.phase = Phase::Loading;
                 self.load_page(String::new());
             }
             (Purpose::Load, StoreReply::Page(page)) if self.phase == Phase::Loading => {
-                if self.loading.is_empty() {
-                    self.applied = page.revision;
+                if self.loaded_entries.is_empty() {
+                    self.applied_revision = page.revision;
                     // Later pages show a newer state.
-                    self.followed_at = sent;
+                    self.replica_as_of = sent;
                 }
                 let last = page.entries.last().map(|e| e.key.clone());
-                self.loading.extend(page.entries);
+                self.loaded_entries.extend(page.entries);
                 match last {
                     Some(after) if page.more => self.load_page(after),
                     _ => {
-                        let entries = std::mem::take(&mut self.loading);
+                        let entries = std::mem::take(&mut self.loaded_entries);
                         self.apply_loaded_records(entries);
                         self.phase = Phase::Active;
-                        self.follow_at = Some(self.now);
-                        self.joining.succeeded();
+                        self.next_follow_at = Some(self.now);
+                        self.join_backoff.succeeded();
                         tracing::info!(
                             jobs = self.jobs.len(),
                             machines = self.machines.len(),
@@ -310,20 +331,20 @@
                 }
             }
             (Purpose::Renew, StoreReply::Renewed) => {
-                let until = self.until(sent);
+                let until = self.valid_until(sent);
                 if let Some(lease) = &mut self.lease {
-                    lease.renewing = false;
-                    lease.renewed = sent;
-                    lease.proved = lease.proved.max(sent);
+                    lease.renewal_in_flight = false;
+                    lease.renewed_at = sent;
+                    lease.confirmed_at = lease.confirmed_at.max(sent);
                     lease.valid_until = lease.valid_until.max(until);
                 }
             }
             (Purpose::Renew, StoreReply::Missing) => self.leave("the lease has ended"),
             (Purpose::Renew, _) => {
                 if let Some(lease) = &mut self.lease {
-                    lease.renewing = false;
+                    lease.renewal_in_flight = false;
                     // Makes the next attempt due after the retry delay.
-                    lease.renewed = self.now.since(Micros(self.lease_term.0 / 6)) + RENEW_RETRY_DELAY;
+                    lease.renewed_at = self.now.since(Micros(self.lease_term.0 / 6)) + RENEW_RETRY_DELAY;
                 }
             }
             (Purpose::TakeLeadership | Purpose::Evict, _) => {}
@@ -338,7 +359,7 @@
     /// Requests the page of followed records that begins after this key.
     pub(super) fn load_page(&mut self, after: String) {
         let prefix = records::FOLLOWED.to_owned();
-        self.store(Urgency::Entitlement, Purpose::Load, StoreCall::List { prefix, after });
+        self.enqueue_store_call(Urgency::Entitlement, Purpose::Load, StoreCall::List { prefix, after });
     }
 
     /// Drops all state that depends on the registration, and registers again after a delay.
@@ -347,20 +368,20 @@
             tracing::warn!(why, "left the cluster, registering again");
             self.counters.rejoins += 1;
         }
-        self.phase = Phase::Outside;
-        self.joining.failed(self.now, &rules::JOIN, &mut self.rng);
+        self.phase = Phase::Unregistered;
+        self.join_backoff.failed(self.now, &rules::JOIN, &mut self.rng);
         self.lease = None;
-        self.lead = None;
-        self.follow_at = None;
-        self.loading.clear();
+        self.leader_state = None;
+        self.next_follow_at = None;
+        self.loaded_entries.clear();
         self.clear_replica();
-        let polls = std::mem::take(&mut self.polls);
+        let polls = std::mem::take(&mut self.pending_polls);
         self.defer_polls(polls);
-        for (purpose, _) in self.calls.clear() {
+        for (purpose, _) in self.store_calls.clear() {
             self.defer_request(purpose);
         }
         // Replies to calls made under the former registration must not be taken for replies under the next one.
-        let calls: Vec<_> = self.in_flight.drain().collect();
+        let calls: Vec<_> = self.store_calls_in_flight.drain().collect();
         for (_, (purpose, _)) in calls {
             self.defer_request(purpose);
         }
@@ -369,10 +390,10 @@
     /// Tells the user whose request needed a call to retry later. The call will not be made, or its reply not be read.
     fn defer_request(&mut self, purpose: Purpose) {
         match purpose {
-            Purpose::Accept { request, .. } => self.answer(request, super::Answer::Later(1)),
+            Purpose::Accept { request, .. } => self.answer(request, super::Answer::RetryLater(1)),
             Purpose::LookUpLive { query, .. }
             | Purpose::LookUpFinal { query, .. }
-            | Purpose::Withdraw { query, .. } => self.answer(query.request, super::Answer::Later(1)),
+            | Purpose::Withdraw { query, .. } => self.answer(query.request, super::Answer::RetryLater(1)),
             Purpose::CheckLive { polls } => self.defer_polls(polls),
             _ => {}
         }
@@ -381,7 +402,7 @@
     /// Tells users who asked about live jobs to retry later.
     fn defer_polls(&mut self, polls: Vec<super::JobQuery>) {
         for question in polls {
-            self.answer(question.request, super::Answer::Later(1));
+            self.answer(question.request, super::Answer::RetryLater(1));
         }
     }
 }
--- a/src/coordination/removal.rs
+++ b/src/coordination/removal.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::coordination::Controller;
-use crate::coordination::model::{Machine, PendingStart, TaskOn};
+use crate::coordination::model::{Machine, PendingStart, PlacedTask};
 use crate::protocol::worker::{TaskId, TaskState};
 
 /// The evidence from which a controller concludes that a task is not on a machine.
@@ -67,7 +67,7 @@
 }
 
 impl StartProgress {
-    fn of(task: &TaskOn, heard_here: bool) -> StartProgress {
+    fn of(task: &PlacedTask, heard_here: bool) -> StartProgress {
         match task.pending {
             Some(PendingStart::Planned(_)) => StartProgress::Planned,
             Some(PendingStart::SentInAnswer { .. }) => StartProgress::SentInAnswer,
@@ -103,7 +103,7 @@
 }
 
 impl RemovedTask {
-    fn of(machine: &Machine, task: &TaskOn, own: bool) -> RemovedTask {
+    fn of(machine: &Machine, task: &PlacedTask, own: bool) -> RemovedTask {
         RemovedTask {
             attempt: task.attempt,
             token: machine.row.token,
@@ -117,7 +117,7 @@
 impl Controller {
     /// The number of tasks that had not ended and were concluded to be gone on this ground.
     pub fn removals(&self, ground: RemovalGround) -> u64 {
-        self.removals.get(&ground).copied().unwrap_or(0)
+        self.removal_counts.get(&ground).copied().unwrap_or(0)
     }
 
     /// Logs, counts and records the tasks that are no longer on a machine, except those that had ended there. `before`:
@@ -125,20 +125,20 @@
     pub(super) fn record_removals(
         &mut self,
         name: &str,
-        before: &BTreeMap<TaskId, TaskOn>,
+        before: &BTreeMap<TaskId, PlacedTask>,
         ground: RemovalGround,
     ) {
         let Some(machine) = self.machines.get(name) else { return };
         let own = self.owns(machine);
-        let gone = |(id, task): &(&TaskId, &TaskOn)| !task.ended() && !machine.tasks.contains_key(*id);
+        let gone = |(id, task): &(&TaskId, &PlacedTask)| !task.ended() && !machine.tasks.contains_key(*id);
         let removed: Vec<(&TaskId, RemovedTask)> =
             before.iter().filter(gone).map(|(id, task)| (id, RemovedTask::of(machine, task, own))).collect();
         if removed.is_empty() {
             return;
         }
-        *self.removals.entry(ground).or_default() += removed.len() as u64;
+        *self.removal_counts.entry(ground).or_default() += removed.len() as u64;
         // If the conclusion is the holder's, or the machine's record was removed, the holder logs it at level info.
-        let holder_logs = !own && self.nodes.get(&machine.row.owner) == Some(&machine.row.node);
+        let holder_logs = !own && self.registrations.get(&machine.row.owner) == Some(&machine.row.node);
         let logged_by_holder = ground == RemovalGround::NotReportedByHolder
             || ground == RemovalGround::MachineGone && holder_logs;
         for (id, removed) in removed {
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -25,17 +25,21 @@
 
     /// Requests a stored rental from the cloud.
     pub(super) fn send_rental(&mut self, rental: Rental) {
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader_state {
             lead.fleet.pending_rentals.insert(rental.request.clone(), rental.clone());
         }
-        self.cloud(Urgency::Acceptance, CloudPurpose::Rent(rental.clone()), CloudCall::Rent(rental));
+        self.enqueue_cloud_call(
+            Urgency::Acceptance,
+            CloudPurpose::Rent(rental.clone()),
+            CloudCall::Rent(rental),
+        );
     }
 
     /// Stores a rental. It is requested once it is stored, so that a later leader knows which rentals may be pending.
     /// Returns whether the write was sent.
     pub(super) fn rent(&mut self, kind: String, zone: String, spot: bool, count: u32) -> bool {
         let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
-        let Some(lead) = &mut self.lead else { return false };
+        let Some(lead) = &mut self.leader_state else { return false };
         lead.fleet.requests_named += 1;
         let request = format!("r-{leader_stamp}-{}", lead.fleet.requests_named);
         let rental = Rental { request: request.clone(), kind, zone, spot, count };
@@ -49,7 +53,11 @@
             ],
             writes: vec![Write::put(records::rental(&request), value)],
         };
-        self.store(Urgency::Completion, Purpose::RentalStored { rental }, StoreCall::Commit(transaction));
+        self.enqueue_store_call(
+            Urgency::Completion,
+            Purpose::RentalStored { rental },
+            StoreCall::Commit(transaction),
+        );
         true
     }
 
@@ -59,7 +67,7 @@
             StoreReply::Committed { .. } => self.send_rental(rental),
             _ => {
                 // The name is not used again. If the record was written after all, the next leader repeats the rental.
-                if let Some(lead) = &mut self.lead {
+                if let Some(lead) = &mut self.leader_state {
                     lead.fleet.pending_rentals.remove(&rental.request);
                     lead.fleet.rentals_to_delete.insert(rental.request);
                 }
@@ -71,7 +79,7 @@
     pub(super) fn handle_rental_closed(&mut self, request: String, reply: StoreReply) {
         // If the watch has shown that the record is gone, only the reply was lost.
         let deleted = matches!(reply, StoreReply::Committed { .. }) || !self.rentals.contains_key(&request);
-        if let (Some(lead), false) = (&mut self.lead, deleted) {
+        if let (Some(lead), false) = (&mut self.leader_state, deleted) {
             lead.fleet.rentals_to_delete.insert(request);
         }
     }
@@ -83,19 +91,19 @@
         }
         match (purpose, reply) {
             (CloudPurpose::Types, CloudReply::Types(types)) => {
-                self.types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
+                self.machine_types = types.into_iter().map(|t| (t.name.clone(), t)).collect();
                 for m in self.machines.values_mut() {
-                    if let Some(t) = self.types.get(&m.row.kind) {
+                    if let Some(t) = self.machine_types.get(&m.row.kind) {
                         m.supply = t.supply();
                     }
                 }
-                self.place_due = true;
+                self.placement_due = true;
             }
             (CloudPurpose::Types, _) => {}
             (CloudPurpose::Rent(rental), reply) => self.handle_rent_reply(rental, reply),
             (CloudPurpose::Return(names), reply) => {
                 let now = self.now;
-                let Some(lead) = &mut self.lead else { return };
+                let Some(lead) = &mut self.leader_state else { return };
                 for name in names {
                     lead.fleet.returns_in_flight.remove(&name);
                     if matches!(reply, CloudReply::Returned) {
@@ -105,7 +113,7 @@
             }
             (CloudPurpose::List, CloudReply::List(list)) => self.handle_machine_list(list),
             (CloudPurpose::List, _) => {
-                if let Some(lead) = &mut self.lead {
+                if let Some(lead) = &mut self.leader_state {
                     lead.fleet.list_in_flight = false;
                 }
             }
@@ -115,7 +123,7 @@
     /// Handles the reply to a rental: records its machines, delays further ones of the kind, or repeats it.
     pub(super) fn handle_rent_reply(&mut self, rental: Rental, reply: CloudReply) {
         let now = self.now;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         lead.fleet.retries_in_flight.remove(&rental.request);
         let key = (rental.kind.clone(), rental.zone.clone(), rental.spot);
         match reply {
@@ -146,7 +154,7 @@
                 lead.fleet.machines_to_record.extend(rows);
             }
             CloudReply::NoCapacity => {
-                self.counters.refusals += 1;
+                self.counters.rentals_refused += 1;
                 let (_, times) = lead.fleet.refusals.get(&key).copied().unwrap_or((now, 0));
                 let pause = rules::NO_CAPACITY.delay(times + 1);
                 lead.fleet.refusals.insert(key, (now + pause, times + 1));
@@ -175,7 +183,7 @@
     /// Repeats rentals without a conclusive answer, when due.
     pub(super) fn retry_rentals(&mut self) {
         let now = self.now;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         let due: Vec<Rental> = lead
             .fleet
             .unconfirmed_rentals
@@ -187,7 +195,11 @@
             .collect();
         lead.fleet.retries_in_flight.extend(due.iter().map(|r| r.request.clone()));
         for rental in due {
-            self.cloud(Urgency::Rest, CloudPurpose::Rent(rental.clone()), CloudCall::Rent(rental));
+            self.enqueue_cloud_call(
+                Urgency::Rest,
+                CloudPurpose::Rent(rental.clone()),
+                CloudCall::Rent(rental),
+            );
         }
     }
 
@@ -206,7 +218,7 @@
         let last = list.machines.last().map(|m| m.id.clone());
         let blind = self.has_unreadable_blocks();
         let without_address = list.machines.iter().filter(|l| {
-            let lacks_address = |m: &Machine| m.addr.is_empty() && !m.unused();
+            let lacks_address = |m: &Machine| m.addr.is_empty() && !m.never_granted();
             !l.addr.is_empty() && self.machines.get(&l.id).is_some_and(lacks_address)
         });
         let addresses: Vec<(String, String)> =
@@ -215,7 +227,7 @@
             self.apply_addresses(&addresses);
             self.effects.push(Effect::Send(None, PeerMessage::Addresses(addresses)));
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader_state else { return };
         if let Some(last) = &last {
             let first = std::mem::replace(&mut lead.fleet.list_cursor, last.clone());
             let listed: BTreeSet<&String> = list.machines.iter().map(|m| &m.id).collect();
@@ -255,7 +267,7 @@
         }
         match last {
             Some(after) if list.more => {
-                self.cloud(Urgency::Rest, CloudPurpose::List, CloudCall::List { after })
+                self.enqueue_cloud_call(Urgency::Rest, CloudPurpose::List, CloudCall::List { after })
             }
             _ => lead.fleet.list_in_flight = false,
         }
--- a/src/coordination/simulation/meetings_jobs.rs
+++ b/src/coordination/simulation/meetings_jobs.rs
@@ -19,34 +19,34 @@
     };
     for (node, c) in world.controllers.iter().enumerate().filter_map(|(n, c)| Some((n, c.as_ref()?))) {
         most("retired", c.retired.len());
-        most("removed", c.removed.len());
-        most("strangers", c.strangers.len());
+        most("recently removed", c.recently_removed.len());
+        most("machines with unknown tasks", c.machines_with_unknown_tasks.len());
         most("done_keys", c.done_keys.len());
-        most("spreading", c.spreading.len());
-        most("awaiting", c.awaiting.len());
-        most("statuses heard", c.statuses_heard.len());
-        most("read by", c.read_by.len());
-        most("refusals", c.refusals.len());
-        most("turned", c.turned.len());
-        most("evicted", c.evicted.len());
+        most("unsettled ends", c.unsettled_ends.len());
+        most("end waiters", c.end_waiters.len());
+        most("status acks", c.status_acks.len());
+        most("read history", c.read_history.len());
+        most("refused connections", c.refused_connections.len());
+        most("worker failovers", c.worker_failovers.len());
+        most("evictions", c.evictions.len());
         most("rentals", c.rentals.len());
-        most("polls", c.polls.len());
-        most("told", c.told.len());
-        most("quick", c.quick.len());
-        most("calls in flight", c.in_flight.len() + c.cloud_in_flight.len());
-        most("calls waiting", c.waiting_calls());
+        most("pending polls", c.pending_polls.len());
+        most("sent machine statuses", c.sent_machine_statuses.len());
+        most("fast start jobs", c.fast_start_jobs.len());
+        most("calls in flight", c.store_calls_in_flight.len() + c.cloud_calls_in_flight.len());
+        most("calls waiting", c.waiting_store_calls());
         let gone = |name: &&String| !c.machines.contains_key(*name);
-        let words = c.peers.values().flat_map(|p| p.words.keys());
+        let words = c.peers.values().flat_map(|p| p.machine_statuses.keys());
         most("words of others", words.clone().count());
         most("words on machines that are gone", words.filter(gone).count());
-        let (_, appointments, rows) = c.at_the_door();
+        let (_, appointments, rows) = c.admission_metrics();
         most("appointments", appointments);
         most("rows at the door", rows.len());
-        most("blame", length(&c.blame));
-        most("ledger", length(&c.ledger));
+        most("fault attribution", length(&c.fault_attribution));
+        most("machine knowledge", length(&c.machine_knowledge));
         most("announcements", length(&c.announcements));
-        most("inquiry", length(&c.inquiry));
-        if let Some(lead) = &c.lead {
+        most("witness queries", length(&c.witness_queries));
+        if let Some(lead) = &c.leader_state {
             let fleet = &lead.fleet;
             most(
                 "rentals of the leader",
@@ -157,15 +157,15 @@
     "words on machines that are gone",
     "notes on machines that are gone",
     "retired",
-    "removed",
-    "strangers",
+    "recently removed",
+    "machines with unknown tasks",
     "done_keys",
-    "awaiting",
-    "spreading",
+    "end waiters",
+    "unsettled ends",
     "rentals",
     "rentals of the leader",
     "starved",
-    "polls",
+    "pending polls",
     "live records",
     "chunks of progress",
     "records of rentals",
--- a/src/coordination/start_gate.rs
+++ b/src/coordination/start_gate.rs
@@ -5,9 +5,9 @@
 //! start is dropped at once ([`Controller::drop_duplicate_starts`]). A start that would be sent all the same is held
 //! back here and counted.
 
-use crate::coordination::model::{Job, TaskOn};
+use crate::coordination::model::{Job, PlacedTask};
 use crate::coordination::quota::{InForce, Permit};
-use crate::coordination::{ByName, Controller, Counters};
+use crate::coordination::{Controller, Counters, SortedMap};
 use crate::protocol::worker::TaskId;
 
 /// The state that decides whether a planned start may be sent now.
@@ -15,12 +15,12 @@
     /// All controllers that must know have confirmed the starts announced by statuses up to this number.
     confirmed_up_to: u64,
     in_force: InForce,
-    jobs: &'a ByName<Job>,
+    jobs: &'a SortedMap<Job>,
 }
 
 impl<'a> StartGate<'a> {
     /// Creates a gate for starts that are sent in the same step.
-    pub(super) fn new(confirmed_up_to: u64, in_force: InForce, jobs: &'a ByName<Job>) -> Self {
+    pub(super) fn new(confirmed_up_to: u64, in_force: InForce, jobs: &'a SortedMap<Job>) -> Self {
         StartGate { confirmed_up_to, in_force, jobs }
     }
 
@@ -29,10 +29,10 @@
         &self,
         machine: &str,
         id: &TaskId,
-        task: &TaskOn,
+        task: &PlacedTask,
         counters: &mut Counters,
     ) -> Option<Permit> {
-        let permit = task.may_start(self.confirmed_up_to, self.in_force)?;
+        let permit = task.startable_permit(self.confirmed_up_to, self.in_force)?;
         if self.may_run_elsewhere(machine, id) {
             counters.starts_held_back += 1;
             let attempt = task.attempt;
@@ -49,7 +49,7 @@
 
     /// Whether a task may be on another machine than this one.
     fn may_run_elsewhere(&self, machine: &str, id: &TaskId) -> bool {
-        let places = self.jobs.get(&id.job).and_then(|job| job.on.get(&id.index));
+        let places = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
         places.is_some_and(|places| places.iter().any(|place| place != machine))
     }
 }
@@ -58,7 +58,7 @@
     /// Drops the planned starts of tasks that turned out to be on other machines too.
     pub(super) fn drop_duplicate_starts(&mut self, tasks: &[TaskId]) {
         for id in tasks {
-            let places = self.jobs.get(&id.job).and_then(|job| job.on.get(&id.index));
+            let places = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
             for name in places.cloned().unwrap_or_default() {
                 self.drop_planned_starts(&name, |task| task == id);
             }
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -28,32 +28,32 @@
     /// owner in this view.
     fn is_accounted_for(&self, name: &str, machine: &Machine, me: &Incarnation) -> bool {
         // A witness has listed the tasks, and since this view only this controller starts tasks of its jobs.
-        if self.inquiry.is_covered(name) {
+        if self.witness_queries.is_covered(name) {
             return true;
         }
         if self.owns(machine) {
-            return machine.resolved || self.ledger.is_fully_known(name, me);
+            return machine.resolved || self.machine_knowledge.is_fully_known(name, me);
         }
         if !self.owner_is_registered(machine) {
             // Its owner has ended. The tasks are known only if it announced everything that it ordered.
-            return self.ledger.is_fully_known(name, me);
+            return self.machine_knowledge.is_fully_known(name, me);
         }
         // Its owner may have started tasks of its former jobs until it applied this view.
-        (machine.resolved || self.ledger.is_fully_known(name, me))
-            && self.reported_revision(machine) >= self.view_stamp
+        (machine.resolved || self.machine_knowledge.is_fully_known(name, me))
+            && self.reported_revision(machine) >= self.view_revision
     }
 
     /// Finishes the takeover of the jobs of which every machine that could run them is accounted for, so that their
     /// tasks may be started.
     pub(super) fn check_takeover(&mut self) {
-        if !self.taking_over || self.has_unreadable_blocks() {
+        if !self.takeover_in_progress || self.has_unreadable_blocks() {
             return;
         }
-        let me = self.life();
-        let mut open = std::mem::take(&mut self.unresolved);
+        let me = self.incarnation();
+        let mut open = std::mem::take(&mut self.unresolved_machines);
         open.retain(|name| self.machines.get(name).is_some_and(|m| !self.is_accounted_for(name, m, &me)));
-        self.unresolved = open;
-        let open = || self.unresolved.iter().filter_map(|name| self.machines.get(name));
+        self.unresolved_machines = open;
+        let open = || self.unresolved_machines.iter().filter_map(|name| self.machines.get(name));
         // Machines of the same type, zone and pricing are equivalent here, so one of each is checked.
         let mut representatives: Vec<&Machine> = Vec::new();
         for m in open() {
@@ -68,20 +68,25 @@
             }
         }
         let finished = self.jobs.iter().filter(|(_, j)| {
-            j.adopting
-                && j.owner.as_deref() == Some(self.me())
+            j.takeover_pending
+                && j.owner.as_deref() == Some(self.own_name())
                 && !representatives.iter().any(|m| may_have_run_on(&j.spec, m))
         });
         let finished: Vec<String> = finished.map(|(id, _)| id.clone()).collect();
-        let all_accounted = self.unresolved.is_empty();
+        let all_accounted = self.unresolved_machines.is_empty();
         if all_accounted {
-            self.taking_over = false;
-            let unresolved_count = self.machines.values().filter(|m| !m.unused() && !m.resolved).count();
+            self.takeover_in_progress = false;
+            let unresolved_count =
+                self.machines.values().filter(|m| !m.never_granted() && !m.resolved).count();
             self.counters.takeovers += 1;
-            self.counters.takeovers_listed += u64::from(unresolved_count > 0);
+            self.counters.takeovers_fully_known += u64::from(unresolved_count > 0);
             tracing::info!(jobs = finished.len(), listed = unresolved_count, "takeover finished");
         } else if !finished.is_empty() {
-            tracing::info!(jobs = finished.len(), open = self.unresolved.len(), "takeover partly finished");
+            tracing::info!(
+                jobs = finished.len(),
+                open = self.unresolved_machines.len(),
+                "takeover partly finished"
+            );
         }
         for id in &finished {
             self.finish_takeover(id);
@@ -91,7 +96,7 @@
         }
         if all_accounted || !finished.is_empty() {
             self.schedule_status();
-            self.place_due = true;
+            self.placement_due = true;
         }
     }
 
@@ -101,12 +106,12 @@
     /// was required, also on the machines of its own former registration. It asks only when no start is in flight
     /// that it need not have been told of.
     fn query_witnesses(&mut self) {
-        let Some(question) = self.inquiry.next_target(self.now) else { return };
-        let view = self.view_stamp;
+        let Some(question) = self.witness_queries.next_target(self.now) else { return };
+        let view = self.view_revision;
         let status = |member: &String, node: u64| {
             self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.stamp == node)
         };
-        let others = || self.nodes.iter().filter(|(member, _)| **member != self.settings.member);
+        let others = || self.registrations.iter().filter(|(member, _)| **member != self.settings.member);
         if !others().all(|(member, node)| status(member, *node).is_some_and(|s| s.cleared >= view)) {
             return;
         }
@@ -119,9 +124,9 @@
                 .into_iter()
                 .collect(),
         };
-        let question = self.inquiry.record_query(self.now);
-        let stamp = self.life().1;
-        tracing::debug!(question, to = ?witnesses, open = self.unresolved.len(), "querying witnesses");
+        let question = self.witness_queries.record_query(self.now);
+        let stamp = self.incarnation().1;
+        tracing::debug!(question, to = ?witnesses, open = self.unresolved_machines.len(), "querying witnesses");
         for to in witnesses {
             self.effects.push(Effect::Send(to, PeerMessage::Witness { stamp, question }));
         }
@@ -132,7 +137,7 @@
     pub(super) fn answer_witness_query(&mut self, asker: Incarnation, question: u64) {
         // The asker knows what it has ordered itself. Under a later registration it would not, so the query must come
         // from its present one.
-        if self.nodes.get(&asker.0) != Some(&asker.1) {
+        if self.registrations.get(&asker.0) != Some(&asker.1) {
             return;
         }
         // This controller may not have read the changes for so long that the others no longer wait for its
@@ -140,11 +145,14 @@
         if !self.entitled() {
             return;
         }
-        let me = self.life();
+        let me = self.incarnation();
         // The other machines' tasks are known to their present owners, who send them in their statuses.
-        let open =
-            self.machines.iter().filter(|(_, m)| !(m.unused() || m.resolved && self.owner_is_registered(m)));
-        let fully_known = open.filter(|(name, _)| self.ledger.is_fully_known_except_from(name, &me, &asker));
+        let open = self
+            .machines
+            .iter()
+            .filter(|(_, m)| !(m.never_granted() || m.resolved && self.owner_is_registered(m)));
+        let fully_known =
+            open.filter(|(name, _)| self.machine_knowledge.is_fully_known_except_from(name, &me, &asker));
         let machines = fully_known.map(|(_, m)| self.machine_status(m)).collect();
         let testimony = PeerMessage::Testimony { stamp: me.1, asker: asker.1, question, machines };
         self.effects.push(Effect::Send(Some(asker.0), testimony));
@@ -152,7 +160,10 @@
 
     /// Handles a witness's answer: lists of all tasks that may be on machines.
     pub(super) fn handle_testimony(&mut self, from: &str, stamp: u64, question: u64, told: &[MachineStatus]) {
-        if self.nodes.get(from) != Some(&stamp) || !self.taking_over || !self.inquiry.is_current(question) {
+        if self.registrations.get(from) != Some(&stamp)
+            || !self.takeover_in_progress
+            || !self.witness_queries.is_current(question)
+        {
             return;
         }
         tracing::debug!(from, question, machines = told.len(), "witness answer received");
@@ -164,35 +175,35 @@
             if let Some(m) = self.machines.get_mut(&status.machine).filter(|m| m.addr.is_empty()) {
                 m.addr.clone_from(&status.addr);
             }
-            let (nodes, members) = (&self.nodes, &self.view.members);
+            let (nodes, members) = (&self.registrations, &self.view.members);
             let has_ended =
                 |life: &Incarnation| nodes.get(&life.0) != Some(&life.1) && !members.contains(life);
-            self.ledger.witness_reported(&status.machine, has_ended);
-            self.inquiry.mark_covered(&status.machine);
+            self.machine_knowledge.witness_reported(&status.machine, has_ended);
+            self.witness_queries.mark_covered(&status.machine);
         }
         self.check_takeover();
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// Finishes the takeover of a job: from now on this controller places its tasks. Completions that machines have
     /// reported meanwhile are recorded.
     fn finish_takeover(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.adopting = false;
-        let places = job.on.iter().flat_map(|(index, on)| on.iter().map(move |name| (*index, name)));
+        job.takeover_pending = false;
+        let places = job.placements.iter().flat_map(|(index, on)| on.iter().map(move |name| (*index, name)));
         let completed = places.filter_map(|(index, name)| {
             let task = TaskId::new(id, index);
             let on = self.machines.get(name)?.tasks.get(&task)?;
             (on.ended() && on.cause == Some(Cause::Done)).then_some(task)
         });
         let completed: Vec<TaskId> = completed.collect();
-        completed.iter().for_each(|task| self.completed(task));
+        completed.iter().for_each(|task| self.record_completion(task));
     }
 
     /// Sequence number of the last status whose announced starts, and those of all before it, may be ordered.
     pub(super) fn confirmed_through(&self) -> u64 {
         #[cfg(test)]
-        if self.careless {
+        if self.skip_confirmations {
             return u64::MAX;
         }
         self.announcements.confirmed_through()
@@ -211,7 +222,7 @@
         self.announcements.confirmed(self.now, &by, sequence);
         if self.confirmed_before_view() != view_before {
             // Controllers that take jobs over wait for this.
-            self.status_due = Some(self.now);
+            self.status_due_at = Some(self.now);
         }
         if self.announcements.confirmed_through() != confirmed_before {
             self.send_direct_calls();
@@ -222,16 +233,16 @@
     pub(super) fn apply_uninformed_record(&mut self, member: &str, value: &Json, stamp: u64) {
         let Ok(record) = value.read::<UninformedRecord>() else {
             // A record that cannot be read may name this controller.
-            if let Some(node) = self.nodes.get(member) {
-                self.ledger.set_uninformed(&(member.to_owned(), *node), true);
+            if let Some(node) = self.registrations.get(member) {
+                self.machine_knowledge.set_uninformed(&(member.to_owned(), *node), true);
             }
             return;
         };
-        if member == self.me() {
-            self.uninformed = (record, stamp);
+        if member == self.own_name() {
+            self.uninformed_record = (record, stamp);
         } else {
-            let named = record.peers.contains(&self.life());
-            self.ledger.set_uninformed(&(member.to_owned(), record.node), named);
+            let named = record.peers.contains(&self.incarnation());
+            self.machine_knowledge.set_uninformed(&(member.to_owned(), record.node), named);
         }
     }
 
@@ -239,14 +250,14 @@
     /// change.
     pub(super) fn record_uninformed(&mut self) {
         #[cfg(test)]
-        if self.careless {
+        if self.skip_confirmations {
             return;
         }
-        if self.recording || !self.entitled() {
+        if self.uninformed_write_in_flight || !self.entitled() {
             return;
         }
-        let (me, node) = self.life();
-        let stored: BTreeSet<Incarnation> = match &self.uninformed.0 {
+        let (me, node) = self.incarnation();
+        let stored: BTreeSet<Incarnation> = match &self.uninformed_record.0 {
             record if record.node == node => record.peers.iter().cloned().collect(),
             _ => BTreeSet::new(),
         };
@@ -259,22 +270,29 @@
         let Ok(value) = serde_json::to_value(UninformedRecord { node, peers }) else { return };
         let key = records::uninformed(&me);
         let transaction = Transaction {
-            conditions: vec![Condition::new(key.clone(), self.uninformed.1), self.registration_condition()],
+            conditions: vec![
+                Condition::new(key.clone(), self.uninformed_record.1),
+                self.registration_condition(),
+            ],
             writes: vec![Write::put(key, value)],
         };
-        self.recording = true;
+        self.uninformed_write_in_flight = true;
         self.announcements.record_write_started(&record);
         tracing::debug!(uninformed = ?record, "recording uninformed controllers");
-        self.store(Urgency::Entitlement, Purpose::Uninformed { record }, StoreCall::Commit(transaction));
+        self.enqueue_store_call(
+            Urgency::Entitlement,
+            Purpose::Uninformed { record },
+            StoreCall::Commit(transaction),
+        );
     }
 
     /// Handles the reply to the write of the record of uninformed controllers.
     pub(super) fn handle_uninformed_reply(&mut self, record: BTreeSet<Incarnation>, reply: StoreReply) {
-        self.recording = false;
+        self.uninformed_write_in_flight = false;
         if let StoreReply::Committed { revision } = reply {
-            let (node, peers) = (self.life().1, record.iter().cloned().collect());
-            if self.uninformed.1 < revision {
-                self.uninformed = (UninformedRecord { node, peers }, revision);
+            let (node, peers) = (self.incarnation().1, record.iter().cloned().collect());
+            if self.uninformed_record.1 < revision {
+                self.uninformed_record = (UninformedRecord { node, peers }, revision);
             }
             self.announcements.record_committed(self.now, &record);
             self.send_direct_calls();
--- a/src/coordination/volume_plan.rs
+++ b/src/coordination/volume_plan.rs
@@ -138,11 +138,13 @@
         let mut jobs: Vec<(&String, &Job)> = self
             .jobs
             .iter()
-            .filter(|(id, j)| (j.spec.gpus > 0.0) == accelerated && j.unfinished() > 0 && !self.held(id))
+            .filter(|(id, j)| {
+                (j.spec.gpus > 0.0) == accelerated && j.unfinished() > 0 && !self.awaits_retry(id)
+            })
             .collect();
         // Running jobs keep their floors; the others are admitted by priority, then arrival, when all
         // fit, and else as the shares of team and class allow (`marblewalk_admission::pool`).
-        jobs.sort_by_cached_key(|(_, j)| (j.on.is_empty(), self.precedence(j)));
+        jobs.sort_by_cached_key(|(_, j)| (j.placements.is_empty(), self.precedence(j)));
         let sorts: Vec<&Machine> = supply.sorts.iter().map(|(m, _)| *m).collect();
         let mut sizes: HashMap<_, (f64, f64)> = HashMap::new();
         let size = |spec: &JobSpec| {
@@ -171,7 +173,7 @@
             let priority = job.spec.priority.weight() * weight;
             let claim =
                 Claim { priority, demand: max_tasks, floor: offer.min_tasks(), size: offer.task_size };
-            let (begun, precedence) = (!job.on.is_empty(), self.precedence(job));
+            let (begun, precedence) = (!job.placements.is_empty(), self.precedence(job));
             admitted.push(Admitted { id, job, claim, turn, accelerated, begun, precedence });
         }
         (admitted, flows)
@@ -191,7 +193,7 @@
         }
         move |job| {
             let spec = &job.spec;
-            let age = self.now.since(job.since).as_secs_f64();
+            let age = self.now.since(job.known_since).as_secs_f64();
             let aims = aims.get(spec.class.as_str()).into_iter().flatten().copied();
             let due = spec.deadline_s.into_iter().chain(aims).map(|within| within - age);
             let (size, usable) = size(spec);
@@ -201,17 +203,17 @@
                 team: &spec.team,
                 class: &spec.class,
                 rank: spec.priority as u8,
-                arrival: job.stamp,
-                unfinished_tasks: self.worth_trying(&spec.id, job),
+                arrival: job.accepted_revision,
+                unfinished_tasks: self.tasks_worth_starting(&spec.id, job),
                 total_tasks: spec.tasks,
                 gang: spec.shape != Shape::Array,
-                running: !job.on.is_empty(),
+                running: !job.placements.is_empty(),
                 started_tasks: job.started(),
                 task_size: size,
                 usable_supply: usable,
                 estimated_task_s: spec.estimate_s,
                 due_s: pool::nearest_reachable_deadline(due, spec.estimate_s),
-                missed_starts: self.starts_missed(job).0,
+                missed_starts: self.missed_starts(job).0,
             }
         }
     }
@@ -236,7 +238,7 @@
             .objectives
             .iter()
             .filter(|o| o.kind == "finished" && o.class.as_deref() == Some(job.spec.class.as_str()));
-        let age = self.now.since(job.since).as_secs_f64();
+        let age = self.now.since(job.known_since).as_secs_f64();
         let mut due = job.spec.deadline_s.into_iter().chain(aims.filter_map(|o| o.within_s));
         if due.any(|within| within - age > job.spec.estimate_s * 0.6) {
             URGENT * (1.0 + SMALL / f64::from(job.unfinished().max(1)).sqrt())
--- a/src/coordination/words.rs
+++ b/src/coordination/words.rs
@@ -10,7 +10,7 @@
 use marblewalk_recovery::SequenceCheck;
 
 use crate::coordination::conclusions::{Evidence, ObservedTask};
-use crate::coordination::model::{Machine, TaskOn};
+use crate::coordination::model::{Machine, PlacedTask};
 use crate::coordination::removal::RemovalGround;
 use crate::coordination::{Controller, Effect, Peer, Phase};
 use crate::protocol::peer::{MachineStatus, PeerMessage, Status, Tally, TaskStatus};
@@ -33,39 +33,40 @@
     /// Schedules a status within [`STATUS_BATCH_DELAY`].
     pub(super) fn schedule_status(&mut self) {
         let at = self.now + STATUS_BATCH_DELAY;
-        self.status_due = Some(self.status_due.map_or(at, |due| due.min(at)));
+        self.status_due_at = Some(self.status_due_at.map_or(at, |due| due.min(at)));
     }
 
     /// Sends a status to all controllers if one is due: the regular one, a scheduled one, or one that repeats a request
     /// for confirmation.
     pub(super) fn status_tick(&mut self) {
-        let regular = self.now.since(self.status_sent) >= STATUS_INTERVAL;
+        let regular = self.now.since(self.last_regular_status_at) >= STATUS_INTERVAL;
         let confirmation_due = self.announcements.has_unconfirmed()
-            && self.now.since(self.announced_at) >= CONFIRMATION_RETRY_INTERVAL;
-        if regular || confirmation_due || self.status_due.is_some_and(|at| at <= self.now) {
+            && self.now.since(self.last_status_at) >= CONFIRMATION_RETRY_INTERVAL;
+        if regular || confirmation_due || self.status_due_at.is_some_and(|at| at <= self.now) {
             self.broadcast_status(regular);
         }
     }
 
     /// Sends a status to all other controllers: a full one if it has not sent any machine yet, else the changes.
     fn broadcast_status(&mut self, regular: bool) {
-        self.status_due = None;
-        self.announced_at = self.now;
+        self.status_due_at = None;
+        self.last_status_at = self.now;
         if regular {
-            self.status_sent = self.now;
+            self.last_regular_status_at = self.now;
         }
-        let whole = self.told.is_empty();
+        let whole = self.sent_machine_statuses.is_empty();
         self.status_sequence += 1;
-        self.statuses_to_single = 0;
+        self.unicast_statuses = 0;
         let (machines, tallies) = self.collect_machine_changes(regular);
-        let over = if whole { self.all_ends() } else { self.ends_to_tell(regular) };
-        let confirm =
-            self.mark_starts_announced() || self.announcements.has_unconfirmed() || self.ends_owed();
+        let over = if whole { self.all_ends_for_broadcast() } else { self.ends_to_announce(regular) };
+        let confirm = self.mark_starts_announced()
+            || self.announcements.has_unconfirmed()
+            || self.has_unconfirmed_withdrawals();
         let status = Status { whole, confirm, machines, tallies, over, ..self.base_status() };
-        if self.lead.is_some() {
+        if self.leader_state.is_some() {
             let own = self.settings.member.clone();
             let status = Some(Status { machines: Vec::new(), tallies: Vec::new(), ..status.clone() });
-            self.peers.insert(own, Peer { heard: self.now, status, ..Default::default() });
+            self.peers.insert(own, Peer { last_heard: self.now, status, ..Default::default() });
         }
         self.effects.push(Effect::Send(None, PeerMessage::Status(status)));
     }
@@ -73,14 +74,14 @@
     /// Sends the status of all own machines to a controller that has missed a status. Changes that are not yet
     /// broadcast are sent again with the next broadcast.
     fn send_full_status(&mut self, to: String) {
-        self.statuses_to_single += 1;
+        self.unicast_statuses += 1;
         let machines: Vec<MachineStatus> =
             self.machines.values().filter(|m| self.owns(m)).map(|m| self.machine_status(m)).collect();
         let own = self.machines.values().filter(|m| self.owns(m));
         let tallies =
             own.map(|m| Tally { machine: m.row.machine.clone(), session: m.session, tally: m.tally });
         let tallies = tallies.collect();
-        let over = self.all_ends_for_one();
+        let over = self.all_ends_for_unicast();
         let status = Status { whole: true, machines, tallies, over, ..self.base_status() };
         self.effects.push(Effect::Send(Some(to), PeerMessage::Status(status)));
     }
@@ -90,7 +91,7 @@
     /// Every machine is compared with what was sent, rather than marked as changed in each place that changes it: there
     /// are many such places, and a missing mark would hide a task from the other controllers.
     fn collect_machine_changes(&mut self, regular: bool) -> (Vec<MachineStatus>, Vec<Tally>) {
-        let mut told = std::mem::take(&mut self.told);
+        let mut told = std::mem::take(&mut self.sent_machine_statuses);
         told.retain(|name, _| self.machines.get(name).is_some_and(|m| self.owns(m)));
         let mut statuses = Vec::new();
         let mut tallies = Vec::new();
@@ -111,18 +112,18 @@
                 tallies.push(Tally { machine: name.clone(), session: read.0, tally: read.1 });
             }
         }
-        self.told = told;
+        self.sent_machine_statuses = told;
         (statuses, tallies)
     }
 
     /// Marks all planned starts on own machines as announced by the current status. Returns whether any was new.
     fn mark_starts_announced(&mut self) -> bool {
-        let (me, node) = self.life();
+        let (me, node) = self.incarnation();
         let mut any = false;
         for machine in self.machines.values_mut().filter(|m| m.row.node == node && m.row.owner == me) {
             for t in machine.tasks.values_mut() {
-                if t.planned() && t.announced == 0 {
-                    t.announced = self.status_sequence;
+                if t.planned() && t.announced_in_status == 0 {
+                    t.announced_in_status = self.status_sequence;
                     any = true;
                 }
             }
@@ -140,22 +141,22 @@
 
     /// When an own machine was last heard, if that is longer ago than the longest regular time between reports.
     fn unheard_since(&self, machine: &Machine) -> Option<Micros> {
-        let last = machine.heard.unwrap_or(machine.since);
+        let last = machine.last_heard.unwrap_or(machine.known_since);
         (self.now.since(last) > self.max_report_gap()).then_some(last)
     }
 
     /// Whether a status that was sent for an own machine still describes it.
     fn matches_status(&self, m: &Machine, status: &MachineStatus) -> bool {
-        let same_task = |((id, t), sent): ((&TaskId, &TaskOn), &TaskStatus)| {
+        let same_task = |((id, t), sent): ((&TaskId, &PlacedTask), &TaskStatus)| {
             t.attempt == sent.attempt && t.state == sent.state && t.cause == sent.cause && *id == sent.task
         };
         status.token == m.row.token
             && status.resolved == m.resolved
-            && status.renew == m.renew
+            && status.renew == m.token_renewal_needed
             && status.up == m.up
-            && status.apart == m.apart
-            && status.notice == m.notice
-            && status.lost == m.lost
+            && status.apart == m.quarantined
+            && status.notice == m.preemption_notice
+            && status.lost == m.unresponsive
             && status.tasks.len() == m.tasks.len()
             && status.silent_since == self.unheard_since(m)
             && status.idle_since == Self::idle_since(m)
@@ -175,12 +176,12 @@
             machine: m.row.machine.clone(),
             token: m.row.token,
             resolved: m.resolved,
-            renew: m.renew,
+            renew: m.token_renewal_needed,
             addr: m.addr.clone(),
             up: m.up,
-            apart: m.apart,
-            notice: m.notice,
-            lost: m.lost,
+            apart: m.quarantined,
+            notice: m.preemption_notice,
+            lost: m.unresponsive,
             idle_since: Self::idle_since(m),
             silent_since: self.unheard_since(m),
             tasks: tasks.collect(),
@@ -191,15 +192,15 @@
     fn base_status(&mut self) -> Status {
         Status {
             sequence: self.status_sequence,
-            single: self.statuses_to_single,
+            single: self.unicast_statuses,
             whole: false,
             confirm: false,
             cleared: self.confirmed_before_view(),
             clock: self.now,
-            applied: self.applied,
-            stamp: self.lease.as_ref().map_or(0, |l| l.stamp),
-            store_ok: self.now.since(self.store_heard) < Micros::from_secs(2),
-            adopted: !self.taking_over && self.in_view(),
+            applied: self.applied_revision,
+            stamp: self.lease.as_ref().map_or(0, |l| l.registration),
+            store_ok: self.now.since(self.last_store_reply_at) < Micros::from_secs(2),
+            adopted: !self.takeover_in_progress && self.in_view(),
             usage: self.usage(),
             usage_exact: self.usage_is_exact(),
             machines: Vec::new(),
@@ -216,7 +217,7 @@
         if self.phase != Phase::Active {
             return;
         }
-        if message.meant_for().is_some_and(|registration| registration != self.life().1) {
+        if message.meant_for().is_some_and(|registration| registration != self.incarnation().1) {
             self.counters.replies_misdirected += 1;
             return;
         }
@@ -228,11 +229,11 @@
                 self.handle_testimony(&from, stamp, question, &machines);
             }
             PeerMessage::Seen { stamp, sequence, .. } => {
-                self.status_heard((from.clone(), stamp), sequence);
+                self.status_acknowledged((from.clone(), stamp), sequence);
                 self.handle_confirmation((from, stamp), sequence);
             }
-            PeerMessage::Door(word) => self.door_said(&from, word),
-            PeerMessage::Plan(plan) => self.plan_said(&plan),
+            PeerMessage::Door(word) => self.handle_load_report(&from, word),
+            PeerMessage::Plan(plan) => self.handle_rate_plan(&plan),
             PeerMessage::Volumes { leader, volumes, kept, reserved, surplus, .. } => {
                 if self.leader.as_ref().is_some_and(|l| l.0 == from && l.2 == leader) {
                     self.take_volumes(&volumes, kept, reserved);
@@ -252,12 +253,12 @@
         let ended_jobs = std::mem::take(&mut status.over);
         // The end of a job is final, so it counts from any sender. The rest counts only under the sender's current
         // registration: a status of a former one, or of one not known here yet, is dropped.
-        ended_jobs.iter().for_each(|ended| self.told_end(ended));
-        if self.nodes.get(&from) != Some(&status.stamp) {
+        ended_jobs.iter().for_each(|ended| self.apply_peer_end(ended));
+        if self.registrations.get(&from) != Some(&status.stamp) {
             return;
         }
         let life = (from.clone(), status.stamp);
-        if !self.ledger.is_newest(&life, status.position()) {
+        if !self.machine_knowledge.is_newest(&life, status.position()) {
             self.counters.statuses_outdated += 1;
             return;
         }
@@ -272,13 +273,13 @@
         let stops = std::mem::take(&mut status.stops);
         // If this controller has read all records that the sender had read, a machine without a record here has been
         // removed since, and its status is dropped.
-        let read = status.applied <= self.applied && !self.has_unreadable_blocks();
+        let read = status.applied <= self.applied_revision && !self.has_unreadable_blocks();
         machines_told.retain(|told| !read || self.machines.contains_key(&told.machine));
         let any_told = !machines_told.is_empty();
         let peer = self.peers.entry(from.clone()).or_default();
         let before = peer.status.as_ref().filter(|s| s.stamp == status.stamp);
         if before.is_none() {
-            peer.words.clear();
+            peer.machine_statuses.clear();
         } else if status.whole {
             // A status under a grant that has not been read here is the only trace of the starts that this controller
             // has confirmed there. It is kept even if the full status lacks the machine, since the sender may have
@@ -287,21 +288,22 @@
             let unread_grant = |status: &MachineStatus| {
                 machines.get(&status.machine).is_none_or(|machine| machine.row.token < status.token)
             };
-            peer.words.retain(|_, status| unread_grant(status));
+            peer.machine_statuses.retain(|_, status| unread_grant(status));
         }
-        let hearing = self.ledger.message_received(&life, status.sequence, status.whole, status.applied);
+        let hearing =
+            self.machine_knowledge.message_received(&life, status.sequence, status.whole, status.applied);
         let reply = match hearing {
             SequenceCheck::Contiguous if status.confirm || status.whole => {
-                let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
+                let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
                 Some(PeerMessage::Seen { stamp, asker: status.stamp, sequence: status.sequence })
             }
-            SequenceCheck::Gap if now.since(peer.asked_again) >= MIN_RESYNC_INTERVAL => {
-                peer.asked_again = now;
+            SequenceCheck::Gap if now.since(peer.resync_requested_at) >= MIN_RESYNC_INTERVAL => {
+                peer.resync_requested_at = now;
                 Some(PeerMessage::Again)
             }
             _ => None,
         };
-        peer.heard = now;
+        peer.last_heard = now;
         peer.status = Some(status);
         for stop in stops {
             self.request_stop(&stop.machine, &stop.task, stop.attempt, Micros::from_millis(stop.grace_ms));
@@ -310,7 +312,7 @@
             self.apply_machine_status(&from, told);
         }
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.words.extend(machines_told.into_iter().map(|m| (m.machine.clone(), m)));
+            peer.machine_statuses.extend(machines_told.into_iter().map(|m| (m.machine.clone(), m)));
         }
         for read in tallies {
             if let Some(machine) = self.machines.get_mut(&read.machine).filter(|m| m.row.owner == from) {
@@ -321,19 +323,20 @@
         if let Some(reply) = reply {
             self.effects.push(Effect::Send(Some(from.clone()), reply));
         }
-        self.refusals.remove(&from);
+        self.refused_connections.remove(&from);
         self.check_takeover();
-        self.place_due |= any_told;
+        self.placement_due |= any_told;
     }
 
     /// The revision up to which a machine's owner had applied the records as of its last status; 0 unless its statuses
     /// include the machine under the current grant and none of them was missed.
     pub(super) fn reported_revision(&self, machine: &Machine) -> u64 {
         let holder = (machine.row.owner.clone(), machine.row.node);
-        let Some(peer) = self.peers.get(&holder.0).filter(|_| self.ledger.is_contiguous(&holder)) else {
+        let Some(peer) = self.peers.get(&holder.0).filter(|_| self.machine_knowledge.is_contiguous(&holder))
+        else {
             return 0;
         };
-        let told = peer.words.get(&machine.row.machine).filter(|m| m.token == machine.row.token);
+        let told = peer.machine_statuses.get(&machine.row.machine).filter(|m| m.token == machine.row.token);
         let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.node && told.is_some());
         status.map_or(0, |s| s.applied)
     }
@@ -342,7 +345,7 @@
     pub(super) fn reapply_machine_status(&mut self, name: &str) {
         let Some(machine) = self.machines.get(name) else { return };
         let owner = machine.row.owner.clone();
-        if let Some(told) = self.peers.get(&owner).and_then(|p| p.words.get(name)).cloned() {
+        if let Some(told) = self.peers.get(&owner).and_then(|p| p.machine_statuses.get(name)).cloned() {
             self.apply_machine_status(&owner, &told);
         }
     }
@@ -350,7 +353,7 @@
     /// Applies the status of a machine that its owner has sent.
     fn apply_machine_status(&mut self, from: &str, told: &MachineStatus) {
         let Some(machine) = self.machines.get(&told.machine) else { return };
-        let node = self.nodes.get(from).copied();
+        let node = self.registrations.get(from).copied();
         if machine.row.token != told.token || machine.row.owner != from || Some(machine.row.node) != node {
             return self.apply_status_of_other_grant(told);
         }
@@ -365,16 +368,16 @@
             if let (TaskState::Ended, Some(cause)) = (t.state, t.cause) {
                 ended.push((t.task.clone(), cause, !known_ended));
             }
-            let on = TaskOn {
+            let on = PlacedTask {
                 attempt: t.attempt,
                 state: t.state,
                 cause: t.cause,
                 need: known.map_or_else(|| self.need_of(&t.task.job), |k| k.need),
                 pending: None,
-                announced: 0,
-                stop: known.and_then(|k| k.stop),
-                told: false,
-                since: known.map_or(self.now, |k| k.since),
+                announced_in_status: 0,
+                stop_grace: known.and_then(|k| k.stop_grace),
+                stop_sent: false,
+                started_at: known.map_or(self.now, |k| k.started_at),
             };
             tasks.insert(t.task.clone(), on);
         }
@@ -393,27 +396,27 @@
         self.record_cached_images(&told.machine);
         if let Some(machine) = self.machines.get_mut(&told.machine) {
             machine.resolved = told.resolved;
-            machine.known |= told.resolved;
-            machine.renew = told.renew;
+            machine.ever_resolved |= told.resolved;
+            machine.token_renewal_needed = told.renew;
             if !told.addr.is_empty() {
                 machine.addr = told.addr.clone();
             }
             machine.up = told.up;
-            machine.apart = told.apart;
-            machine.notice = told.notice;
-            machine.lost = told.lost;
+            machine.quarantined = told.apart;
+            machine.preemption_notice = told.notice;
+            machine.unresponsive = told.lost;
             machine.silent_since = told.silent_since;
             machine.idle_since = told.idle_since.unwrap_or(self.now);
         }
         if let Some(node) = node {
-            self.ledger.holder_reported(&told.machine, &(from.to_owned(), node), told.resolved);
+            self.machine_knowledge.holder_reported(&told.machine, &(from.to_owned(), node), told.resolved);
         }
         for (task, cause, new) in ended {
             if cause == Cause::Done {
-                self.completed(&task);
+                self.record_completion(&task);
             }
             if new {
-                self.note_outcome(&told.machine, &task, cause);
+                self.record_outcome(&told.machine, &task, cause);
             }
         }
     }
@@ -436,16 +439,16 @@
         let Some(machine) = self.machines.get(&told.machine) else { return };
         let mut tasks = machine.tasks.clone();
         for t in &told.tasks {
-            tasks.entry(t.task.clone()).or_insert_with(|| TaskOn {
+            tasks.entry(t.task.clone()).or_insert_with(|| PlacedTask {
                 attempt: t.attempt,
                 state: t.state,
                 cause: t.cause,
                 need: self.need_of(&t.task.job),
                 pending: None,
-                announced: 0,
-                stop: None,
-                told: false,
-                since: self.now,
+                announced_in_status: 0,
+                stop_grace: None,
+                stop_sent: false,
+                started_at: self.now,
             });
             if let Some(job) = self.jobs.get_mut(&t.task.job) {
                 job.attempt = job.attempt.max(t.attempt);
