--- a/src/coordination/backfill.rs
+++ b/src/coordination/backfill.rs
@@ -1,20 +1,22 @@
-//! Room that the volumes leave idle goes to waiting jobs that fit into it.
+//! Backfill: gives room that the volumes leave idle to waiting jobs that fit into it.
 //!
-//! Shares and limits are divided among jobs by their claims. Rounded to whole tasks, held for a gang that does not fit yet,
-//! or promised to a job that no machine takes, a part of a team's limit and of the machines stays unused beside a job that
-//! fits into it and has no volume. Such a job is backfilled: once it has waited for [`BACKFILL_AFTER`] it is given a volume
-//! of what it starts with, a task or a whole gang, the longest wait first, and no other task when that one has ended
-//! ([`Turn::Backfill`]). What the machines have room for is what the last plan of blocks left of each.
+//! Volumes divide shares and limits among the jobs by their claims. Part of a team's limit and of the machines stays
+//! unused when volumes are rounded to whole tasks, when room is held for a gang that does not fit yet, or when room is
+//! promised to a job that no machine takes, while a job that would fit has no volume. Such a job is backfilled: once it
+//! has waited for [`BACKFILL_AFTER`], it is given a volume of its initial allocation, a task or a whole gang; the
+//! longest wait comes first. When that has ended it is given no other task ([`Turn::Backfill`]). The room on the
+//! machines is what the last plan of machine moves left of each.
 //!
-//! A gang that would fit into its team's limit or on the machines, but not beside what runs, could be passed for ever. So
-//! when it is its turn, nobody who has waited for less is backfilled into what it needs for [`HOLD`] of each [`CYCLE`]:
-//! tasks end meanwhile, and the gang starts if that is enough. In the rest of the cycle others pass it, so that nobody waits for longer than a cycle
-//! and [`BACKFILL_AFTER`] beside idle room.
+//! A gang that fits into its team's limit or on the machines, but not beside what is running, could be passed over
+//! forever. So when its turn comes, no job that has waited for less is backfilled into the room that it needs during
+//! the first [`GANG_HOLD_TIME`] of each [`GANG_HOLD_CYCLE`]: tasks end meanwhile, and the gang starts if that frees
+//! enough room. During the rest of the cycle other jobs pass it, so that no job waits beside idle room for longer than
+//! a cycle and [`BACKFILL_AFTER`].
 //!
-//! Where a team's limit is in use in full nothing is idle, and jobs that run would take each place that becomes free.
-//! A job of single tasks that has waited for [`OVERDUE_AFTER`] is backfilled there all the same, and the volumes of its
-//! team's running arrays are lowered by as much: they shrink as their tasks end. Such jobs have one part in
-//! [`OVERDUE_PART`] of the limit at most, so that others get done.
+//! Where a team's limit is fully used nothing is idle, and running jobs would take each place that becomes free. An
+//! array that has waited for [`OVERDUE_AFTER`] is backfilled there all the same, and the volumes of its team's running
+//! arrays are lowered by as much: they shrink as their tasks end. Such jobs get at most one part in
+//! [`OVERDUE_LIMIT_DIVISOR`] of the limit, so that other jobs complete.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -28,30 +30,34 @@
 use crate::protocol::peer::Volume;
 use crate::protocol::units::{Micros, Resources};
 
-/// Jobs that have had nothing running for so long may be backfilled.
+/// A job that has had no task placed for this long may be backfilled.
 pub(super) const BACKFILL_AFTER: Micros = Micros::from_secs(20);
-/// Those that have waited for so long come before further tasks of jobs that run.
+/// A job that has waited for this long comes before further tasks of running jobs.
 pub(super) const OVERDUE_AFTER: Micros = Micros::from_secs(45);
-/// One part in so many of a team's limit goes to overdue jobs at most.
+/// At most one part in this many of a team's limit goes to overdue jobs.
 const OVERDUE_PART: u64 = 2;
-/// In each cycle, for how long room is held for a gang that does not fit into what its team's limit leaves.
+/// During the first [`GANG_HOLD_TIME`] of each cycle, room is held for a gang that does not fit into what its team's
+/// limit leaves.
 const CYCLE: Micros = Micros::from_secs(50);
 pub(super) const HOLD: Micros = Micros::from_secs(35);
-/// A job that has been backfilled and found no place within this time gives the room up, and is tried again later.
+/// A backfilled job that has found no place within this time gives its room up, and is tried again after
+/// [`BACKFILL_RETRY_DELAY`].
 pub(super) const GIVEN_UP_AFTER: Micros = Micros::from_secs(20);
 pub(super) const TRIED_AGAIN_AFTER: Micros = Micros::from_secs(10);
-/// Beside so many backfilled jobs of a team none of its gangs are: they would take what is left for gangs in turn.
+/// Beside this many backfilled jobs of a team, none of its gangs is backfilled: gangs would take the room that is left
+/// for gangs that have their turn.
 const MOST_BESIDE_GANGS: usize = 64;
-/// The most searches among the machines in a round that find no place. The next round goes on behind the last of them.
+/// Maximum number of searches among the machines in a round that find no place. The next round continues after the job
+/// of the last one.
 const MOST_VAIN_SEARCHES: usize = 100;
 
-/// The jobs that are backfilled. A new leader begins with none: what runs by then is like any other task.
+/// The jobs that are backfilled. A new leader starts with none: tasks that run by then count like any others.
 #[derive(Debug, Default)]
 pub(crate) struct Backfill {
     named: BTreeMap<String, Named>,
-    /// Jobs that found no place, and when they may be tried again.
+    /// Jobs that found no place, and when each may be tried again.
     given_up: BTreeMap<String, Micros>,
-    /// The last job whose search was in vain in a round that had no more of them to make.
+    /// The job of the last search in a round that used up [`MAX_FAILED_SEARCHES`].
     resume_behind: Option<String>,
 }
 
@@ -59,15 +65,15 @@
 #[derive(Clone, Copy, Debug)]
 struct Named {
     since: Micros,
-    /// It waits for a place that becomes free under its team's limit.
+    /// It waits until ending tasks free a part of its team's limit.
     in_line: bool,
 }
 
-/// What nobody uses or is expected to use.
+/// Resources that are neither used nor expected to be used.
 struct Idle {
-    /// Of each team's limits.
+    /// What is left of each team's limits.
     limits: HashMap<String, Resources>,
-    /// Of each machine that has any.
+    /// What is left of each machine that has free room.
     machines: BTreeMap<String, Resources>,
 }
 
@@ -84,7 +90,7 @@
     }
 }
 
-/// All that a search for places depends on: where it is in vain for one job it is so for all that want the same.
+/// Everything that a search for places depends on: if it fails for one job, it fails for all jobs with an equal key.
 #[derive(PartialEq, Eq, Hash)]
 struct Wanted {
     need: Resources,
@@ -95,7 +101,7 @@
     zone: Option<String>,
     spot: bool,
     one_zone: bool,
-    /// Whether it has waited too long to be kept off any machine.
+    /// Whether the job has waited so long that it may use any machine, including those kept for work with accelerators.
     overdue: bool,
 }
 
@@ -103,14 +109,14 @@
     Resources { memory: 0, ..need }
 }
 
-/// What a job starts with: a task, or all of a gang or a service.
+/// What a job starts with: one task of an array, or all tasks of a gang or a service.
 fn unit(job: &Job) -> (u32, Resources) {
     let tasks = job.spec.floor().min(job.unfinished()).max(1);
     (tasks, job.spec.need().times(u64::from(tasks)))
 }
 
 impl Controller {
-    /// Gives volumes to waiting jobs that have none and fit into what the others' leave.
+    /// Gives volumes to waiting jobs that have none and fit into what the other volumes leave.
     pub(super) fn backfill(&mut self, volumes: &mut Vec<Volume>) {
         let Some(lead) = &mut self.lead else { return };
         let mut backfill = std::mem::take(&mut lead.backfill);
@@ -125,7 +131,7 @@
         }
     }
 
-    /// Backfills those of the waiting jobs for which there is room.
+    /// Backfills the waiting jobs for which there is room.
     fn name_backfilled(&self, backfill: &mut Backfill, volumes: &mut Vec<Volume>, waiting: Vec<String>) {
         let Some(lead) = &self.lead else { return };
         let holds = self.now.since(lead.since).0 % CYCLE.0 < HOLD.0;
@@ -179,8 +185,8 @@
         backfill.resume_behind = None;
     }
 
-    /// How many jobs of each team are backfilled into room that a gang of the team could have. Those in line take places
-    /// of running arrays, and other teams' jobs nothing of its limit.
+    /// Counts by team the jobs that are backfilled into room that a gang of the team could use. Those that wait for the
+    /// limit take places of running arrays instead, and jobs of other teams use nothing of the team's limit.
     fn backfilled_beside_gangs(&self, backfill: &Backfill) -> HashMap<&str, usize> {
         let mut counts = HashMap::new();
         let beside = backfill.named.iter().filter(|(_, named)| !named.in_line);
@@ -190,7 +196,7 @@
         counts
     }
 
-    /// Jobs that have been backfilled stay so until what they started with has ended, or found no place.
+    /// Keeps each backfilled job until its initial allocation has ended, or until it has found no place for too long.
     fn keep_backfilled(&self, backfill: &mut Backfill, volumes: &mut Vec<Volume>) {
         let now = self.now;
         backfill.given_up.retain(|id, until| *until > now && self.jobs.contains_key(id.as_str()));
@@ -200,11 +206,11 @@
         backfill.named.retain(|id, named| {
             let Some(job) = self.jobs.get(id.as_str()).filter(|j| j.unfinished() > 0) else { return false };
             let waits = job.placed() == 0;
-            // Its task has come and gone.
+            // Its initial allocation has started and ended.
             if waits && job.wait.waited(now) < now.since(named.since) {
                 return false;
             }
-            // While its team's limit is in use it is not for want of a machine that it waits.
+            // While its team's limit is in use, the job does not wait for a machine, so its timeout starts anew.
             if named.in_line && waits && !in_use.within_limit(&job.spec, unit(job).1) {
                 named.since = now;
             }
@@ -215,7 +221,7 @@
             kept.push(Volume { job: id.clone(), tasks: unit(job).0, turn: Turn::Backfill });
             true
         });
-        // One that has its turn by now takes it instead.
+        // A job that has its own turn by now takes that instead.
         let in_turn = |v: &Volume| v.tasks > 0 && matches!(v.turn, Turn::Usual | Turn::Nth(_));
         let admitted: BTreeSet<&str> = volumes
             .iter()
@@ -228,7 +234,7 @@
         volumes.extend(kept);
     }
 
-    /// The jobs that may be backfilled, the longest wait first, or from where the last round had to end.
+    /// The jobs that may be backfilled, the longest wait first, beginning where the last round had to stop.
     fn backfill_candidates(&self, backfill: &Backfill, volumes: &[Volume]) -> Vec<String> {
         let with_volume = volumes.iter().filter(|v| v.tasks > 0).map(|v| v.job.as_str());
         let with_volume: BTreeSet<&str> = with_volume.collect();
@@ -253,7 +259,7 @@
         waiting
     }
 
-    /// What the volumes leave of limits and machines. Stalled jobs count with what they have.
+    /// What the volumes leave of limits and machines. A stalled job counts only with its placed tasks.
     fn idle(&self, volumes: &[Volume]) -> Idle {
         let named: HashMap<&str, u32> = volumes.iter().map(|v| (v.job.as_str(), v.tasks)).collect();
         let mut idle = self.in_use_of_limits();
@@ -271,7 +277,7 @@
         idle
     }
 
-    /// What the tasks that are somewhere leave of the limits.
+    /// What the placed tasks leave of the limits.
     fn in_use_of_limits(&self) -> Idle {
         let mut idle = self.whole_limits(1);
         for job in self.jobs.values().filter(|j| j.placed() > 0) {
@@ -280,7 +286,7 @@
         idle
     }
 
-    /// One part in so many of each team's limits.
+    /// Each team's limits divided by `part`.
     fn whole_limits(&self, part: u64) -> Idle {
         let one = |limit: Resources| Resources { cpu: limit.cpu / part, gpu: limit.gpu / part, ..limit };
         let teams = self.settings.params.teams.iter();
@@ -288,7 +294,7 @@
         Idle { limits, machines: BTreeMap::new() }
     }
 
-    /// What overdue jobs may still have of their teams' limits, beside those that are backfilled.
+    /// What overdue jobs may still use of their teams' limits, beside the jobs that are backfilled.
     fn part_for_overdue(&self, backfill: &Backfill) -> Idle {
         let mut line = self.whole_limits(OVERDUE_PART);
         for id in backfill.named.keys() {
@@ -299,12 +305,13 @@
         line
     }
 
-    /// Whether a job may be backfilled where only tasks that end make room for it.
+    /// Whether a job may be backfilled where only ending tasks make room for it under the limit.
     fn may_wait_in_line(&self, job: &Job) -> bool {
         job.spec.shape == Shape::Array && job.wait.waited(self.now) >= OVERDUE_AFTER
     }
 
-    /// Lowers the volumes of running arrays by what jobs in line are to have of their team's limit, the largest first.
+    /// Lowers the volumes of running arrays by what the jobs that wait for their team's limit need, the largest volumes
+    /// first.
     fn lower_for_those_in_line(&self, backfill: &Backfill, volumes: &mut [Volume]) {
         let mut wanted: BTreeMap<&str, Resources> = BTreeMap::new();
         let line = backfill.named.iter().filter(|(_, named)| named.in_line);
@@ -326,7 +333,7 @@
                 continue;
             }
             let need = without_memory(job.spec.need());
-            // A job that uses none of what is lacking makes no room by shrinking.
+            // Lowering the volume of a job that uses none of the missing resources frees nothing.
             while volume.tasks > 1 && need.min(*wanted) != Resources::default() {
                 volume.tasks -= 1;
                 *wanted = wanted.minus(need);
@@ -334,7 +341,8 @@
         }
     }
 
-    /// Takes the machines out on which a gang could come together: in the zone that has most room for it, or in all.
+    /// Removes the machines on which a gang could be placed from `rooms`: those in the zone with the most room for it,
+    /// or in all zones if it is not bound to one.
     fn hold_places(&self, rooms: &mut BTreeMap<String, Resources>, spec: &JobSpec) {
         let of_gang = |name: &String, room: Resources| {
             let machine = self.machines.get(name).filter(|m| allows(spec, m) && spec.need().fits(room))?;
@@ -365,7 +373,8 @@
         }
     }
 
-    /// Takes room for so many tasks of a job, wherever the machines are held; whether there is.
+    /// Takes room for the given number of tasks of a job, whichever members hold the machines. Returns whether there is
+    /// enough.
     fn take_places(
         &self,
         rooms: &mut BTreeMap<String, Resources>,
@@ -401,12 +410,13 @@
         chosen.is_some()
     }
 
-    /// Whether a job makes no use of its volume, as the leader has seen it.
+    /// Whether the leader has noted that a job makes no use of its volume.
     pub(super) fn is_stalled(&self, id: &str) -> bool {
         self.lead.as_ref().is_some_and(|l| l.stalls.is_stalled(id))
     }
 
-    /// Notes which jobs below their volume start nothing though their team's limit has room for them at their owner.
+    /// Notes which jobs below their volume start nothing although their owner's share of the team's limit has room for
+    /// them.
     pub(super) fn note_stalls(&mut self) {
         let Some(lead) = &mut self.lead else { return };
         let mut stalls = std::mem::take(&mut lead.stalls);
--- a/src/coordination/blocks.rs
+++ b/src/coordination/blocks.rs
@@ -1,4 +1,5 @@
-//! Which machines change hands in a round, so that every job's owner can reach its volume.
+//! The leader's plan of machine moves: which machines change owner in a round, so that every job's owner has room for
+//! the job's volume.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,32 +11,33 @@
 use crate::protocol::job::JobSpec;
 use crate::protocol::units::{Micros, Resources};
 
-/// A machine that has just been moved stays where it is for a while.
+/// A machine that has just been moved is not moved again for this long.
 pub(super) const SETTLE: Micros = Micros::from_secs(4);
 
-/// How often a machine changes hands for being heard elsewhere, before it counts as one that does not hear.
+/// How often a machine is moved to a controller that hears it without being resolved there, before the leader concludes
+/// that it receives no messages.
 pub(super) const DEAF: u32 = 2;
 
-/// How many more tasks each zone may take; none where the job does not mind.
+/// How many more tasks of a job each zone may take; `None` if the job has no constraint on zones.
 pub(super) type ZonesLeft = Option<BTreeMap<String, u64>>;
 
-/// A machine as a round plans with it.
+/// A machine with its state in the round's plan.
 struct Spot<'a> {
     name: &'a str,
     machine: &'a Machine,
-    /// Room that is left.
+    /// Room that the plan leaves.
     room: Resources,
-    /// Who holds it or is to hold it; empty: nobody yet.
+    /// The member that holds it, or is to hold it by the plan; empty if it has never been granted.
     held: &'a str,
-    /// Up, and never held before.
+    /// It is up and has never been granted.
     fresh: bool,
-    /// It has just changed hands, and stays.
+    /// It changed owner a moment ago and is not moved again yet.
     moved: bool,
-    /// How much of the places that arrays would leave has been counted on.
+    /// How much of the room that displaced array tasks would leave is already planned on.
     displaced: Resources,
 }
 
-/// A job that is short of its volume.
+/// A job with fewer tasks placed than its volume.
 struct Short<'a> {
     id: &'a String,
     job: &'a Job,
@@ -50,10 +52,10 @@
     }
 }
 
-/// A machine's room for tasks of a gang, in the order in which it is taken.
+/// A machine's room for tasks of a gang. Gangs take machines in the derived order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Offer {
-    /// How much speaks against the machine.
+    /// How strongly the machine is suspected of faults.
     doubt: usize,
     /// It has accelerators that the gang does not use.
     dear: bool,
@@ -64,7 +66,7 @@
 }
 
 impl Controller {
-    /// Machines to move, each to the member named, and machines to be recorded.
+    /// Plans machine moves, each to the member named, and the unrecorded machines that are to be recorded.
     pub(super) fn plan_blocks(&mut self) -> (BTreeMap<String, String>, Vec<BlockRow>) {
         let mut spots = self.spots();
         let mut order = self.short_jobs(&spots);
@@ -72,7 +74,7 @@
         let mut unplaced = Vec::new();
         let mut promised = BTreeSet::new();
         let cards = self.cards(self.machines.values().filter(|m| self.serving(m)));
-        // Gangs come together whole or not at all: a part that waits for the rest would only idle.
+        // A gang is placed whole or not at all: a part of it would only idle until the rest is placed.
         let mut reserved: Vec<(String, String)> = Vec::new();
         let whole = |j: &Job| j.is_gang() && j.on.is_empty() && !j.spec.spread;
         for short in order.iter_mut().filter(|s| whole(s.job)) {
@@ -101,7 +103,7 @@
             }
             short.count = 0;
         }
-        // First what owners can do with what they have, then what must change hands.
+        // First place tasks on the machines that their owners already hold, then on machines that must change owner.
         for own in [true, false] {
             for short in order.iter_mut().filter(|s| s.count > 0) {
                 for spot in self.fill(short, &mut spots, own, &reserved, cards) {
@@ -133,7 +135,7 @@
         (moves, strays.map(|(_, s)| s.0.clone()).collect())
     }
 
-    /// The machines that work can be planned on, by name.
+    /// The machines that tasks can be planned on, by name.
     fn spots(&self) -> Vec<Spot<'_>> {
         let Some(lead) = &self.lead else { return Vec::new() };
         let settling = |name: &String| lead.moved.get(name).is_some_and(|at| self.now.since(*at) < SETTLE);
@@ -144,7 +146,7 @@
                 && !machine.row.returning
                 && lead.strays.contains_key(name)
                 && self.everyone_applied(machine.stamp);
-            // One on its way to a new owner will be there shortly.
+            // A machine on its way to a new owner will be usable there shortly.
             let comes = || moved && !machine.unused() && self.holds(machine) && !machine.row.returning;
             if fresh || self.serving(machine) || comes() {
                 let room = if fresh { machine.supply } else { machine.free() };
@@ -155,7 +157,7 @@
         spots
     }
 
-    /// The jobs that are to have more tasks than they have places, in order of precedence.
+    /// The jobs with fewer tasks placed than their volume, in order of precedence.
     fn short_jobs(&self, spots: &[Spot<'_>]) -> Vec<Short<'_>> {
         let short = self.jobs.iter().filter(|(_, j)| j.lacking() > 0);
         let short = short.filter(|(id, _)| !self.held(id));
@@ -169,7 +171,8 @@
         order
     }
 
-    /// Takes room for a job's missing tasks on machines that its owner has, or on others; which.
+    /// Takes room for a job's missing tasks: on the machines that its owner holds if `own`, otherwise on others.
+    /// Returns the indices of the machines on which tasks are planned.
     fn fill(
         &self,
         short: &mut Short<'_>,
@@ -180,12 +183,12 @@
     ) -> Vec<usize> {
         let spec = &short.job.spec;
         let need = spec.need();
-        // What its owner can make room for counts as room.
+        // Room that the owner can make by displacing tasks counts as room.
         let displaces = self.may_displace(spec);
         let closed = HeldBack::from(self, reserved, spec);
         let mut options = Vec::new();
         for (i, spot) in spots.iter().enumerate() {
-            // Most machines are full: the cheap check first.
+            // Most machines are full, so the cheap check comes first.
             let fits = need.fits(spot.room);
             if !fits && !displaces || (spot.held == short.owner) != own || !own && spot.moved {
                 continue;
@@ -231,13 +234,14 @@
         taken
     }
 
-    /// How many tasks of a job a machine takes in the room it has.
+    /// How many tasks of a job a machine takes in the given room.
     fn slots(&self, spec: &JobSpec, name: &str, machine: &Machine, room: Resources, cards: Cards) -> u64 {
         cards.after(self.waited(&spec.id)).times(spec, machine, self.room_for(spec, name, room))
     }
 
-    /// Where all tasks of a gang fit: where its owner has the room already, or else in the zone that
-    /// it leaves least of. If they fit nowhere, the zone that has most of what they need.
+    /// Finds machines for all tasks of a gang: in a zone where its owner already has room for the whole gang, or else
+    /// in the zone with the least room that is enough. If no zone has enough, returns the zone in which to reserve
+    /// room: the one reserved before, or else the one with the most room.
     fn gang_places(
         &self,
         id: &str,
@@ -277,7 +281,8 @@
         };
         let fitting = zones.values().filter(|rows| total(rows, false) >= size);
         let Some(rows) = fitting.min_by_key(|rows| (total(rows, true) < size, total(rows, false))) else {
-            // The zone stays the same from round to round, or room would be held back in all of them.
+            // The reserved zone stays the same from round to round; otherwise room would be held back in all zones in
+            // turn.
             let before = self.reserved.iter().find(|(_, j)| j == id).map(|(zone, _)| zone.clone());
             let most = zones.iter().max_by_key(|(_, rows)| total(rows, false));
             return Err(before.or_else(|| most.map(|(zone, _)| (*zone).to_owned())));
@@ -296,8 +301,8 @@
         Ok(places)
     }
 
-    /// The machines that are up for a gang of which others are still on their way up: returned as idle meanwhile, they
-    /// would never be there all at once.
+    /// The machines to keep for a gang while further machines for it are still booting. Returned as idle meanwhile,
+    /// they would never be available all at the same time.
     fn kept_for_gang(&self, job: &Job, zone: Option<&str>, spots: &[Spot<'_>]) -> Vec<String> {
         let spec = &job.spec;
         let there =
@@ -317,8 +322,8 @@
         kept
     }
 
-    /// In how many zones room may be held back at a time for gangs that fit nowhere: in half of them, or in all
-    /// but one if gangs have waited too long.
+    /// In how many zones room may be reserved at a time for gangs that fit nowhere: in half of them, or in all but one
+    /// if a gang has waited too long.
     fn zones_reservable(&self, overdue: bool) -> usize {
         let zones = self.settings.params.zones.len();
         if overdue { zones.saturating_sub(1).max(1) } else { (zones / 2).max(1) }
@@ -335,11 +340,12 @@
         }
     }
 
-    /// A machine that its owner has not heard for a while, and another controller has, goes to that
-    /// one before its lease runs out and its tasks are lost: the way to its owner is cut.
+    /// Moves a machine that its owner has not heard from for a while, and another controller has, to that controller:
+    /// the connection between machine and owner is cut, and the machine would lose its tasks when its lease expires.
     ///
-    /// One that is heard now here, now there, and never takes what any of them says, hears none: moved from one to
-    /// the next it was never resolved, nor returned, and held its tasks for ever.
+    /// A machine that is heard by one controller after another and never confirms a grant of any of them receives no
+    /// messages. Without [`MAX_RESCUE_MOVES`], such a machine was moved again and again, was neither resolved nor
+    /// returned, and held its tasks forever.
     fn rescue(&mut self, moves: &mut BTreeMap<String, String>) {
         let mut rescued = self.lead.as_mut().map(|l| std::mem::take(&mut l.rescued)).unwrap_or_default();
         rescued.retain(|name, _| self.machines.get(name).is_some_and(|m| !m.resolved || m.lost));
@@ -368,7 +374,7 @@
         }
     }
 
-    /// How many more tasks of a job each zone may take; none if the job does not mind.
+    /// How many more tasks of a job each zone may take; `None` if the job has no constraint on zones.
     pub(super) fn zones_left<'m>(
         &self,
         id: &str,
@@ -401,8 +407,8 @@
         Some([(best.0.to_owned(), u64::MAX)].into())
     }
 
-    /// Machines that nobody's work asks for go where fewest of their type are, new ones at once and
-    /// idle ones when the imbalance is marked, so that a new job's owner likely has room for it.
+    /// Moves machines that no job needs to the members with the fewest idle machines of their type: new ones at once,
+    /// others when the numbers differ by two or more. The owner of a new job then likely has room for it.
     fn spread_idle(&self, spots: &[Spot<'_>], moves: &mut BTreeMap<String, String>) {
         let members: Vec<&String> = self.view.members.iter().map(|m| &m.0).collect();
         if members.is_empty() {
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -1,4 +1,4 @@
-//! An owner's placement of its own jobs on its own machines.
+//! Placement of a controller's own jobs on its own machines.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -15,20 +15,22 @@
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::{TaskId, TaskState};
 
-/// Starts planned in one pass, so that a job of very many tasks cannot hold up everything else.
+/// Maximum number of starts planned in one pass. It keeps a job with very many tasks from delaying all other jobs.
 pub(super) const MOST_STARTS: usize = 400;
 
-/// A backfilled array whose task has ended starts no other for at least so long, whatever the leader last said.
+/// A backfilled array must have had no task placed for this long before it starts one, whatever the leader's last
+/// volumes say.
 const AGAIN_AFTER: Micros = Micros::from_secs(10);
 
-/// What makes an owner prefer one machine to another: the least first.
+/// Sort key by which an owner ranks machines for a task, the lowest first: suspicion of a fault, whether the task would
+/// keep a costlier machine than it needs, time to fetch the image, processors left.
 type Preference = (usize, bool, Micros, u64);
 
-/// Which machines a choice is limited to.
+/// Restricts the machines that [`Controller::choose_machines`] considers.
 pub(super) enum Only<'a> {
     All,
     Zone(&'a str),
-    /// Those that have the job's image.
+    /// Machines whose cache holds the job's image.
     Fetched,
 }
 
@@ -38,10 +40,11 @@
     }
 }
 
-/// Room on the machines that an owner may use, during one pass.
+/// Free capacity of the machines that this controller may use, during one placement pass.
 pub(super) struct Rooms {
     pub(super) free: ByName<Resources>,
-    /// What there will be once all that is being stopped has gone, less what has been counted on.
+    /// Free capacity once all tasks that are being stopped have gone, less what has been planned on it. Empty if no job
+    /// in this pass may displace tasks.
     pub(super) soon: ByName<Resources>,
     pub(super) cards: Cards,
     pub(super) reserved: Vec<(String, String)>,
@@ -60,7 +63,7 @@
 }
 
 impl Controller {
-    /// This controller's own job, fully taken over.
+    /// Whether this controller owns the job, has taken it over completely and is not recording its completion.
     pub(super) fn places(&self, job: &Job) -> bool {
         !job.adopting && !job.completing && job.owner.as_deref() == Some(self.me())
     }
@@ -69,40 +72,44 @@
         self.now.since(self.volumes_heard) > Micros::from_secs_f64(self.tuning.round_s * 3.0)
     }
 
-    /// How many tasks of a job the owner may have started.
+    /// How many tasks of a job its owner may have placed at a time.
     pub(super) fn wanted(&self, job: &Job) -> u32 {
-        // Without a leader's word for a while, work goes on inside the blocks that are held.
+        // Without volumes from the leader for three rounds, work goes on within the machines that this controller
+        // holds.
         let unheard =
             self.leader_silent() && self.now.since(job.since) > Micros::from_secs_f64(self.tuning.round_s);
         let unfinished = self.worth_trying(&job.spec.id, job);
         match job.turn {
             _ if unheard => unfinished,
-            // It has had its first task; the place is another's when that ends.
+            // The job has had its first task. Once that ends, the place goes to another job.
             Turn::First if job.started() > 0 => job.placed().min(job.volume),
             Turn::Backfill if job.spec.shape == Shape::Array => self.backfilled(job),
             _ => job.volume.min(unfinished),
         }
     }
 
-    /// How many tasks a backfilled array may have: what it starts with once it has waited, and no other when that ends.
+    /// How many tasks a backfilled array may have placed: its volume if nothing of it has been placed for
+    /// [`BACKFILL_RESTART_DELAY`], otherwise what is placed, as ended tasks are not replaced.
     fn backfilled(&self, job: &Job) -> u32 {
         let may_start = job.placed() == 0 && job.wait.waited(self.now) >= AGAIN_AFTER;
         if may_start { job.volume.min(job.unfinished()) } else { job.placed().min(job.volume) }
     }
 
-    /// Plans starts for all own jobs, the most urgent first.
+    /// Plans starts for all own jobs that are below their target, in order of precedence.
     pub(super) fn place(&mut self) {
         if !self.entitled() || !self.placing {
             return;
         }
         let mut order: Vec<(Precedence, bool, String)> = Vec::new();
         for (id, job) in &self.jobs {
-            // A job that the leader does not name is not even asked whose it is, unless there is no leader.
+            // A job that the leader's volumes do not name fails the first check, before its owner is looked up, unless
+            // no leader is heard.
             if job.placed() < self.wanted(job) && self.places(job) && !self.held(id) {
                 let precedence = self.placing_precedence(job);
                 order.push((precedence, false, id.clone()));
-                // Of jobs that all have their turn, each first takes the machines that have its image:
-                // in their order alone, one would fetch its own where the next has no need to.
+                // Each array in its turn is tried first on the machines that have its image, before any array is tried
+                // on other machines. In order of turn alone, a job would fetch its image on a machine where the next
+                // job needs no fetch.
                 if let Turn::Nth(turn) = job.turn
                     && job.spec.shape == Shape::Array
                 {
@@ -117,7 +124,7 @@
         self.bound = self.bound_teams();
         let usable = || self.machines.iter().filter(|(_, m)| self.usable(m));
         let free = usable().map(|(name, m)| (name.clone(), m.free())).collect();
-        // Only services in a hurry ask for what is being made room of.
+        // Only services that need a fast start use room that other tasks are still leaving.
         let displaces = |id: &String| self.jobs.get(id).is_some_and(|j| self.may_displace(&j.spec));
         let soon = if order.iter().any(|(_, _, id)| displaces(id)) {
             usable().map(|(name, m)| (name.clone(), m.free_soon())).collect()
@@ -138,7 +145,7 @@
             if planned >= MOST_STARTS {
                 break;
             }
-            // Work of lower rank must not fill the room that waiting work of a higher one needs.
+            // Jobs of lower rank must not fill the room that waiting jobs of a higher rank need.
             if let Some(by) = held_back
                 && rank > by
             {
@@ -172,26 +179,27 @@
         }
         self.check_planned(&planned_of);
         if planned > 0 {
-            // They are ordered when the others have taken them in.
+            // A start is ordered only after the other controllers have confirmed the status that announces it.
             self.status_due = Some(self.now);
         }
     }
 
-    /// Keeps, for each waiting own job of this rank or higher, the machine that will soonest have
-    /// room for it.
+    /// Takes out of the pass, for each waiting own job of this rank or higher, the machine that will likely have room
+    /// for the job soonest: of those that it may use, the one with the largest part of its processors free.
     fn hold_room(&self, rooms: &mut Rooms, rank: u8) {
         let waiting = self.jobs.values().filter(|j| {
             u8::MAX - j.spec.priority as u8 <= rank
                 && self.places(j)
                 && j.placed() < self.wanted(j)
-                // What waits for its team's limit does not wait for a machine.
+                // A job that waits for its team's limit does not wait for a machine.
                 && j.wait.passed_over.is_none_or(WaitReason::is_for_machines)
         });
         for job in waiting {
             let cards = rooms.cards.after(job.wait.waited(self.now));
-            // Where there is room for one of its tasks it is something else that keeps it from starting.
+            // On a machine with room for one of its tasks, something other than room keeps the job from starting.
             let lacks_room = |room: Resources| job.is_gang() || !job.spec.need().fits(room);
-            // Room where it may not be helps it nothing: jobs bound to a full zone held the others' machines idle.
+            // Room in a zone that the job may not use does not help it: without this check, jobs bound to a full zone
+            // kept the machines of other zones idle.
             let zones = self.zone_counts(&job.spec.id);
             let here = |m: &Machine| zones.get(&m.row.zone).copied().unwrap_or(0);
             let open = |m: &Machine| zone_open(&job.spec, here(m), zones.values().sum());
@@ -209,7 +217,8 @@
         }
     }
 
-    /// Whether a class must start sooner than any machine boots.
+    /// Whether jobs of a class must start sooner than any machine boots: a wait objective for more than half of them is
+    /// shorter than the shortest boot time.
     pub(super) fn is_quick(&self, class: &str) -> bool {
         let quickest = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         self.settings.params.objectives.iter().any(|o| {
@@ -220,7 +229,8 @@
         })
     }
 
-    /// What a job may take of a machine's room, some of which may be kept for a more urgent class.
+    /// The part of a machine's free room that a job may use. Room that is kept for a class that needs a fast start is
+    /// excluded, unless the job is of that class or has a higher priority.
     pub(super) fn room_for(&self, spec: &JobSpec, name: &str, room: Resources) -> Resources {
         match self.kept.get(name).and_then(|class| self.quick.get(class)) {
             Some(kept) if kept.class != spec.class && kept.priority >= spec.priority => {
@@ -230,7 +240,8 @@
         }
     }
 
-    /// Whether tasks may be started on a machine now.
+    /// Whether tasks may be started on a machine now: this controller holds it, hears its reports, and nothing
+    /// (quarantine, preemption notice, return, undelivered answers) speaks against it.
     fn usable(&self, machine: &Machine) -> bool {
         let recent = Micros(self.report_every.0 * 3);
         self.owns(machine)
@@ -241,7 +252,8 @@
             && machine.heard.is_some_and(|at| self.now.since(at) < recent)
     }
 
-    /// Starts as many tasks of an array or a service as it may have and as fit; if none, why.
+    /// Plans starts of tasks of an array or a service, as many as its target, the team's quota and the machines allow.
+    /// Returns their number, or the reason why there are none.
     fn place_array(&mut self, id: &str, rooms: &mut Rooms, fetched: bool) -> Result<usize, WaitReason> {
         let Some(job) = self.jobs.get(id) else { return Ok(0) };
         let spec = job.spec.clone();
@@ -253,8 +265,9 @@
         let short = u64::from(short).min(spec.need().times_in(allowance.room()));
         let zones = self.zone_counts(id);
         let names = if self.may_displace(&spec) {
-            // First where the image is, then where it would be if work of lower rank gave way, then
-            // wherever there is room: a class in a hurry has hardly time to fetch it.
+            // First the machines that have the image, then those that have it and on which tasks of lower rank can be
+            // displaced, then any machine with room: a service that needs a fast start hardly has time to fetch its
+            // image.
             let mut names = self.choose(&spec, short as usize, rooms, zones.clone(), &Only::Fetched);
             rooms.take(&names, spec.need());
             let mut taken = zones;
@@ -290,14 +303,14 @@
         Ok(starts.len())
     }
 
-    /// Adds tasks that are to be on these machines to a job's tasks by zone.
+    /// Adds one task for each of the named machines to a job's task counts by zone.
     fn count_zones(&self, names: &[String], zones: &mut BTreeMap<String, u32>) {
         for machine in names.iter().filter_map(|name| self.machines.get(name)) {
             *zones.entry(machine.row.zone.clone()).or_default() += 1;
         }
     }
 
-    /// About how long a machine needs to have a job's image. Fetches at the same time share its rate.
+    /// Estimated time until a machine has a job's image. Fetches at the same time share the machine's fetch rate.
     pub(super) fn fetch_time(&self, spec: &JobSpec, machine: &Machine) -> Micros {
         if machine.has_image(&spec.image) {
             return Micros::ZERO;
@@ -307,12 +320,13 @@
         let images: BTreeSet<&String> =
             fetching.filter_map(|(id, _)| self.jobs.get(&id.job).map(|j| &j.spec.image)).collect();
         let shared = images.len() + usize::from(!images.contains(&spec.image));
-        // One that is on its way already has come some of it.
+        // An image that is being fetched already counts as half fetched.
         let part = if images.contains(&spec.image) { 0.5 } else { 1.0 };
         Micros::from_secs_f64((spec.image_gb / rate * shared as f64 * part).max(1e-3))
     }
 
-    /// Attempts rise from one start to the next and from one owner to the next.
+    /// Returns a new attempt number for a job. Attempt numbers increase from one start to the next and from one owner
+    /// to the next.
     pub(super) fn next_attempt(&mut self, id: &str) -> u64 {
         let applied = self.applied;
         self.jobs.get_mut(id).map_or(0, |j| {
@@ -321,7 +335,7 @@
         })
     }
 
-    /// Plans a start, if its team's limit allows one more.
+    /// Plans the start of a task on a machine, if the team's quota allows one more.
     pub(super) fn plan(&mut self, id: &str, index: u32, attempt: u64, name: &str, allowance: &mut Allowance) {
         let need = self.need_of(id);
         let Some(permit) = allowance.take(need) else { return };
@@ -347,10 +361,11 @@
         }
     }
 
-    /// Tasks of a job by zone, each counted until it is seen gone.
+    /// Number of a job's tasks by zone; each task counts wherever it may be until it is known to be gone. Empty for
+    /// jobs without a constraint on zones.
     pub(super) fn zone_counts(&self, id: &str) -> BTreeMap<String, u32> {
         let mut counts = BTreeMap::new();
-        // Most jobs don't mind, and an array's thousand places are asked for in every pass.
+        // Most jobs have no such constraint, and an array may have a thousand places to count in every pass.
         if let Some(job) = self.jobs.get(id).filter(|j| j.spec.one_zone || j.spec.spread) {
             for machine in job.on.values().flatten().filter_map(|name| self.machines.get(name)) {
                 *counts.entry(machine.row.zone.clone()).or_insert(0) += 1;
@@ -359,8 +374,9 @@
         counts
     }
 
-    /// Machines for up to `count` tasks, each named once for every task it is to take: those that
-    /// have the image first, then the fullest. `zones` says where the job's other tasks are.
+    /// Selects machines for up to `count` tasks of a job; each machine is listed once for every task that it is to
+    /// take. Machines are ranked by [`Preference`]: of equally trusted and costly ones, those that have the image come
+    /// first, then the fullest. `zones` holds the numbers of the job's other tasks by zone.
     pub(super) fn choose(
         &self,
         spec: &JobSpec,
@@ -373,7 +389,7 @@
         let closed = HeldBack::from(self, &rooms.reserved, spec);
         let cards = rooms.cards.after(self.waited(&spec.id));
         let mut options: Vec<(Preference, &String, Resources, &Machine)> = Vec::new();
-        // Most machines are full, and this is asked for every waiting job: the cheap check first.
+        // Most machines are full, and this runs for every waiting job, so the cheap check comes first.
         for (name, room) in rooms.free.iter().filter(|(_, room)| count > 0 && need.fits(**room)) {
             let Some(m) = self.machines.get(name) else { continue };
             if allows(spec, m) && only.zone().is_none_or(|z| z == m.row.zone) && !closed.holds(m) {
@@ -388,7 +404,7 @@
         options.sort_unstable_by_key(|(key, name, ..)| (*key, *name));
         let mut total: u32 = zones.values().sum();
         let mut names = Vec::new();
-        // The best machine stays the best while it has room, for each task makes it fuller.
+        // Each task makes a machine fuller, so the best machine stays the best while it has room.
         for (_, name, mut room, machine) in options {
             let mut here = zones.get(&machine.row.zone).copied().unwrap_or(0);
             let before = names.len();
@@ -411,7 +427,7 @@
         names
     }
 
-    /// The leader's volumes. A job it does not name is not admitted.
+    /// Applies the volumes that the leader has sent. A job that they do not name is not admitted.
     pub(super) fn take_volumes(
         &mut self,
         volumes: &[Volume],
@@ -435,7 +451,7 @@
         self.place_due = true;
     }
 
-    /// Stops the latest started tasks of own jobs that the leader finds above their volume.
+    /// Stops the most recently started tasks of own jobs, as many as the leader has found above each job's volume.
     pub(super) fn stop_surplus(&mut self, surplus: &[(String, u32)]) {
         for (id, count) in surplus {
             let Some(job) = self.jobs.get(id).filter(|j| self.places(j)) else { continue };
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -1,11 +1,11 @@
-//! Teams' limits: what counts as used, whether a limit binds, how it is divided among the controllers, and the permit
-//! without which no start is planned or sent.
+//! Teams' limits: which usage counts, whether a limit is binding, how it is divided among the controllers, and the
+//! permit that every planned or sent start requires.
 //!
-//! A limit binds unless all recorded machines, or all that the team has requested, are within it. While it does not, nobody
-//! counts. Once it does, the leader divides it: the first record in a view grants nothing to anybody, and later ones are
-//! made when all members have accounted for what they took over and have followed the record in force (`grants`). An
-//! owner starts tasks of a team as far as its own share has room beside what it counts as used (`usage`, `permit`).
-//! What must hold is checked as it happens (`guard`).
+//! A limit is binding unless all recorded machines, or everything that the team has requested, are within it. While it
+//! is not, usage is not counted against it. Once it is, the leader divides it: the first record in a view grants
+//! nothing to any controller, and later ones are written when all members have accounted for what they took over and
+//! have applied the record in force (`grants`). An owner starts tasks of a team as far as its own share has room beside
+//! the usage that it counts (`usage`, `permit`). The invariants are checked at run time (`guard`).
 
 mod division;
 mod grants;
--- a/src/coordination/quota/division.rs
+++ b/src/coordination/quota/division.rs
@@ -1,16 +1,17 @@
-//! How a team's limit is divided among the controllers whose jobs work under it.
+//! Division of a team's limit among the controllers that own the team's jobs.
 //!
-//! What is divided is a vector, processors and accelerators together, in units that something can start with: a task, or
-//! all of a gang. The units are taken in one order for all controllers, those that have waited longest first, as long as
-//! they fit beside what is used; each controller's aim is what it uses and its units. Who has more than its aim while
-//! units lack room gives it up, and with the next division it is given to those that are below theirs.
+//! Amounts are vectors of processors and accelerators. They are divided in units with which something can start: a
+//! task, or all of a gang. The units of all controllers are taken in one order, the longest wait first, as long as they
+//! fit beside current usage; a controller's target is its usage plus the units taken for it. While some units lack
+//! room, controllers whose share is above their target give the excess up, and the next division gives it to
+//! controllers below their target.
 
 use crate::protocol::units::Resources;
 
-/// One controller's part of a limit.
+/// One controller's part in the division of a limit.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Member {
-    /// What it may use by the division in force; nothing where there is none.
+    /// What it may use by the division in force; nothing if there is none.
     pub granted: Resources,
     /// What its jobs' tasks use, or may use wherever they may be.
     pub used: Resources,
@@ -18,46 +19,46 @@
     pub units: Vec<Unit>,
 }
 
-/// Starts of one job.
+/// Possible starts of one job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Unit {
-    /// Those of the least key come first.
+    /// Units with the lowest key come first.
     pub order: Order,
-    /// What one start takes: a task, or all of a gang. No memory.
+    /// What one start takes: a task, or all of a gang. Memory is not counted.
     pub need: Resources,
-    /// How many there may be.
+    /// The most starts that there may be.
     pub count: u64,
 }
 
-/// Which units come first.
+/// Sort key that decides which units come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Order {
-    /// It has made no use of what it was given: others come before it.
+    /// The job has made no use of its volume: others come before it.
     pub stalled: bool,
-    /// Tasks of its job run.
+    /// Other tasks of the job are running.
     pub running: bool,
-    /// Since when it has waited.
+    /// Since when the job has waited.
     pub since: u64,
     /// Revision of the job's acceptance.
     pub arrival: u64,
 }
 
-/// What each controller may use from now on. Where none has a share yet, the limit has only begun to be divided: nobody
-/// may start anything, and each begins with what it uses.
+/// The new share of each controller. If none has a share yet, the division of the limit has just begun: no controller
+/// may start anything, and each begins with its usage as its share.
 ///
-/// While machines change hands a task counts wherever it may be, so that together they may seem to use more
-/// than the limit. Then each may use what it does less all that is beyond the limit: whoever starts something
-/// leaves so much unused that the others may go on with all of theirs.
+/// While machines change owner, a task counts wherever it may be, so that the usages may add up to more than the limit.
+/// Then each share is the usage less the whole excess: a controller that starts something within its share leaves
+/// enough of the limit unused for all that the others run.
 pub(super) fn divide(limit: Resources, members: &[Member]) -> Vec<Resources> {
     let none = Resources::default();
     let sum = |amounts: &mut dyn Iterator<Item = Resources>| amounts.fold(none, Resources::plus);
     let fresh = members.iter().all(|m| m.granted == none);
     let mut next: Vec<Resources> = members.iter().map(|m| if fresh { m.used } else { m.granted }).collect();
-    // In proportion it would not do: two controllers kept what ran beyond their shares, and the third, whose
-    // tasks had been counted twice, started as many as its share allowed: 41 of 40.
+    // A reduction in proportion is not enough: two controllers kept running what was beyond their shares, and the
+    // third, whose tasks had been counted twice, started as many as its share allowed: 41 of 40.
     let beyond = sum(&mut next.iter().copied()).minus(limit);
     next.iter_mut().for_each(|n| *n = n.minus(beyond));
-    // What a member may use, or uses all the same, cannot be given to another.
+    // What a member may use, or uses beyond its share, cannot be given to another.
     let bound = sum(&mut next.iter().zip(members).map(|(n, m)| n.max(m.used)));
     let mut spare = limit.minus(bound);
     let mut aims: Vec<Resources> = members.iter().map(|m| m.used).collect();
@@ -67,7 +68,7 @@
         let count = unit.count.min(unit.need.times_in(left));
         let aim = aims[i].plus(unit.need.times(count));
         left = left.minus(unit.need.times(count));
-        // As many of them as what is free now has room for.
+        // As many starts of the unit as fit into what is free now.
         let reach = next[i].plus(spare).minus(aims[i]);
         let at_once = count.min(unit.need.times_in(reach));
         let grown = aims[i].plus(unit.need.times(at_once));
@@ -80,13 +81,13 @@
         aims[i] = aim;
     }
     if lacking {
-        // What is beyond an aim is given up, for the next division.
+        // What is beyond a target is given up, so that the next division can give it to others.
         next.iter_mut().zip(&aims).for_each(|(n, aim)| *n = n.min(*aim));
     }
     next
 }
 
-/// All units with their members' numbers, the first first.
+/// All units with the indices of their members, in order.
 fn in_order(members: &[Member]) -> Vec<(usize, Unit)> {
     let units = members.iter().enumerate().flat_map(|(i, m)| m.units.iter().map(move |unit| (i, *unit)));
     let mut units: Vec<(usize, Unit)> = units.filter(|(_, unit)| unit.count > 0).collect();
--- a/src/coordination/quota/division/tests.rs
+++ b/src/coordination/quota/division/tests.rs
@@ -1,4 +1,4 @@
-//! What holds of every division of a limit.
+//! Properties of every division of a limit.
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
@@ -34,8 +34,9 @@
     (0..rng.random_range(0..5)).map(|_| unit(rng)).collect()
 }
 
-/// Guards a team's limit: after a new view each controller was allotted what it seemed to use, tasks that
-/// may be in two places counted twice, and when the count fell it started as many more: 41 of 40.
+/// Guards against shares that add up to more than a limit. After a new view each controller was given the usage that it
+/// counted as its share, with tasks that may be in two places counted twice. When the count fell, the controller
+/// started as many more: 41 of 40.
 #[test]
 fn what_is_allotted_never_adds_up_to_more_than_the_limit() {
     for seed in 0..500 {
@@ -46,7 +47,7 @@
             let fresh = members.iter().all(|m| m.granted == Resources::default());
             for m in &mut members {
                 m.units = random_units(&mut rng);
-                // Work ends, and while jobs change hands it may count in several places.
+                // Tasks end, and while jobs change owner a task may count in several places.
                 let most = if fresh { amount(20_000, 4_000) } else { m.granted.max(m.used) };
                 m.used = up_to(&mut rng, most);
             }
@@ -58,7 +59,7 @@
             let more = total(grown);
             assert!(more.fits(limit.minus(bound)), "seed {seed}: grew into what others may use");
             members.iter_mut().zip(next).for_each(|(m, n)| m.granted = n);
-            // A new view, in which the limit begins to be divided again.
+            // A new view, in which the division of the limit begins again.
             if rng.random_bool(0.1) {
                 members.iter_mut().for_each(|m| m.granted = Resources::default());
             }
@@ -66,15 +67,15 @@
     }
 }
 
-/// Guards a team's limit against shares that fall short of what goes on: replicas and gangs keep running where
-/// more is used than allotted, and must be left room for by whoever has more than it uses.
+/// Guards against exceeding a limit when shares are smaller than the usage. Replicas and gangs keep running beyond
+/// their controller's share, so controllers that use less than their share must leave room for them.
 #[test]
 fn whoever_starts_within_its_part_leaves_room_for_all_that_others_use() {
     for seed in 0..500 {
         let mut rng = StdRng::seed_from_u64(seed);
         let limit = amount(40_000, 40_000);
         let n = rng.random_range(2..8);
-        // What really runs, and what it counts as while some of it may be in two places.
+        // What is really running, and what else is counted while some of it may be in two places.
         let mut left = limit;
         let mut share = || {
             let runs = up_to(&mut rng, left);
@@ -97,7 +98,7 @@
                 if rng.random_bool(0.4) {
                     runs[i] = runs[i].minus(up_to(&mut rng, runs[i]));
                 }
-                // Each kind by itself, which is more than starts of tasks would use.
+                // Each resource by itself, which is more than starts of tasks would use.
                 if rng.random_bool(0.8) {
                     let more = m.granted.minus(runs[i].plus(twice[i]));
                     runs[i] = runs[i].plus(more);
@@ -109,8 +110,8 @@
     }
 }
 
-/// Guards against a limit of which every controller holds a share that is too small for its gang: none gave
-/// up what it could not use, and no gang ever started.
+/// Guards against a limit of which every controller holds a share that is too small for its gang: none gave up what it
+/// could not use, and no gang ever started.
 #[test]
 fn shares_too_small_to_start_anything_are_given_to_one_that_can() {
     let gang = |granted, size, since| Member {
@@ -130,8 +131,8 @@
     assert_eq!(divide(amount(40, 0), &members), before, "shares go to and fro");
 }
 
-/// Guards against processors and accelerators that are divided apart: one owner held the processors and another the
-/// accelerators that each one's gang lacked, and neither gave up any.
+/// Guards against separate divisions of processors and accelerators: one owner held the processors and another the
+/// accelerators that the other's gang lacked, and neither gave up any.
 #[test]
 fn processors_and_accelerators_come_together_at_the_gang_that_has_waited_longest() {
     let gang = |granted, since| Member {
@@ -147,8 +148,8 @@
     assert!(members[1].units[0].need.fits(members[1].granted), "{members:?}");
 }
 
-/// Guards against a share that lies idle at an owner whose gang lacks more, while the owner also has a job that any part
-/// of it helps: its least step counted, and the gang's share never came together.
+/// Guards against a share that lies idle at an owner whose gang needs more, while the owner also has a job that can use
+/// any part of it: only the owner's smallest unit counted, and the gang never got its whole share.
 #[test]
 fn a_gang_beside_a_small_job_of_the_same_owner_gets_its_share() {
     let unit = |since, cpu| Unit { order: order(since), need: amount(cpu, 0), count: 1 };
@@ -163,11 +164,11 @@
     assert!(amount(17, 0).fits(members[1].granted), "{members:?}");
 }
 
-/// How many divisions after the last change a unit may be left out that fits beside what is used.
+/// How many divisions after the last start a unit that fits beside the usage may be left out.
 const SETTLES_WITHIN: usize = 4;
 
-/// Random owners that start what their shares allow, played until nothing changes: no unit is left out that fits under the
-/// limit, whatever was granted before, and the shares never add up to more than the limit.
+/// Random owners start what their shares allow until nothing changes: then no unit that fits under the limit is left
+/// out, whatever was granted before, and the shares never add up to more than the limit.
 #[test]
 fn divided_to_rest_no_unit_that_fits_is_left_out() {
     let mut started = 0;
--- a/src/coordination/quota/grants.rs
+++ b/src/coordination/quota/grants.rs
@@ -1,4 +1,4 @@
-//! The leader's division of the limits that bind, and the record of it.
+//! The leader's division of binding limits, and the record of it.
 
 use std::collections::BTreeMap;
 
@@ -13,17 +13,19 @@
 use crate::settings::Team;
 
 impl Controller {
-    /// Divides the limits that bind among the members. A shrink is confirmed before anyone grows.
+    /// Divides the binding limits among the members. No share grows before the reduction that makes room for it has
+    /// been confirmed. Returns whether a record is being written.
     ///
-    /// In a new view, and of a team whose limit has not bound in it, the first record gives nobody anything. From then on
-    /// all count, whatever each of them believes to be bound, and nobody uses more than it does; only then is what they
-    /// use known well enough to be divided. Divided at once, by a record that was carried out late, it met a controller
-    /// that had counted nothing meanwhile, and had gone on beyond its share.
+    /// In a new view, and for a team whose limit has not been binding in the view before, the first record grants
+    /// nothing to any member. Once it is in force all members count their usage, whether or not they consider the limit
+    /// binding, and none uses more than it does already; only then is the usage known well enough to be divided. When a
+    /// limit was divided at once, by a record that was committed late, the record reached a controller that had not
+    /// counted meanwhile and had gone beyond its share.
     pub(in crate::coordination) fn allot(&mut self) -> bool {
         let bound = self.bound_teams();
         let divided = self.quota.0.view == self.view_stamp;
         let named = |t: &Team| divided && self.quota.0.rows.iter().any(|r| r.team == t.name);
-        // A team without work needs no share; its limit binds all the same.
+        // A team without jobs needs no share; its limit is binding all the same.
         let works = |t: &Team| named(t) || self.jobs.values().any(|j| j.spec.team == t.name);
         let teams = self.settings.params.teams.iter().filter(|t| bound.contains(&t.name) && works(t));
         let teams: Vec<Team> = teams.cloned().collect();
@@ -40,8 +42,8 @@
         }
         let mut rows = Vec::new();
         for team in &teams {
-            // What another team's limit calls for leaves the shares of those that are divided as they are: they are in
-            // force, and what their holders use may have grown up to them since it was last heard.
+            // A record that another team's limit requires leaves the shares of teams that are already divided as they
+            // are: they are in force, and their holders' usage may have grown up to them since it was last reported.
             let shares = if opens { Vec::new() } else { self.divided(team) };
             for (i, (member, node)) in self.view.members.iter().enumerate() {
                 let (cpu, gpu) = match shares.get(i) {
@@ -80,25 +82,25 @@
         true
     }
 
-    /// Every member has accounted for what it took over in the present view.
+    /// Whether every member has accounted for what it took over in the current view.
     fn all_adopted(&self) -> bool {
         let done =
             |m: &str, node| self.word_of(m, node).is_some_and(|s| s.adopted && s.applied >= self.view_stamp);
         self.view.members.iter().all(|(m, node)| done(m, *node))
     }
 
-    /// Everyone knows the record in force, and has accounted for what it took over.
+    /// Whether every member has applied the record in force and accounted for what it took over.
     pub(in crate::coordination) fn may_divide(&self) -> bool {
         self.all_adopted() && self.everyone_applied(self.quota.1)
     }
 
-    /// What a member may use of a team's limit by the record in force: processors and accelerators.
+    /// A member's share of a team's limit in the record in force: processors and accelerators.
     pub(super) fn share_of(&self, member: &str, node: u64, team: &Team) -> (u64, u64) {
         let mine = |r: &&Allotment| r.member == member && r.node == node && r.team == team.name;
         self.quota.0.rows.iter().find(mine).map_or((0, 0), |r| (r.cpu, r.gpu))
     }
 
-    /// What is left of a member's share of a team's limit; none where the limit does not bind.
+    /// What is left of a member's share of a team's limit; `None` if the limit is not divided.
     pub(in crate::coordination) fn left_of_share(&self, member: &str, team: &str) -> Option<Resources> {
         let team = self.settings.params.teams.iter().find(|t| t.name == team)?;
         let divided = self.quota.0.view == self.view_stamp;
@@ -110,7 +112,7 @@
         Some(granted.minus(self.used_by(member, node, team)))
     }
 
-    /// What a member may use of a team's limits by the record in force; without bound where there is none.
+    /// What a member may use of a team's limits by the record in force; unlimited for a resource without a limit.
     fn share_in_force(&self, member: &str, node: u64, team: &Team) -> Resources {
         let (cpu, gpu) = self.share_of(member, node, team);
         let limits = limits(team);
@@ -119,15 +121,15 @@
         Resources { cpu, gpu, memory: limits.memory }
     }
 
-    /// What a member last said that its jobs of a team use.
+    /// What a member last reported that its jobs of a team use.
     fn used_by(&self, member: &str, node: u64, team: &Team) -> Resources {
         let told = self.word_of(member, node).and_then(|s| s.usage.iter().find(|u| u.0 == team.name));
         told.map_or(Resources::default(), |u| Resources { cpu: u.1, gpu: u.2, memory: 0 })
     }
 
-    /// What each member may use of a team's limits from now on: processors and accelerators.
+    /// Each member's new share of a team's limits: processors and accelerators.
     fn divided(&self, team: &Team) -> Vec<(u64, u64)> {
-        // Of what has no limit nothing is divided.
+        // A resource without a limit is not divided.
         let limited = |amount: Resources| Resources {
             cpu: if team.cpus_max > 0.0 { amount.cpu } else { 0 },
             gpu: if team.gpus_max > 0.0 { amount.gpu } else { 0 },
@@ -150,7 +152,7 @@
         shares.into_iter().map(|share| (share.cpu, share.gpu)).collect()
     }
 
-    /// What a job could start: first a task or, of a gang, all that are missing, then the others.
+    /// What a job could start: first one task, or all missing tasks of a gang, then the others.
     fn units(&self, id: &str, job: &Job) -> impl Iterator<Item = Unit> {
         let lacking = u64::from(job.lacking());
         let at_once = if job.is_gang() { lacking } else { 1 };
--- a/src/coordination/quota/guard.rs
+++ b/src/coordination/quota/guard.rs
@@ -1,7 +1,7 @@
-//! What must hold of teams' limits, checked as it happens.
+//! Run-time checks of the invariants of teams' limits.
 //!
-//! A breach is a fault of this program. It is logged with all that the decision rested on and counted for the operators;
-//! nothing more of the team starts here until the rule holds again. In tests it panics.
+//! A breach is a bug in this program. It is logged with everything that the decision was based on, and counted in the
+//! metrics; this controller starts nothing more of the team until the invariant holds again. In tests it panics.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,22 +9,22 @@
 use crate::coordination::Controller;
 use crate::protocol::units::{Micros, Resources};
 
-/// How long the members may seem to use more than a limit together: their statuses are of different moments.
+/// How long the members together may seem to use more than a limit: their statuses are from different moments.
 const STATUSES_DIFFER: Micros = Micros::from_secs(3);
 
-/// A rule of teams' limits that has been broken.
+/// An invariant of teams' limits that has been violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
-    /// More was planned here than this controller's share has room for.
+    /// This controller has planned more than its share has room for.
     PlannedBeyondShare,
     /// The shares in force add up to more than the limit.
     SharesBeyondLimit,
-    /// All members together use more than the limit, and nothing explains it.
+    /// All members together use more than the limit, and no overcount explains it.
     UsageBeyondLimit,
 }
 
 impl Breach {
-    /// Its name among the operators' counters.
+    /// The label value in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Breach::PlannedBeyondShare => "planned_beyond_share",
@@ -33,67 +33,68 @@
         }
     }
 
-    /// All of them, for the counters.
+    /// All kinds, for the metrics.
     pub fn all() -> [Breach; 3] {
         [Breach::PlannedBeyondShare, Breach::SharesBeyondLimit, Breach::UsageBeyondLimit]
     }
 }
 
-/// Why a controller may count more than runs: it says so with its usage.
+/// Why a controller may count more usage than there is. Its status tells the others whether it does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CountedTwice {
-    /// A task counts wherever it may be until a machine that changed hands is known again.
+    /// A task counts wherever it may be until the state of a machine that changed owner is resolved.
     MachinesUnresolved,
-    /// Tasks of jobs that were over before this controller joined count as all that their machines have left.
+    /// Tasks of jobs that ended before this controller joined count as all the room that is left on their machines.
     UnknownTasks,
 }
 
-/// The breaches so far, and the teams of which nothing more is started here.
+/// The breaches so far, and the teams of which this controller starts nothing more.
 #[derive(Debug, Default)]
 pub(crate) struct Guard {
     counts: BTreeMap<Breach, u64>,
     halted: BTreeSet<String>,
     /// Since when the members have seemed to use more than a team's limit.
     exceeded: BTreeMap<String, Micros>,
-    /// How often all usage could be compared with the limits, and how often it could not, since members counted more than
-    /// runs.
+    /// How often the usage of all members could be compared with the limits, and how often it could not because members
+    /// may overcount.
     compared: (u64, u64),
-    /// Breaches are counted and halt the team, as in production, rather than panic.
+    /// Breaches are counted and halt the team, as in production, instead of causing a panic.
     #[cfg(test)]
     pub tolerant: bool,
 }
 
 impl Guard {
-    /// Whether nothing more of a team may start here.
+    /// Whether this controller starts nothing more of a team.
     pub fn halts(&self, team: &str) -> bool {
         self.halted.contains(team)
     }
 
-    /// How often all usage has been compared with the limits here, and how often it could not be.
+    /// How often the usage of all members has been compared with the limits here, and how often it could not be.
     #[cfg(test)]
     pub fn compared(&self) -> (u64, u64) {
         self.compared
     }
 
-    /// How often a rule has been broken.
+    /// How often an invariant has been violated.
     pub fn count(&self, breach: Breach) -> u64 {
         self.counts.get(&breach).copied().unwrap_or_default()
     }
 }
 
-/// Whether an amount is more than a limit, in thousandths; 0 is none.
+/// Whether an amount in thousandths exceeds a limit; a limit of 0 is no limit.
 fn beyond(limit: f64, amount: u64) -> bool {
     limit > 0.0 && amount > (limit * 1e3) as u64
 }
 
 impl Controller {
-    /// How often a rule of limits has been broken here.
+    /// How often this controller has recorded a breach of this kind.
     pub fn quota_breaches(&self, breach: Breach) -> u64 {
         self.quota_guard.count(breach)
     }
 
-    /// What has been planned of each team in this pass: of that, what is used now is within this controller's shares.
-    /// What was not planned may be beyond them, while it counts in several places.
+    /// Checks, for each team and resource of which something has been planned in this pass, that this controller's
+    /// usage is within its share. Usage of a resource of which nothing was planned may exceed the share while tasks
+    /// count in several places.
     pub(in crate::coordination) fn check_planned(&mut self, planned: &BTreeMap<String, Resources>) {
         let bound = planned.iter().filter(|(team, _)| self.bound.contains(*team));
         let beyond = bound.filter(|(team, amount)| !self.within_share(team, **amount));
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Whether this controller's jobs of a team use no more than its share, of what the amount has any of.
+    /// Whether this controller's jobs of a team use no more than its share, for each resource of which `of` is not
+    /// zero.
     fn within_share(&self, team: &str, of: Resources) -> bool {
         let Some(limits) = self.settings.params.teams.iter().find(|t| t.name == team) else { return false };
         let (cpu, gpu) = self.own_share(team).unwrap_or_default();
@@ -125,7 +127,8 @@
         more.map(|t| t.name.clone()).collect()
     }
 
-    /// A division is in force: it grants no more than the limits.
+    /// Checks that a division that has come into force grants no more than the limits, and logs this controller's
+    /// shares.
     pub(in crate::coordination) fn check_shares(&mut self) {
         for team in self.granted_beyond(&self.quota.0) {
             self.breached(Breach::SharesBeyondLimit, &team);
@@ -141,12 +144,12 @@
         }
     }
 
-    /// Whether this controller counts nothing for what only may be somewhere.
+    /// Whether this controller's usage includes no task that only may be running.
     pub(in crate::coordination) fn usage_is_exact(&self) -> bool {
         self.counted_twice().is_none()
     }
 
-    /// Why this controller may count more than runs.
+    /// Why this controller may count more usage than there is.
     fn counted_twice(&self) -> Option<CountedTwice> {
         if self.machines.values().any(|m| !m.unused() && !m.resolved) {
             Some(CountedTwice::MachinesUnresolved)
@@ -157,7 +160,7 @@
         }
     }
 
-    /// The leader compares what all members use of the limits that are divided with these limits.
+    /// On the leader: compares what all members use of the divided limits with these limits.
     pub(in crate::coordination) fn check_usage(&mut self) {
         if !self.may_divide() || self.quota.0.view != self.view_stamp {
             return self.quota_guard.exceeded.clear();
@@ -183,14 +186,14 @@
         }
     }
 
-    /// What all members say that their jobs of a team use.
+    /// What all members report that their jobs of a team use.
     fn usage_told(&self, team: &str) -> (u64, u64) {
         let words = self.view.members.iter().filter_map(|(member, node)| self.word_of(member, *node));
         let rows = words.flat_map(|status| &status.usage).filter(|row| row.0 == team);
         rows.fold((0, 0), |(cpu, gpu), row| (cpu + row.1, gpu + row.2))
     }
 
-    /// Starts of teams that were halted go on where the rules hold again.
+    /// Resumes starts of halted teams for which the invariants hold again.
     pub(in crate::coordination) fn lift_halts(&mut self) {
         if self.quota_guard.halted.is_empty() {
             return;
@@ -205,7 +208,7 @@
         self.quota_guard.halted = halted;
     }
 
-    /// Says and counts that a rule is broken, and starts nothing more of the team here.
+    /// Logs and counts a breach, and halts starts of the team on this controller.
     fn breached(&mut self, breach: Breach, team: &str) {
         let limits = self.settings.params.teams.iter().find(|t| t.name == team);
         tracing::error!(
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -1,4 +1,4 @@
-//! The permit without which no start is planned or sent.
+//! The permit that every planned or sent start requires.
 
 use std::collections::BTreeSet;
 
@@ -10,11 +10,13 @@
 use crate::protocol::units::Resources;
 use crate::protocol::worker::TaskId;
 
-/// More than any deployment has, and far from overflowing where it is added to.
+/// The room under a limit that is not binding: more than any deployment has, and far from overflowing when amounts are
+/// added to it.
 const UNLIMITED: u64 = u64::MAX >> 1;
 
-/// Shows that a start was within its team's limit as its owner counted, in this view and under this registration. There is
-/// no other way to one than an [`Allowance`].
+/// Proof that a start was within its team's limit by its owner's count, in one view and under one registration. Permits
+/// are issued by an [`Allowance`]; those of teams without a binding limit are carried over to a new view by
+/// [`Controller::renew_permits`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[cfg_attr(test, derive(Default))]
 pub struct Permit {
@@ -27,18 +29,19 @@
 pub(in crate::coordination) struct Allowance {
     permit: Permit,
     room: Resources,
-    /// The owner's share of the limit, processors and accelerators; none while the limit does not bind.
+    /// The owner's share of the limit, processors and accelerators; `None` if the limit is not binding, or if nothing
+    /// may be started because the owner has no share or the team is halted.
     granted: Option<(u64, u64)>,
     used: (u64, u64),
 }
 
 impl Allowance {
-    /// What is left.
+    /// What may still be started.
     pub fn room(&self) -> Resources {
         self.room
     }
 
-    /// Why so much may not be started; none where it may.
+    /// Why `need` may not be started; `None` if it may.
     pub fn refusal(&self, need: Resources) -> Option<WaitReason> {
         if self.room == Resources::default() && self.granted.is_none() {
             Some(WaitReason::QuotaUndivided)
@@ -51,7 +54,7 @@
         }
     }
 
-    /// Takes what one task needs.
+    /// Issues a permit for one task and deducts what the task needs.
     pub fn take(&mut self, need: Resources) -> Option<Permit> {
         let need = Resources { memory: 0, ..need };
         if !need.fits(self.room) {
@@ -62,7 +65,7 @@
     }
 }
 
-/// Which permits hold now: those of the present view and registration.
+/// The permit that is valid now: that of the current view and registration.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::coordination) struct InForce(Permit);
 
@@ -74,7 +77,7 @@
 }
 
 impl Controller {
-    /// The permits that hold now.
+    /// The permit that is valid now.
     pub(in crate::coordination) fn permits_in_force(&self) -> InForce {
         InForce(Permit { registration: self.life().1, view: self.view_stamp })
     }
@@ -106,7 +109,8 @@
         Allowance { permit, room, granted: Some((cpu, gpu)), used }
     }
 
-    /// This controller's share of a team's limit by the record in force, if there is one for its registration and view.
+    /// This controller's share of a team's limit in the record in force; `None` if the record has none for its
+    /// registration and view.
     pub(super) fn own_share(&self, team: &str) -> Option<(u64, u64)> {
         let (me, registration) = self.life();
         let mine = |r: &&Allotment| r.team == team && r.member == me && r.node == registration;
@@ -114,12 +118,12 @@
         rows.clone().find(mine).map(|r| (r.cpu, r.gpu))
     }
 
-    /// The same for the operators' log.
+    /// The same, for the log of waiting jobs.
     pub(in crate::coordination) fn quota_share(&self, team: &str) -> Option<(u64, u64)> {
         self.own_share(team)
     }
 
-    /// Says on what a start rests, for a timeline.
+    /// Logs what a planned start is based on, so that a timeline can be reconstructed.
     pub(in crate::coordination) fn log_planned(&self, task: &TaskId, machine: &str, by: &Allowance) {
         tracing::debug!(
             task = task.text(),
@@ -136,8 +140,9 @@
         );
     }
 
-    /// Starts that were planned in a former view and not sent: where a limit does not bind they go on, where it does they
-    /// are taken back, since the share that they were planned within is void.
+    /// Handles starts that were planned in an earlier view and not sent. Where the team's limit is not binding, their
+    /// permits are renewed. Where it is, the starts are cancelled, since the share that they were planned within is
+    /// void.
     pub(in crate::coordination) fn renew_permits(&mut self) {
         let permit = self.permits_in_force().0;
         let bound = if self.placing { self.bound_teams() } else { BTreeSet::new() };
@@ -161,8 +166,8 @@
         }
     }
 
-    /// Takes back starts on a machine whose permits hold no more: a call that was not carried out may have had them along
-    /// while the view changed.
+    /// Cancels planned starts on a machine whose permits are no longer valid: a direct call that was not carried out
+    /// may have carried them while the view changed.
     pub(in crate::coordination) fn drop_unpermitted(&mut self, name: &str) {
         let in_force = self.permits_in_force();
         let Some(machine) = self.machines.get(name) else { return };
--- a/src/coordination/quota/usage.rs
+++ b/src/coordination/quota/usage.rs
@@ -1,4 +1,4 @@
-//! What teams use and have requested, and whether their limits bind.
+//! What teams use and have requested, and whether their limits are binding.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,11 +8,12 @@
 use crate::protocol::worker::TaskId;
 
 impl Controller {
-    /// The teams whose limit could be exceeded at all, or is being shared out in this view.
+    /// The teams whose limit could be exceeded at all, or is divided in this view.
     ///
-    /// While all recorded machines together are within it, or all that the team has asked for is, nobody
-    /// need count. Machines are recorded everywhere before they are granted to anyone, and whoever starts
-    /// a job's tasks knows all jobs accepted before it, so no controller is late to notice.
+    /// While all recorded machines together, or everything that the team has requested, are within the limit, no
+    /// controller needs to count usage. Every controller has the record of a machine before the machine is granted, and
+    /// a controller that starts a job's tasks knows all jobs accepted before that job, so no controller notices a
+    /// binding limit too late.
     pub(in crate::coordination) fn bound_teams(&self) -> BTreeSet<String> {
         let over = |limit: f64, has: u64| limit > 0.0 && has as f64 > limit * 1e3;
         if !self.limits_teams() {
@@ -44,9 +45,10 @@
         self.settings.params.teams.iter().any(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0)
     }
 
-    /// The most that each team's tasks can take, wherever they are: those of all its live jobs, of jobs that have lately
-    /// left the records and were not done, of jobs that have left them and have tasks on machines, and of jobs that had
-    /// left them before this controller joined, which may be on any machine whose tasks it has never known in full.
+    /// The most that each team's tasks can use, wherever they are. This includes the tasks of all live jobs, of jobs
+    /// that recently left the records and were not done, of jobs that have left them and have tasks on machines, and of
+    /// jobs that left them before this controller joined. The last may be on any machine whose tasks this controller
+    /// has never known completely, so such a machine counts as a whole.
     fn requested_by_teams(&self) -> BTreeMap<&str, Resources> {
         let orphan = |(id, t): (&TaskId, &TaskOn)| {
             !t.ended() && !self.jobs.contains_key(&id.job) && !self.retired.contains_key(&id.job)
@@ -60,7 +62,7 @@
         let there = |j: &Job| j.spec.need().times(j.places_in_use());
         let live = self.jobs.values().map(|j| (&j.spec.team, all(j)));
         let removed = self.removed.iter().map(|(_, team, amount)| (team, *amount));
-        // Among them second runs of tasks that are done, as when a completion was recorded late.
+        // These include second runs of tasks that are done, for example when a completion was recorded late.
         let retired = self.retired.values().map(|j| (&j.spec.team, there(j)));
         for (team, amount) in live.chain(removed).chain(retired) {
             if let Some(sum) = requested.get_mut(team.as_str()) {
@@ -70,8 +72,9 @@
         requested
     }
 
-    /// What tasks of this controller's jobs of a team take, wherever they are or may be. What has ended takes nothing: a
-    /// task stays on its machine until its completion is recorded, and of short ones a fifth of a limit lay idle so.
+    /// What tasks of this controller's jobs of a team use, wherever they are or may be. Ended tasks do not count: a
+    /// task stays on its machine until its completion is recorded, and with short tasks a fifth of a limit stayed idle
+    /// for that reason.
     pub(in crate::coordination) fn team_usage(&self, team: &str) -> (u64, u64) {
         let mine = |j: &&Job| j.owner.as_deref() == Some(self.me()) && j.spec.team == team;
         let live = self.jobs.values().filter(mine).map(|j| (j.spec.need(), u64::from(j.in_use())));
@@ -79,15 +82,16 @@
             j.spec.team == team && self.owner_of(id).as_deref() == Some(self.me())
         };
         let over = self.retired.iter().filter(mine).map(|(_, j)| (j.spec.need(), j.places_in_use()));
-        // Of a job that was over before this controller joined it knows neither team nor size. Its tasks may be
-        // any team's, and take all that the others leave of their machines: a controller that was back at once
-        // did not count eight processors of a withdrawn job that still ran, and started as many more.
+        // Neither team nor size is known of a job that ended before this controller joined. Its tasks may be of any
+        // team, so they count as all the room that other tasks leave on their machines. Without this, a controller that
+        // was back at once did not count eight processors of a withdrawn job that was still running, and started tasks
+        // on as many more.
         let unknown = self.strangers.iter().filter(|(id, _)| self.owner_of(id).as_deref() == Some(self.me()));
         let hosts: BTreeSet<&String> = unknown.flat_map(|(_, hosts)| hosts).collect();
         let there =
             |m: &&Machine| m.tasks.iter().any(|(id, t)| !t.ended() && self.strangers.contains_key(&id.job));
         let hosts = hosts.into_iter().filter_map(|name| self.machines.get(name)).filter(there);
-        // As long as the types of machines are not known, nor is what is left of one: it may be all there is.
+        // While the machine types are not known, neither is the room left on a machine: it may be all there is.
         let all_there_is = Resources { cpu: 1 << 40, gpu: 1 << 40, memory: 0 };
         let left = |m: &Machine| if m.supply == Resources::default() { all_there_is } else { m.free() };
         let unknown = hosts.map(|m| (left(m), 1));
--- a/src/coordination/volume_plan.rs
+++ b/src/coordination/volume_plan.rs
@@ -1,8 +1,9 @@
 //! The leader's volumes: how many tasks each job may have at a time.
 //!
-//! The pools, processors and accelerators, are divided among teams and classes (`marblewalk_admission::pool`), and the jobs
-//! that their shares admit make claims. Of each team the claims on both pools together are lowered to its limits. Then
-//! each pool is filled ([`share`]). What that leaves idle goes to waiting jobs that fit (`backfill`).
+//! The pools, processors and accelerators, are divided among teams and classes (`marblewalk_admission::pool`), and the
+//! jobs that their shares admit make claims. Each team's claims on both pools together are capped by its limits. Then
+//! each pool is divided among the claims ([`fair_volumes`]). What that leaves idle goes to waiting jobs that fit
+//! (`backfill`).
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -18,13 +19,13 @@
 use crate::protocol::units::Resources;
 use crate::settings::Team;
 
-/// How much more than others of its rank a job counts that can still meet its aim, and how much more
-/// again if it has but one task left.
+/// Factor on the weight of a job that can still meet its objective, compared with others of its rank, and the further
+/// factor for a job with a single task left (less with more tasks, see [`Controller::urgency`]).
 const URGENT: f64 = 8.0;
 const SMALL: f64 = 6.0;
 
-/// A team without a limit of some kind may use so much of it: more than any deployment has, and far from overflowing
-/// where it is added to.
+/// What a team without a limit on a resource may use of it: more than any deployment has, and far from overflowing when
+/// amounts are added to it.
 const UNLIMITED: u64 = u64::MAX >> 2;
 
 /// A job that the shares admit.
@@ -35,7 +36,7 @@
     turn: Turn,
     /// It claims accelerators.
     accelerated: bool,
-    /// It has tasks on machines, so it keeps its floor.
+    /// It has tasks on machines, so it keeps its minimum.
     begun: bool,
     precedence: Precedence,
 }
@@ -47,14 +48,14 @@
     }
 }
 
-/// What a team's tasks may use at once, without memory.
+/// What a team's tasks may use at once. Memory is not limited.
 pub(super) fn limits(team: &Team) -> Resources {
     let limit = |most: f64| if most > 0.0 { (most * 1e3) as u64 } else { UNLIMITED };
     Resources { cpu: limit(team.cpus_max), gpu: limit(team.gpus_max), memory: UNLIMITED }
 }
 
-/// One task's share of its pool: processors, or accelerators. A machine that takes only one large
-/// task has but one slot for it, so the share is the machine's part that the task makes unusable.
+/// What one task takes of its pool: processors, or accelerators. A machine with room for only one large task has a
+/// single slot for it, so the size is the part of a machine that the task makes unusable.
 fn slot_size(spec: &JobSpec, machines: &[&Machine]) -> f64 {
     let need = spec.need();
     let part = |m: &&&Machine| {
@@ -66,18 +67,18 @@
     if least.is_finite() { least.max(plain) } else { plain.max(1.0) }
 }
 
-/// The machines that work may be planned on, as a division of the pools sees them.
+/// The machines that work may be planned on, as the division of the pools counts them.
 struct Supply<'a> {
-    /// One of each sort, and how many there are: a job's share depends on what a machine is, not on which.
+    /// One machine of each kind, and how many there are: a job's share depends on the kind of a machine only.
     sorts: Vec<(&'a Machine, f64)>,
-    /// Of the processors what accelerators' work leaves.
+    /// Processors that work with accelerators leaves to other work.
     cpu: u64,
     gpu: u64,
 }
 
 impl Controller {
-    /// The volumes of all admitted jobs: per pool, and before that per team limit; and what each team
-    /// and class has of the pools.
+    /// The volumes of all admitted jobs, and each team's and class's share of the pools. Claims are capped by the
+    /// teams' limits before each pool is divided among them.
     pub(super) fn volumes(&self) -> (Vec<Volume>, Vec<FlowShare>) {
         let supply = self.supply();
         let mut admitted = Vec::new();
@@ -105,12 +106,12 @@
         (volumes, shares)
     }
 
-    /// What there is to be divided.
+    /// The capacity that is divided.
     fn supply(&self) -> Supply<'_> {
         let there = self.machines.values().filter(|m| self.serving(m) || self.coming(m));
         let there: Vec<&Machine> = there.collect();
         let total = there.iter().fold(Resources::default(), |sum, m| sum.plus(m.supply));
-        // What accelerators' work takes of their machines' processors is not there for other work.
+        // Processors of accelerator machines that work with accelerators takes are not available to other work.
         let (cpu, gpu) = self
             .jobs
             .values()
@@ -133,15 +134,15 @@
         }
     }
 
-    /// The jobs of a pool that its division admits, and what each team and class has of it.
+    /// The jobs that the division of a pool admits, and each team's and class's share of the pool.
     fn admit(&self, accelerated: bool, supply: &Supply<'_>) -> (Vec<Admitted<'_>>, Vec<FlowShare>) {
         let mut jobs: Vec<(&String, &Job)> = self
             .jobs
             .iter()
             .filter(|(id, j)| (j.spec.gpus > 0.0) == accelerated && j.unfinished() > 0 && !self.held(id))
             .collect();
-        // Running jobs keep their floors; the others are admitted by priority, then arrival, when all
-        // fit, and else as the shares of team and class allow (`marblewalk_admission::pool`).
+        // Running jobs keep their minimum. The others are admitted by priority, then arrival, when all fit, and
+        // otherwise as the shares of team and class allow (`marblewalk_admission::pool`).
         jobs.sort_by_cached_key(|(_, j)| (j.on.is_empty(), self.precedence(j)));
         let sorts: Vec<&Machine> = supply.sorts.iter().map(|(m, _)| *m).collect();
         let mut sizes: HashMap<_, (f64, f64)> = HashMap::new();
@@ -176,7 +177,7 @@
         (admitted, flows)
     }
 
-    /// What the admission is told of a job.
+    /// Returns a function that describes a job to the division of its pool.
     fn offers<'a>(
         &'a self,
         accelerated: bool,
@@ -224,10 +225,10 @@
         })
     }
 
-    /// Within a rank, between 1 and 56: jobs that can still be done in the time their class aims at
-    /// come before those that cannot, and of these the ones with little left before those with much.
+    /// The weight of a job within its rank, between 1 and 56: jobs that can still meet their deadline or their class's
+    /// objective come before those that cannot, and among them jobs with few tasks left before those with many.
     ///
-    /// With equal priorities a full pool is shared so that all jobs finish late together.
+    /// With equal weights, a full pool would be shared so that all jobs finish late together.
     fn urgency(&self, job: &Job) -> f64 {
         let aims = self
             .settings
@@ -245,20 +246,21 @@
     }
 }
 
-/// Lowers the demands of a team's jobs, on both pools together, to a fair fill of its limits.
+/// Lowers the demands of a team's jobs, on both pools together, to a fair division of its limits.
 ///
-/// Each pool for itself, a team's plain jobs and its jobs with accelerators were each promised all of its processors: what
-/// had a volume could not start, and what might have started had none.
+/// When each pool was capped by itself, a team's plain jobs and its jobs with accelerators were each promised all of
+/// the team's processors: jobs with a volume could not start, and jobs that could have started had no volume.
 fn cap_by_limits(team: &Team, admitted: &mut [Admitted<'_>]) {
     if team.cpus_max <= 0.0 && team.gpus_max <= 0.0 {
         return;
     }
     let mut own: Vec<&mut Admitted> = admitted.iter_mut().filter(|a| a.job.spec.team == team.name).collect();
-    // First tasks of jobs whose turn is not yet come last here: one after the other they kept a gang as large as the limit
-    // from ever starting.
+    // First tasks of jobs that do not have their turn yet come last here: one after the other, they kept a gang as
+    // large as the limit from ever starting.
     own.sort_by_key(|a| (!a.begun, a.turn == Turn::First, a.precedence));
-    // In their order: those that run keep their floors, and of the others each is admitted when its
-    // floor fits. One that does not fit yet is not passed by later ones, for they would never end.
+    // In this order, running jobs keep their minimum, and each other job is admitted if its minimum fits. The minimum
+    // of a job that does not fit yet is deducted too, so that later jobs do not pass it: there would always be more of
+    // them.
     let mut left = limits(team);
     for a in &mut own {
         let floor = Resources { memory: 0, ..a.floor() };
@@ -267,14 +269,14 @@
         }
         left = left.minus(floor);
     }
-    // Accelerators first: what they do not admit leaves processors to others.
+    // Accelerators first: jobs that their limit does not admit leave processors to others.
     let accelerators = |need: Resources| need.gpu;
     let processors = |need: Resources| need.cpu;
     fill_limit(team.gpus_max, accelerators, &mut own);
     fill_limit(team.cpus_max, processors, &mut own);
 }
 
-/// Lowers demands to a fair fill of one limit, of what `of` a task needs.
+/// Lowers demands to a fair division of one limit; `resource` selects the limited resource of a task's need.
 fn fill_limit(limit: f64, of: fn(Resources) -> u64, own: &mut [&mut Admitted<'_>]) {
     if limit <= 0.0 {
         return;
--- a/src/coordination/volumes.rs
+++ b/src/coordination/volumes.rs
@@ -1,15 +1,16 @@
-//! Fair volumes (the paper's section 3.1): v = max(1, min(d, alpha * p)), with alpha by bisection.
+//! Fair volumes (the paper's section 3.1): v = max(1, min(d, alpha * p)) for demand d and priority p, with alpha found
+//! by bisection.
 //!
-//! The paper gives every job of m equal processes a whole number of them. Here a task of one job may
-//! be larger than a task of another, so each job has a `size` and the volumes' sizes sum to m.
+//! The paper divides m equal processes among the jobs, a whole number to each. Here tasks of different jobs may differ
+//! in size, so each claim has a `task_size`, and the sizes of all volumes sum to m.
 
 /// One job's claim on a pool.
 #[derive(Clone, Debug)]
 pub struct Claim {
     pub priority: f64,
-    /// Most tasks it can use.
+    /// The most tasks that it can use.
     pub demand: u32,
-    /// Fewest tasks it is given once admitted: 1, or all of a gang.
+    /// The fewest tasks that it is given once admitted: 1, or all of a gang.
     pub floor: u32,
     /// What one task takes of the pool.
     pub size: f64,
@@ -21,10 +22,9 @@
     }
 }
 
-/// Shares `supply` among admitted claims, given in order of precedence for leftovers.
+/// Divides `supply` among admitted claims. Claims of the same priority receive leftovers in the order given.
 ///
-/// Every claim gets its floor, even where the floors alone exceed the supply: admission is the
-/// caller's business.
+/// Every claim gets its minimum, even if the minimums alone exceed the supply: the caller decides on admission.
 pub fn share(claims: &[Claim], supply: f64) -> Vec<u32> {
     let used = |alpha: f64| claims.iter().map(|c| c.at(alpha) * c.size).sum::<f64>();
     let top = claims.iter().map(|c| f64::from(c.demand) / c.priority).fold(0.0, f64::max);
@@ -38,7 +38,7 @@
     }
     let mut volumes: Vec<u32> = claims.iter().map(|c| (c.at(low) + 1e-9).floor() as u32).collect();
     let mut left = supply - claims.iter().zip(&volumes).map(|(c, v)| c.size * f64::from(*v)).sum::<f64>();
-    // Leftover units go one each, by priority, to those below their demand.
+    // Leftover units go to claims below their demand, one each, by priority.
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by(|a, b| claims[*b].priority.total_cmp(&claims[*a].priority));
     for i in order {
@@ -56,7 +56,9 @@
 
     use super::*;
 
-    /// The paper's C1 to C3 on random claims of unit size with floors of one.
+    /// The paper's conditions on random claims of unit size with a minimum of one task. C1: all demands are met or the
+    /// supply is used up. C2: each volume is between 1 and the demand. C3: volumes are proportional to priorities, up
+    /// to rounding.
     #[test]
     fn volumes_keep_the_papers_three_conditions() {
         for seed in 0..400 {
@@ -92,7 +94,7 @@
     #[test]
     fn the_papers_example_comes_out() {
         let claim = |priority, demand| Claim { priority, demand, floor: 1, size: 1.0 };
-        // Alpha 0.8: shares 0.8 (raised to 1), 1.6, 2.4 and a cap of 2.
+        // With alpha = 0.8 the volumes are 0.8 (raised to 1), 1.6, 2.4 and 2, the last one capped by its demand.
         let claims = [claim(1.0, 4), claim(2.0, 5), claim(3.0, 5), claim(4.0, 2)];
         assert_eq!(share(&claims, 7.0), [1, 1, 3, 2]);
     }
