--- a/src/coordination/backfill.rs
+++ b/src/coordination/backfill.rs
@@ -25,7 +25,7 @@
 use crate::coordination::Controller;
 use crate::coordination::eligibility::{Cards, HeldBack, allows};
 use crate::coordination::model::Job;
-use crate::coordination::volume_plan::limits;
+use crate::coordination::volume_plan::team_limits;
 use crate::protocol::job::{JobSpec, Priority, Shape};
 use crate::protocol::peer::Volume;
 use crate::protocol::units::{Micros, Resources};
@@ -35,55 +35,55 @@
 /// A job that has waited for this long comes before further tasks of running jobs.
 pub(super) const OVERDUE_AFTER: Micros = Micros::from_secs(45);
 /// At most one part in this many of a team's limit goes to overdue jobs.
-const OVERDUE_PART: u64 = 2;
+const OVERDUE_LIMIT_DIVISOR: u64 = 2;
 /// During the first [`GANG_HOLD_TIME`] of each cycle, room is held for a gang that does not fit into what its team's
 /// limit leaves.
-const CYCLE: Micros = Micros::from_secs(50);
-pub(super) const HOLD: Micros = Micros::from_secs(35);
+const GANG_HOLD_CYCLE: Micros = Micros::from_secs(50);
+pub(super) const GANG_HOLD_TIME: Micros = Micros::from_secs(35);
 /// A backfilled job that has found no place within this time gives its room up, and is tried again after
 /// [`BACKFILL_RETRY_DELAY`].
-pub(super) const GIVEN_UP_AFTER: Micros = Micros::from_secs(20);
-pub(super) const TRIED_AGAIN_AFTER: Micros = Micros::from_secs(10);
+pub(super) const BACKFILL_TIMEOUT: Micros = Micros::from_secs(20);
+pub(super) const BACKFILL_RETRY_DELAY: Micros = Micros::from_secs(10);
 /// Beside this many backfilled jobs of a team, none of its gangs is backfilled: gangs would take the room that is left
 /// for gangs that have their turn.
-const MOST_BESIDE_GANGS: usize = 64;
+const MAX_BACKFILLED_IN_GANG_ROOM: usize = 64;
 /// Maximum number of searches among the machines in a round that find no place. The next round continues after the job
 /// of the last one.
-const MOST_VAIN_SEARCHES: usize = 100;
+const MAX_FAILED_SEARCHES: usize = 100;
 
 /// The jobs that are backfilled. A new leader starts with none: tasks that run by then count like any others.
 #[derive(Debug, Default)]
 pub(crate) struct Backfill {
-    named: BTreeMap<String, Named>,
+    jobs: BTreeMap<String, BackfilledJob>,
     /// Jobs that found no place, and when each may be tried again.
-    given_up: BTreeMap<String, Micros>,
+    retry_at: BTreeMap<String, Micros>,
     /// The job of the last search in a round that used up [`MAX_FAILED_SEARCHES`].
-    resume_behind: Option<String>,
+    resume_after: Option<String>,
 }
 
 /// A job that is backfilled.
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct BackfilledJob {
     since: Micros,
     /// It waits until ending tasks free a part of its team's limit.
-    in_line: bool,
+    waits_for_limit: bool,
 }
 
 /// Resources that are neither used nor expected to be used.
-struct Idle {
+struct IdleResources {
     /// What is left of each team's limits.
     limits: HashMap<String, Resources>,
     /// What is left of each machine that has free room.
     machines: BTreeMap<String, Resources>,
 }
 
-impl Idle {
+impl IdleResources {
     /// Whether a need fits into what is left of its team's limit.
-    fn within_limit(&self, spec: &JobSpec, need: Resources) -> bool {
+    fn fits_limit(&self, spec: &JobSpec, need: Resources) -> bool {
         self.limits.get(&spec.team).is_some_and(|left| without_memory(need).fits(*left))
     }
 
-    fn take(&mut self, spec: &JobSpec, need: Resources) {
+    fn deduct(&mut self, spec: &JobSpec, need: Resources) {
         if let Some(left) = self.limits.get_mut(&spec.team) {
             *left = left.minus(need);
         }
@@ -92,7 +92,7 @@
 
 /// Everything that a search for places depends on: if it fails for one job, it fails for all jobs with an equal key.
 #[derive(PartialEq, Eq, Hash)]
-struct Wanted {
+struct SearchKey {
     need: Resources,
     tasks: u32,
     class: String,
@@ -110,7 +110,7 @@
 }
 
 /// What a job starts with: one task of an array, or all tasks of a gang or a service.
-fn unit(job: &Job) -> (u32, Resources) {
+fn initial_allocation(job: &Job) -> (u32, Resources) {
     let tasks = job.spec.floor().min(job.unfinished()).max(1);
     (tasks, job.spec.need().times(u64::from(tasks)))
 }
@@ -120,105 +120,107 @@
     pub(super) fn backfill(&mut self, volumes: &mut Vec<Volume>) {
         let Some(lead) = &mut self.lead else { return };
         let mut backfill = std::mem::take(&mut lead.backfill);
-        self.keep_backfilled(&mut backfill, volumes);
+        self.update_backfilled(&mut backfill, volumes);
         let waiting = self.backfill_candidates(&backfill, volumes);
         if !waiting.is_empty() {
-            self.name_backfilled(&mut backfill, volumes, waiting);
+            self.admit_to_backfill(&mut backfill, volumes, waiting);
         }
-        self.lower_for_those_in_line(&backfill, volumes);
+        self.lower_volumes_for_limit_waiters(&backfill, volumes);
         if let Some(lead) = &mut self.lead {
             lead.backfill = backfill;
         }
     }
 
     /// Backfills the waiting jobs for which there is room.
-    fn name_backfilled(&self, backfill: &mut Backfill, volumes: &mut Vec<Volume>, waiting: Vec<String>) {
+    fn admit_to_backfill(&self, backfill: &mut Backfill, volumes: &mut Vec<Volume>, waiting: Vec<String>) {
         let Some(lead) = &self.lead else { return };
-        let holds = self.now.since(lead.since).0 % CYCLE.0 < HOLD.0;
-        let mut idle = self.idle(volumes);
-        let cards = self.cards(self.machines.values().filter(|m| self.serving(m)));
-        let mut line = self.part_for_overdue(backfill);
-        let mut beside_gangs = self.backfilled_beside_gangs(backfill);
+        let holding = self.now.since(lead.since).0 % GANG_HOLD_CYCLE.0 < GANG_HOLD_TIME.0;
+        let mut idle = self.idle_resources(volumes);
+        let accelerator_policy = self.cards(self.machines.values().filter(|m| self.serving(m)));
+        let mut overdue_left = self.limits_left_for_overdue(backfill);
+        let mut in_gang_room = self.backfilled_in_gang_room(backfill);
         let mut held_teams = BTreeSet::new();
-        let mut in_vain: HashSet<Wanted> = HashSet::new();
+        let mut failed_searches: HashSet<SearchKey> = HashSet::new();
         for id in waiting {
             let Some(job) = self.jobs.get(id.as_str()) else { continue };
-            let (tasks, need) = unit(job);
-            let beside = beside_gangs.get(job.spec.team.as_str()).copied().unwrap_or(0);
-            let crowded = tasks > 1 && beside >= MOST_BESIDE_GANGS;
-            if crowded || held_teams.contains(&job.spec.team) {
+            let (tasks, need) = initial_allocation(job);
+            let in_gang_room_of_team = in_gang_room.get(job.spec.team.as_str()).copied().unwrap_or(0);
+            let gangs_excluded = tasks > 1 && in_gang_room_of_team >= MAX_BACKFILLED_IN_GANG_ROOM;
+            if gangs_excluded || held_teams.contains(&job.spec.team) {
                 continue;
             }
-            let fits = idle.within_limit(&job.spec, need);
-            let in_line = !fits && self.may_wait_in_line(job) && line.within_limit(&job.spec, need);
-            if !fits && !in_line {
-                if holds && tasks > 1 {
+            let fits = idle.fits_limit(&job.spec, need);
+            let waits_for_limit =
+                !fits && self.may_wait_for_limit(job) && overdue_left.fits_limit(&job.spec, need);
+            if !fits && !waits_for_limit {
+                if holding && tasks > 1 {
                     held_teams.insert(job.spec.team.clone());
                 }
                 continue;
             }
-            let wanted = self.wanted_places(job, tasks);
-            if in_vain.contains(&wanted) {
+            let search_key = self.search_key(job, tasks);
+            if failed_searches.contains(&search_key) {
                 continue;
             }
-            if !self.take_places(&mut idle.machines, cards, &job.spec, u64::from(tasks)) {
-                if holds && job.is_gang() {
-                    self.hold_places(&mut idle.machines, &job.spec);
+            if !self.allocate_places(&mut idle.machines, accelerator_policy, &job.spec, u64::from(tasks)) {
+                if holding && job.is_gang() {
+                    self.hold_gang_machines(&mut idle.machines, &job.spec);
                 }
-                in_vain.insert(wanted);
-                if in_vain.len() == MOST_VAIN_SEARCHES {
-                    backfill.resume_behind = Some(id);
+                failed_searches.insert(search_key);
+                if failed_searches.len() == MAX_FAILED_SEARCHES {
+                    backfill.resume_after = Some(id);
                     return;
                 }
                 continue;
             }
-            if in_line {
-                line.take(&job.spec, need);
+            if waits_for_limit {
+                overdue_left.deduct(&job.spec, need);
             } else {
-                *beside_gangs.entry(job.spec.team.as_str()).or_default() += 1;
+                *in_gang_room.entry(job.spec.team.as_str()).or_default() += 1;
             }
-            idle.take(&job.spec, need);
-            tracing::debug!(job = id.as_str(), tasks, in_line, "backfilled");
+            idle.deduct(&job.spec, need);
+            tracing::debug!(job = id.as_str(), tasks, in_line = waits_for_limit, "job backfilled");
             volumes.push(Volume { job: id.clone(), tasks, turn: Turn::Backfill });
-            backfill.named.insert(id, Named { since: self.now, in_line });
+            backfill.jobs.insert(id, BackfilledJob { since: self.now, waits_for_limit });
         }
-        backfill.resume_behind = None;
+        backfill.resume_after = None;
     }
 
     /// Counts by team the jobs that are backfilled into room that a gang of the team could use. Those that wait for the
     /// limit take places of running arrays instead, and jobs of other teams use nothing of the team's limit.
-    fn backfilled_beside_gangs(&self, backfill: &Backfill) -> HashMap<&str, usize> {
+    fn backfilled_in_gang_room(&self, backfill: &Backfill) -> HashMap<&str, usize> {
         let mut counts = HashMap::new();
-        let beside = backfill.named.iter().filter(|(_, named)| !named.in_line);
-        for job in beside.filter_map(|(id, _)| self.jobs.get(id.as_str())) {
+        let in_gang_room = backfill.jobs.iter().filter(|(_, entry)| !entry.waits_for_limit);
+        for job in in_gang_room.filter_map(|(id, _)| self.jobs.get(id.as_str())) {
             *counts.entry(job.spec.team.as_str()).or_default() += 1;
         }
         counts
     }
 
     /// Keeps each backfilled job until its initial allocation has ended, or until it has found no place for too long.
-    fn keep_backfilled(&self, backfill: &mut Backfill, volumes: &mut Vec<Volume>) {
+    fn update_backfilled(&self, backfill: &mut Backfill, volumes: &mut Vec<Volume>) {
         let now = self.now;
-        backfill.given_up.retain(|id, until| *until > now && self.jobs.contains_key(id.as_str()));
-        let in_use = self.in_use_of_limits();
+        backfill.retry_at.retain(|id, until| *until > now && self.jobs.contains_key(id.as_str()));
+        let limits_left = self.limits_left_by_placed();
         let mut kept = Vec::new();
-        let given_up = &mut backfill.given_up;
-        backfill.named.retain(|id, named| {
+        let retry_at = &mut backfill.retry_at;
+        backfill.jobs.retain(|id, entry| {
             let Some(job) = self.jobs.get(id.as_str()).filter(|j| j.unfinished() > 0) else { return false };
             let waits = job.placed() == 0;
             // Its initial allocation has started and ended.
-            if waits && job.wait.waited(now) < now.since(named.since) {
+            if waits && job.wait.waited(now) < now.since(entry.since) {
                 return false;
             }
             // While its team's limit is in use, the job does not wait for a machine, so its timeout starts anew.
-            if named.in_line && waits && !in_use.within_limit(&job.spec, unit(job).1) {
-                named.since = now;
+            if entry.waits_for_limit && waits && !limits_left.fits_limit(&job.spec, initial_allocation(job).1)
+            {
+                entry.since = now;
             }
-            if waits && now.since(named.since) >= GIVEN_UP_AFTER {
-                given_up.insert(id.clone(), now + TRIED_AGAIN_AFTER);
+            if waits && now.since(entry.since) >= BACKFILL_TIMEOUT {
+                retry_at.insert(id.clone(), now + BACKFILL_RETRY_DELAY);
                 return false;
             }
-            kept.push(Volume { job: id.clone(), tasks: unit(job).0, turn: Turn::Backfill });
+            kept.push(Volume { job: id.clone(), tasks: initial_allocation(job).0, turn: Turn::Backfill });
             true
         });
         // A job that has its own turn by now takes that instead.
@@ -229,8 +231,8 @@
             .map(|v| v.job.as_str())
             .collect();
         kept.retain(|v| !admitted.contains(v.job.as_str()));
-        backfill.named.retain(|id, _| kept.iter().any(|v| v.job == *id));
-        volumes.retain(|v| !backfill.named.contains_key(&v.job));
+        backfill.jobs.retain(|id, _| kept.iter().any(|v| v.job == *id));
+        volumes.retain(|v| !backfill.jobs.contains_key(&v.job));
         volumes.extend(kept);
     }
 
@@ -245,14 +247,14 @@
                 && !with_volume.contains(id)
                 && !self.held(id)
                 && !self.mistaken(id)
-                && !backfill.given_up.contains_key(id)
+                && !backfill.retry_at.contains_key(id)
         };
         let waiting = self.jobs.iter().filter(|(id, job)| waits(id, job));
         let mut waiting: Vec<_> =
             waiting.map(|(id, job)| (job.wait.since, self.precedence(job), id.clone())).collect();
         waiting.sort();
         let mut waiting: Vec<String> = waiting.into_iter().map(|(.., id)| id).collect();
-        let last = backfill.resume_behind.as_ref().and_then(|last| waiting.iter().position(|id| id == last));
+        let last = backfill.resume_after.as_ref().and_then(|last| waiting.iter().position(|id| id == last));
         if let Some(last) = last {
             waiting.rotate_left(last + 1);
         }
@@ -260,13 +262,13 @@
     }
 
     /// What the volumes leave of limits and machines. A stalled job counts only with its placed tasks.
-    fn idle(&self, volumes: &[Volume]) -> Idle {
-        let named: HashMap<&str, u32> = volumes.iter().map(|v| (v.job.as_str(), v.tasks)).collect();
-        let mut idle = self.in_use_of_limits();
+    fn idle_resources(&self, volumes: &[Volume]) -> IdleResources {
+        let volume_by_job: HashMap<&str, u32> = volumes.iter().map(|v| (v.job.as_str(), v.tasks)).collect();
+        let mut idle = self.limits_left_by_placed();
         for (id, job) in &self.jobs {
-            let volume = named.get(id.as_str()).copied().unwrap_or(0);
+            let volume = volume_by_job.get(id.as_str()).copied().unwrap_or(0);
             let expected = if self.is_stalled(id) { 0 } else { volume.saturating_sub(job.placed()) };
-            idle.take(&job.spec, job.spec.need().times(u64::from(expected)));
+            idle.deduct(&job.spec, job.spec.need().times(u64::from(expected)));
         }
         let left = self.lead.iter().flat_map(|lead| &lead.left_by_plan);
         let free = left.filter_map(|(name, left)| {
@@ -278,72 +280,74 @@
     }
 
     /// What the placed tasks leave of the limits.
-    fn in_use_of_limits(&self) -> Idle {
-        let mut idle = self.whole_limits(1);
+    fn limits_left_by_placed(&self) -> IdleResources {
+        let mut idle = self.limits_divided_by(1);
         for job in self.jobs.values().filter(|j| j.placed() > 0) {
-            idle.take(&job.spec, job.spec.need().times(u64::from(job.placed())));
+            idle.deduct(&job.spec, job.spec.need().times(u64::from(job.placed())));
         }
         idle
     }
 
-    /// Each team's limits divided by `part`.
-    fn whole_limits(&self, part: u64) -> Idle {
-        let one = |limit: Resources| Resources { cpu: limit.cpu / part, gpu: limit.gpu / part, ..limit };
+    /// Each team's limits divided by `divisor`.
+    fn limits_divided_by(&self, divisor: u64) -> IdleResources {
+        let one =
+            |limit: Resources| Resources { cpu: limit.cpu / divisor, gpu: limit.gpu / divisor, ..limit };
         let teams = self.settings.params.teams.iter();
-        let limits = teams.map(|t| (t.name.clone(), one(limits(t)))).collect();
-        Idle { limits, machines: BTreeMap::new() }
+        let limits = teams.map(|t| (t.name.clone(), one(team_limits(t)))).collect();
+        IdleResources { limits, machines: BTreeMap::new() }
     }
 
     /// What overdue jobs may still use of their teams' limits, beside the jobs that are backfilled.
-    fn part_for_overdue(&self, backfill: &Backfill) -> Idle {
-        let mut line = self.whole_limits(OVERDUE_PART);
-        for id in backfill.named.keys() {
+    fn limits_left_for_overdue(&self, backfill: &Backfill) -> IdleResources {
+        let mut overdue_left = self.limits_divided_by(OVERDUE_LIMIT_DIVISOR);
+        for id in backfill.jobs.keys() {
             if let Some(job) = self.jobs.get(id.as_str()) {
-                line.take(&job.spec, unit(job).1);
+                overdue_left.deduct(&job.spec, initial_allocation(job).1);
             }
         }
-        line
+        overdue_left
     }
 
     /// Whether a job may be backfilled where only ending tasks make room for it under the limit.
-    fn may_wait_in_line(&self, job: &Job) -> bool {
+    fn may_wait_for_limit(&self, job: &Job) -> bool {
         job.spec.shape == Shape::Array && job.wait.waited(self.now) >= OVERDUE_AFTER
     }
 
     /// Lowers the volumes of running arrays by what the jobs that wait for their team's limit need, the largest volumes
     /// first.
-    fn lower_for_those_in_line(&self, backfill: &Backfill, volumes: &mut [Volume]) {
-        let mut wanted: BTreeMap<&str, Resources> = BTreeMap::new();
-        let line = backfill.named.iter().filter(|(_, named)| named.in_line);
-        for job in line.filter_map(|(id, _)| self.jobs.get(id.as_str())).filter(|j| j.placed() == 0) {
-            let sum = wanted.entry(&job.spec.team).or_default();
+    fn lower_volumes_for_limit_waiters(&self, backfill: &Backfill, volumes: &mut [Volume]) {
+        let mut needed_by_team: BTreeMap<&str, Resources> = BTreeMap::new();
+        let limit_waiters = backfill.jobs.iter().filter(|(_, entry)| entry.waits_for_limit);
+        for job in limit_waiters.filter_map(|(id, _)| self.jobs.get(id.as_str())).filter(|j| j.placed() == 0)
+        {
+            let sum = needed_by_team.entry(&job.spec.team).or_default();
             *sum = sum.plus(without_memory(job.spec.need()));
         }
-        if wanted.is_empty() {
+        if needed_by_team.is_empty() {
             return;
         }
-        let lowers = |v: &Volume| v.turn != Turn::Backfill && v.tasks > 1;
-        let mut largest_first: Vec<usize> = (0..volumes.len()).filter(|n| lowers(&volumes[*n])).collect();
+        let may_lower = |v: &Volume| v.turn != Turn::Backfill && v.tasks > 1;
+        let mut largest_first: Vec<usize> = (0..volumes.len()).filter(|n| may_lower(&volumes[*n])).collect();
         largest_first.sort_by_key(|n| std::cmp::Reverse(volumes[*n].tasks));
         for n in largest_first {
             let volume = &mut volumes[n];
             let Some(job) = self.jobs.get(&volume.job) else { continue };
-            let Some(wanted) = wanted.get_mut(job.spec.team.as_str()) else { continue };
+            let Some(needed) = needed_by_team.get_mut(job.spec.team.as_str()) else { continue };
             if job.spec.shape != Shape::Array || job.placed() == 0 {
                 continue;
             }
             let need = without_memory(job.spec.need());
             // Lowering the volume of a job that uses none of the missing resources frees nothing.
-            while volume.tasks > 1 && need.min(*wanted) != Resources::default() {
+            while volume.tasks > 1 && need.min(*needed) != Resources::default() {
                 volume.tasks -= 1;
-                *wanted = wanted.minus(need);
+                *needed = needed.minus(need);
             }
         }
     }
 
     /// Removes the machines on which a gang could be placed from `rooms`: those in the zone with the most room for it,
     /// or in all zones if it is not bound to one.
-    fn hold_places(&self, rooms: &mut BTreeMap<String, Resources>, spec: &JobSpec) {
+    fn hold_gang_machines(&self, rooms: &mut BTreeMap<String, Resources>, spec: &JobSpec) {
         let of_gang = |name: &String, room: Resources| {
             let machine = self.machines.get(name).filter(|m| allows(spec, m) && spec.need().fits(room))?;
             Some(if spec.one_zone { machine.row.zone.as_str() } else { "" })
@@ -358,9 +362,9 @@
         rooms.retain(|name, room| of_gang(name, *room).is_none_or(|zone| Some(zone) != most));
     }
 
-    fn wanted_places(&self, job: &Job, tasks: u32) -> Wanted {
+    fn search_key(&self, job: &Job, tasks: u32) -> SearchKey {
         let spec = &job.spec;
-        Wanted {
+        SearchKey {
             need: spec.need(),
             tasks,
             class: spec.class.clone(),
@@ -375,25 +379,27 @@
 
     /// Takes room for the given number of tasks of a job, whichever members hold the machines. Returns whether there is
     /// enough.
-    fn take_places(
+    fn allocate_places(
         &self,
         rooms: &mut BTreeMap<String, Resources>,
-        cards: Cards,
+        accelerator_policy: Cards,
         spec: &JobSpec,
         tasks: u64,
     ) -> bool {
-        let cards = cards.after(self.waited(&spec.id));
-        let closed = HeldBack::from(self, &self.reserved, spec);
+        let accelerator_policy = accelerator_policy.after(self.waited(&spec.id));
+        let gang_hold = HeldBack::from(self, &self.reserved, spec);
         let mut zones: BTreeMap<&str, Vec<(String, u64)>> = BTreeMap::new();
         let mut chosen = None;
         for (name, room) in rooms.iter().filter(|(_, room)| spec.need().fits(**room)) {
-            let Some(m) = self.machines.get(name).filter(|m| allows(spec, m) && !closed.holds(m)) else {
+            let Some(m) = self.machines.get(name).filter(|m| allows(spec, m) && !gang_hold.holds(m)) else {
                 continue;
             };
             let zone = if spec.one_zone { m.row.zone.as_str() } else { "" };
             let places = zones.entry(zone).or_default();
             let before: u64 = places.iter().map(|(_, n)| n).sum();
-            let here = cards.times(spec, m, self.room_for(spec, name, *room)).min(tasks - before);
+            let here = accelerator_policy
+                .times(spec, m, self.room_available_to(spec, name, *room))
+                .min(tasks - before);
             if here > 0 {
                 places.push((name.clone(), here));
             }
@@ -421,13 +427,13 @@
         let Some(lead) = &mut self.lead else { return };
         let mut stalls = std::mem::take(&mut lead.stalls);
         stalls.retain(|id| self.jobs.get(id).is_some_and(|j| j.lacking() > 0));
-        let mut left_of_share = HashMap::new();
+        let mut remaining_share = HashMap::new();
         for (id, job) in self.jobs.iter().filter(|(_, j)| j.lacking() > 0) {
             let Some(owner) = job.owner.as_deref() else { continue };
-            let left = left_of_share
+            let left = remaining_share
                 .entry((owner, job.spec.team.as_str()))
-                .or_insert_with(|| self.left_of_share(owner, &job.spec.team));
-            let (_, need) = unit(job);
+                .or_insert_with(|| self.remaining_share(owner, &job.spec.team));
+            let (_, need) = initial_allocation(job);
             let need = if job.placed() == 0 { need } else { job.spec.need() };
             let has_room = left.is_none_or(|left| Resources { memory: 0, ..need }.fits(left));
             stalls.observe(self.now, id, job.started(), has_room);
--- a/src/coordination/blocks.rs
+++ b/src/coordination/blocks.rs
@@ -12,159 +12,195 @@
 use crate::protocol::units::{Micros, Resources};
 
 /// A machine that has just been moved is not moved again for this long.
-pub(super) const SETTLE: Micros = Micros::from_secs(4);
+pub(super) const MOVE_COOLDOWN: Micros = Micros::from_secs(4);
 
 /// How often a machine is moved to a controller that hears it without being resolved there, before the leader concludes
 /// that it receives no messages.
-pub(super) const DEAF: u32 = 2;
+pub(super) const MAX_RESCUE_MOVES: u32 = 2;
 
 /// How many more tasks of a job each zone may take; `None` if the job has no constraint on zones.
-pub(super) type ZonesLeft = Option<BTreeMap<String, u64>>;
+pub(super) type ZoneHeadroom = Option<BTreeMap<String, u64>>;
 
 /// A machine with its state in the round's plan.
-struct Spot<'a> {
+struct CandidateMachine<'a> {
     name: &'a str,
     machine: &'a Machine,
     /// Room that the plan leaves.
     room: Resources,
     /// The member that holds it, or is to hold it by the plan; empty if it has never been granted.
-    held: &'a str,
+    planned_owner: &'a str,
     /// It is up and has never been granted.
-    fresh: bool,
+    awaiting_first_grant: bool,
     /// It changed owner a moment ago and is not moved again yet.
-    moved: bool,
-    /// How much of the room that displaced array tasks would leave is already planned on.
-    displaced: Resources,
+    recently_moved: bool,
+    /// How much of the room that preempted array tasks would leave is already planned on.
+    preempted: Resources,
 }
 
 /// A job with fewer tasks placed than its volume.
-struct Short<'a> {
+struct JobShortfall<'a> {
     id: &'a String,
     job: &'a Job,
     owner: &'a String,
-    count: u64,
-    zones: ZonesLeft,
+    missing: u64,
+    zones: ZoneHeadroom,
 }
 
-impl Short<'_> {
+impl JobShortfall<'_> {
     fn unplaced(&self) -> Unplaced {
-        Unplaced { job: self.id.clone(), count: self.count, zones: self.zones.clone() }
+        Unplaced { job: self.id.clone(), count: self.missing, zones: self.zones.clone() }
     }
 }
 
 /// A machine's room for tasks of a gang. Gangs take machines in the derived order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Offer {
+struct GangSlots {
     /// How strongly the machine is suspected of faults.
-    doubt: usize,
+    suspicion: usize,
     /// It has accelerators that the gang does not use.
-    dear: bool,
-    foreign: bool,
+    wastes_accelerators: bool,
+    other_owner: bool,
     busy: bool,
-    spot: usize,
+    candidate: usize,
     slots: u64,
 }
 
 impl Controller {
     /// Plans machine moves, each to the member named, and the unrecorded machines that are to be recorded.
-    pub(super) fn plan_blocks(&mut self) -> (BTreeMap<String, String>, Vec<BlockRow>) {
-        let mut spots = self.spots();
-        let mut order = self.short_jobs(&spots);
+    pub(super) fn plan_machine_moves(&mut self) -> (BTreeMap<String, String>, Vec<BlockRow>) {
+        let mut candidates = self.candidate_machines();
+        let mut order = self.job_shortfalls(&candidates);
         let mut moves: BTreeMap<String, String> = BTreeMap::new();
         let mut unplaced = Vec::new();
-        let mut promised = BTreeSet::new();
-        let cards = self.cards(self.machines.values().filter(|m| self.serving(m)));
+        let mut reserved_by_plan = BTreeSet::new();
+        let accelerator_policy = self.cards(self.machines.values().filter(|m| self.serving(m)));
         // A gang is placed whole or not at all: a part of it would only idle until the rest is placed.
-        let mut reserved: Vec<(String, String)> = Vec::new();
-        let whole = |j: &Job| j.is_gang() && j.on.is_empty() && !j.spec.spread;
-        for short in order.iter_mut().filter(|s| whole(s.job)) {
-            match self.gang_places(short.id, short.job, short.owner, &spots, &reserved, cards) {
+        let mut gang_reservations: Vec<(String, String)> = Vec::new();
+        let needs_whole_placement = |j: &Job| j.is_gang() && j.on.is_empty() && !j.spec.spread;
+        for shortfall in order.iter_mut().filter(|s| needs_whole_placement(s.job)) {
+            match self.find_gang_placement(
+                shortfall.id,
+                shortfall.job,
+                shortfall.owner,
+                &candidates,
+                &gang_reservations,
+                accelerator_policy,
+            ) {
                 Ok(places) => {
-                    for (spot, n) in places {
-                        let spot = &mut spots[spot];
-                        spot.room = spot.room.minus(short.job.spec.need().times(n));
-                        promised.insert(spot.name.to_owned());
-                        if spot.held != short.owner {
-                            moves.insert(spot.name.to_owned(), short.owner.clone());
-                            spot.held = short.owner;
+                    for (candidate, n) in places {
+                        let candidate = &mut candidates[candidate];
+                        candidate.room = candidate.room.minus(shortfall.job.spec.need().times(n));
+                        reserved_by_plan.insert(candidate.name.to_owned());
+                        if candidate.planned_owner != shortfall.owner {
+                            moves.insert(candidate.name.to_owned(), shortfall.owner.clone());
+                            candidate.planned_owner = shortfall.owner;
                         }
                     }
                 }
                 Err(zone) => {
-                    promised.extend(self.kept_for_gang(short.job, zone.as_deref(), &spots));
+                    reserved_by_plan.extend(self.machines_kept_for_gang(
+                        shortfall.job,
+                        zone.as_deref(),
+                        &candidates,
+                    ));
                     if let Some(zone) = zone
-                        && !self.mistaken(short.id)
-                        && reserved.len() < self.zones_reservable(self.overdue(short.job))
+                        && !self.mistaken(shortfall.id)
+                        && gang_reservations.len()
+                            < self.max_reserved_zones(self.exceeds_longest_wait(shortfall.job))
                     {
-                        reserved.push((zone, short.id.clone()));
+                        gang_reservations.push((zone, shortfall.id.clone()));
                     }
-                    unplaced.push(short.unplaced());
+                    unplaced.push(shortfall.unplaced());
                 }
             }
-            short.count = 0;
+            shortfall.missing = 0;
         }
         // First place tasks on the machines that their owners already hold, then on machines that must change owner.
         for own in [true, false] {
-            for short in order.iter_mut().filter(|s| s.count > 0) {
-                for spot in self.fill(short, &mut spots, own, &reserved, cards) {
-                    promised.insert(spots[spot].name.to_owned());
+            for shortfall in order.iter_mut().filter(|s| s.missing > 0) {
+                for candidate in self.fill_shortfall(
+                    shortfall,
+                    &mut candidates,
+                    own,
+                    &gang_reservations,
+                    accelerator_policy,
+                ) {
+                    reserved_by_plan.insert(candidates[candidate].name.to_owned());
                     if !own {
-                        moves.insert(spots[spot].name.to_owned(), short.owner.clone());
-                        spots[spot].held = short.owner;
+                        moves.insert(candidates[candidate].name.to_owned(), shortfall.owner.clone());
+                        candidates[candidate].planned_owner = shortfall.owner;
                     }
                 }
-                if !own && short.count > 0 {
-                    unplaced.push(short.unplaced());
+                if !own && shortfall.missing > 0 {
+                    unplaced.push(shortfall.unplaced());
                 }
             }
         }
-        self.spread_idle(&spots, &mut moves);
-        let with_room = spots.iter().filter(|spot| !spot.fresh && spot.room.cpu > 0);
-        let left_by_plan = with_room.map(|spot| (spot.name.to_owned(), spot.room)).collect();
-        self.rescue(&mut moves);
+        self.balance_idle_machines(&candidates, &mut moves);
+        let with_room =
+            candidates.iter().filter(|candidate| !candidate.awaiting_first_grant && candidate.room.cpu > 0);
+        let free_after_plan =
+            with_room.map(|candidate| (candidate.name.to_owned(), candidate.room)).collect();
+        self.rescue_unreachable(&mut moves);
         self.regrant(&mut moves);
         for (name, m) in self.machines.iter().filter(|(_, m)| m.renew && self.holds(m)) {
             moves.entry(name.clone()).or_insert_with(|| m.row.owner.clone());
         }
-        self.reserved = reserved;
+        self.reserved = gang_reservations;
         let Some(lead) = &mut self.lead else { return Default::default() };
-        lead.left_by_plan = left_by_plan;
+        lead.left_by_plan = free_after_plan;
         lead.unplaced = unplaced;
-        lead.promised = promised;
-        let strays = lead.strays.iter().filter(|(n, _)| !self.machines.contains_key(*n));
-        (moves, strays.map(|(_, s)| s.0.clone()).collect())
+        lead.promised = reserved_by_plan;
+        let unrecorded = lead.strays.iter().filter(|(n, _)| !self.machines.contains_key(*n));
+        (moves, unrecorded.map(|(_, s)| s.0.clone()).collect())
     }
 
     /// The machines that tasks can be planned on, by name.
-    fn spots(&self) -> Vec<Spot<'_>> {
+    fn candidate_machines(&self) -> Vec<CandidateMachine<'_>> {
         let Some(lead) = &self.lead else { return Vec::new() };
-        let settling = |name: &String| lead.moved.get(name).is_some_and(|at| self.now.since(*at) < SETTLE);
-        let mut spots = Vec::new();
+        let in_cooldown =
+            |name: &String| lead.moved.get(name).is_some_and(|at| self.now.since(*at) < MOVE_COOLDOWN);
+        let mut candidates = Vec::new();
         for (name, machine) in &self.machines {
-            let moved = settling(name);
-            let fresh = machine.unused()
+            let recently_moved = in_cooldown(name);
+            let awaiting_first_grant = machine.unused()
                 && !machine.row.returning
                 && lead.strays.contains_key(name)
                 && self.everyone_applied(machine.stamp);
             // A machine on its way to a new owner will be usable there shortly.
-            let comes = || moved && !machine.unused() && self.holds(machine) && !machine.row.returning;
-            if fresh || self.serving(machine) || comes() {
-                let room = if fresh { machine.supply } else { machine.free() };
-                let (displaced, held) = (Resources::default(), machine.row.owner.as_str());
-                spots.push(Spot { name, machine, room, held, fresh, moved, displaced });
+            let arriving =
+                || recently_moved && !machine.unused() && self.holds(machine) && !machine.row.returning;
+            if awaiting_first_grant || self.serving(machine) || arriving() {
+                let room = if awaiting_first_grant { machine.supply } else { machine.free() };
+                let (preempted, planned_owner) = (Resources::default(), machine.row.owner.as_str());
+                candidates.push(CandidateMachine {
+                    name,
+                    machine,
+                    room,
+                    planned_owner,
+                    awaiting_first_grant,
+                    recently_moved,
+                    preempted,
+                });
             }
         }
-        spots
+        candidates
     }
 
     /// The jobs with fewer tasks placed than their volume, in order of precedence.
-    fn short_jobs(&self, spots: &[Spot<'_>]) -> Vec<Short<'_>> {
-        let short = self.jobs.iter().filter(|(_, j)| j.lacking() > 0);
-        let short = short.filter(|(id, _)| !self.held(id));
-        let mut order: Vec<Short> = short
+    fn job_shortfalls(&self, candidates: &[CandidateMachine<'_>]) -> Vec<JobShortfall<'_>> {
+        let below_volume = self.jobs.iter().filter(|(_, j)| j.lacking() > 0);
+        let below_volume = below_volume.filter(|(id, _)| !self.held(id));
+        let mut order: Vec<JobShortfall> = below_volume
             .filter_map(|(id, job)| {
-                let zones = self.zones_left(id, job, spots.iter().map(|s| (s.machine, s.room)));
-                Some(Short { id, job, owner: job.owner.as_ref()?, count: u64::from(job.lacking()), zones })
+                let zones = self.zone_headroom(id, job, candidates.iter().map(|s| (s.machine, s.room)));
+                Some(JobShortfall {
+                    id,
+                    job,
+                    owner: job.owner.as_ref()?,
+                    missing: u64::from(job.lacking()),
+                    zones,
+                })
             })
             .collect();
         order.sort_by_cached_key(|s| self.placing_precedence(s.job));
@@ -173,128 +209,151 @@
 
     /// Takes room for a job's missing tasks: on the machines that its owner holds if `own`, otherwise on others.
     /// Returns the indices of the machines on which tasks are planned.
-    fn fill(
+    fn fill_shortfall(
         &self,
-        short: &mut Short<'_>,
-        spots: &mut [Spot<'_>],
+        shortfall: &mut JobShortfall<'_>,
+        candidates: &mut [CandidateMachine<'_>],
         own: bool,
-        reserved: &[(String, String)],
-        cards: Cards,
+        gang_reservations: &[(String, String)],
+        accelerator_policy: Cards,
     ) -> Vec<usize> {
-        let spec = &short.job.spec;
+        let spec = &shortfall.job.spec;
         let need = spec.need();
-        // Room that the owner can make by displacing tasks counts as room.
-        let displaces = self.may_displace(spec);
-        let closed = HeldBack::from(self, reserved, spec);
+        // Room that the owner can make by preempting tasks counts as room.
+        let preempts = self.may_displace(spec);
+        let gang_hold = HeldBack::from(self, gang_reservations, spec);
         let mut options = Vec::new();
-        for (i, spot) in spots.iter().enumerate() {
+        for (i, candidate) in candidates.iter().enumerate() {
             // Most machines are full, so the cheap check comes first.
-            let fits = need.fits(spot.room);
-            if !fits && !displaces || (spot.held == short.owner) != own || !own && spot.moved {
+            let fits = need.fits(candidate.room);
+            if !fits && !preempts
+                || (candidate.planned_owner == shortfall.owner) != own
+                || !own && candidate.recently_moved
+            {
                 continue;
             }
-            if (displaces || need.fits(self.room_for(spec, spot.name, spot.room)))
-                && allows(spec, spot.machine)
-                && !closed.holds(spot.machine)
+            if (preempts || need.fits(self.room_available_to(spec, candidate.name, candidate.room)))
+                && allows(spec, candidate.machine)
+                && !gang_hold.holds(candidate.machine)
             {
-                let foreign = !own && !spot.held.is_empty();
-                let cards_idle = spot.machine.supply.gpu > 0 && spec.gpus == 0.0;
-                let busy = foreign && !spot.machine.idle();
-                let doubt = self.blame.doubt(short.id, spot.name);
-                let key = (doubt, cards_idle, keeps_dear(spec, spot.machine), !fits, busy, spot.room.cpu, i);
+                let other_owner = !own && !candidate.planned_owner.is_empty();
+                let wastes_accelerators = candidate.machine.supply.gpu > 0 && spec.gpus == 0.0;
+                let busy = other_owner && !candidate.machine.idle();
+                let suspicion = self.blame.doubt(shortfall.id, candidate.name);
+                let key = (
+                    suspicion,
+                    wastes_accelerators,
+                    keeps_dear(spec, candidate.machine),
+                    !fits,
+                    busy,
+                    candidate.room.cpu,
+                    i,
+                );
                 options.push(key);
             }
         }
         options.sort_unstable();
         let mut taken = Vec::new();
         for (.., i) in options {
-            if short.count == 0 {
+            if shortfall.missing == 0 {
                 break;
             }
-            let spot = &mut spots[i];
-            let yields = if displaces { self.displaceable(spec, spot.machine) } else { Resources::default() };
-            let room = spot.room.plus(yields.minus(spot.displaced));
-            let here = short.zones.as_mut().map(|z| z.entry(spot.machine.row.zone.clone()).or_default());
+            let candidate = &mut candidates[i];
+            let preemptible =
+                if preempts { self.displaceable(spec, candidate.machine) } else { Resources::default() };
+            let room = candidate.room.plus(preemptible.minus(candidate.preempted));
+            let here =
+                shortfall.zones.as_mut().map(|z| z.entry(candidate.machine.row.zone.clone()).or_default());
             let n = self
-                .slots(spec, spot.name, spot.machine, room, cards)
-                .min(short.count)
+                .task_slots(spec, candidate.name, candidate.machine, room, accelerator_policy)
+                .min(shortfall.missing)
                 .min(here.as_ref().map_or(u64::MAX, |h| **h));
             if n == 0 {
                 continue;
             }
-            short.count -= n;
+            shortfall.missing -= n;
             if let Some(here) = here {
                 *here -= n;
             }
             let used = need.times(n);
-            spot.displaced = spot.displaced.plus(used.minus(spot.room));
-            spot.room = spot.room.minus(used);
+            candidate.preempted = candidate.preempted.plus(used.minus(candidate.room));
+            candidate.room = candidate.room.minus(used);
             taken.push(i);
         }
         taken
     }
 
     /// How many tasks of a job a machine takes in the given room.
-    fn slots(&self, spec: &JobSpec, name: &str, machine: &Machine, room: Resources, cards: Cards) -> u64 {
-        cards.after(self.waited(&spec.id)).times(spec, machine, self.room_for(spec, name, room))
+    fn task_slots(
+        &self,
+        spec: &JobSpec,
+        name: &str,
+        machine: &Machine,
+        room: Resources,
+        accelerator_policy: Cards,
+    ) -> u64 {
+        accelerator_policy.after(self.waited(&spec.id)).times(
+            spec,
+            machine,
+            self.room_available_to(spec, name, room),
+        )
     }
 
     /// Finds machines for all tasks of a gang: in a zone where its owner already has room for the whole gang, or else
     /// in the zone with the least room that is enough. If no zone has enough, returns the zone in which to reserve
     /// room: the one reserved before, or else the one with the most room.
-    fn gang_places(
+    fn find_gang_placement(
         &self,
         id: &str,
         job: &Job,
         owner: &str,
-        spots: &[Spot<'_>],
-        reserved: &[(String, String)],
-        cards: Cards,
+        candidates: &[CandidateMachine<'_>],
+        gang_reservations: &[(String, String)],
+        accelerator_policy: Cards,
     ) -> Result<Vec<(usize, u64)>, Option<String>> {
         let spec = &job.spec;
         let size = u64::from(spec.tasks);
-        let closed = HeldBack::from(self, reserved, spec);
-        let mut zones: BTreeMap<&str, Vec<Offer>> = BTreeMap::new();
-        for (i, spot) in spots.iter().enumerate().filter(|(_, s)| spec.need().fits(s.room)) {
-            let m = spot.machine;
-            let foreign = spot.held != owner;
-            if !allows(spec, m) || foreign && spot.moved {
+        let gang_hold = HeldBack::from(self, gang_reservations, spec);
+        let mut zones: BTreeMap<&str, Vec<GangSlots>> = BTreeMap::new();
+        for (i, candidate) in candidates.iter().enumerate().filter(|(_, s)| spec.need().fits(s.room)) {
+            let m = candidate.machine;
+            let other_owner = candidate.planned_owner != owner;
+            if !allows(spec, m) || other_owner && candidate.recently_moved {
                 continue;
             }
-            let slots = self.slots(spec, spot.name, m, spot.room, cards);
-            if slots > 0 && !closed.holds(m) {
+            let slots = self.task_slots(spec, candidate.name, m, candidate.room, accelerator_policy);
+            if slots > 0 && !gang_hold.holds(m) {
                 let zone = if spec.one_zone { m.row.zone.as_str() } else { "" };
-                let dear = m.supply.gpu > 0 && spec.gpus == 0.0;
-                let busy = foreign && !m.idle();
-                zones.entry(zone).or_default().push(Offer {
-                    doubt: self.blame.doubt(id, spot.name),
-                    dear,
-                    foreign,
+                let wastes_accelerators = m.supply.gpu > 0 && spec.gpus == 0.0;
+                let busy = other_owner && !m.idle();
+                zones.entry(zone).or_default().push(GangSlots {
+                    suspicion: self.blame.doubt(id, candidate.name),
+                    wastes_accelerators,
+                    other_owner,
                     busy,
-                    spot: i,
+                    candidate: i,
                     slots,
                 });
             }
         }
-        let total = |rows: &[Offer], own: bool| -> u64 {
-            rows.iter().filter(|r| !own || !r.foreign).map(|r| r.slots).sum()
+        let total = |rows: &[GangSlots], own: bool| -> u64 {
+            rows.iter().filter(|r| !own || !r.other_owner).map(|r| r.slots).sum()
         };
         let fitting = zones.values().filter(|rows| total(rows, false) >= size);
         let Some(rows) = fitting.min_by_key(|rows| (total(rows, true) < size, total(rows, false))) else {
-            // The reserved zone stays the same from round to round; otherwise room would be held back in all zones in
-            // turn.
-            let before = self.reserved.iter().find(|(_, j)| j == id).map(|(zone, _)| zone.clone());
+            // The reserved zone stays the same from round to round; otherwise room would be held back in all zones.
+            let previous_zone = self.reserved.iter().find(|(_, j)| j == id).map(|(zone, _)| zone.clone());
             let most = zones.iter().max_by_key(|(_, rows)| total(rows, false));
-            return Err(before.or_else(|| most.map(|(zone, _)| (*zone).to_owned())));
+            return Err(previous_zone.or_else(|| most.map(|(zone, _)| (*zone).to_owned())));
         };
         let mut rows = rows.clone();
         rows.sort();
         let mut left = size;
         let mut places = Vec::new();
-        for offer in rows {
-            let n = offer.slots.min(left);
+        for machine_slots in rows {
+            let n = machine_slots.slots.min(left);
             if n > 0 {
-                places.push((offer.spot, n));
+                places.push((machine_slots.candidate, n));
                 left -= n;
             }
         }
@@ -303,20 +362,25 @@
 
     /// The machines to keep for a gang while further machines for it are still booting. Returned as idle meanwhile,
     /// they would never be available all at the same time.
-    fn kept_for_gang(&self, job: &Job, zone: Option<&str>, spots: &[Spot<'_>]) -> Vec<String> {
+    fn machines_kept_for_gang(
+        &self,
+        job: &Job,
+        zone: Option<&str>,
+        candidates: &[CandidateMachine<'_>],
+    ) -> Vec<String> {
         let spec = &job.spec;
-        let there =
+        let suitable =
             |m: &Machine| allows(spec, m) && (!spec.one_zone || zone.is_none_or(|zone| zone == m.row.zone));
-        if !self.machines.values().any(|m| self.coming(m) && there(m)) {
+        if !self.machines.values().any(|m| self.coming(m) && suitable(m)) {
             return Vec::new();
         }
         let mut missing = u64::from(spec.tasks);
         let mut kept = Vec::new();
-        for spot in spots.iter().filter(|spot| there(spot.machine)) {
-            let places = spec.need().times_in(spot.room);
+        for candidate in candidates.iter().filter(|candidate| suitable(candidate.machine)) {
+            let places = spec.need().times_in(candidate.room);
             if places > 0 && missing > 0 {
                 missing = missing.saturating_sub(places);
-                kept.push(spot.name.to_owned());
+                kept.push(candidate.name.to_owned());
             }
         }
         kept
@@ -324,16 +388,16 @@
 
     /// In how many zones room may be reserved at a time for gangs that fit nowhere: in half of them, or in all but one
     /// if a gang has waited too long.
-    fn zones_reservable(&self, overdue: bool) -> usize {
+    fn max_reserved_zones(&self, waited_too_long: bool) -> usize {
         let zones = self.settings.params.zones.len();
-        if overdue { zones.saturating_sub(1).max(1) } else { (zones / 2).max(1) }
+        if waited_too_long { zones.saturating_sub(1).max(1) } else { (zones / 2).max(1) }
     }
 
-    fn overdue(&self, job: &Job) -> bool {
+    fn exceeds_longest_wait(&self, job: &Job) -> bool {
         self.now.since(job.since).as_secs_f64() > self.tuning.longest_wait_s
     }
 
-    pub(super) fn heard_elsewhere(&mut self, machine: String, by: String) {
+    pub(super) fn note_misdirected_report(&mut self, machine: String, by: String) {
         let now = self.now;
         if let Some(lead) = &mut self.lead {
             lead.heard.insert(machine, (by, now));
@@ -346,41 +410,46 @@
     /// A machine that is heard by one controller after another and never confirms a grant of any of them receives no
     /// messages. Without [`MAX_RESCUE_MOVES`], such a machine was moved again and again, was neither resolved nor
     /// returned, and held its tasks forever.
-    fn rescue(&mut self, moves: &mut BTreeMap<String, String>) {
-        let mut rescued = self.lead.as_mut().map(|l| std::mem::take(&mut l.rescued)).unwrap_or_default();
-        rescued.retain(|name, _| self.machines.get(name).is_some_and(|m| !m.resolved || m.lost));
-        self.rescue_cut_off(&mut rescued, moves);
+    fn rescue_unreachable(&mut self, moves: &mut BTreeMap<String, String>) {
+        let mut rescue_moves = self.lead.as_mut().map(|l| std::mem::take(&mut l.rescued)).unwrap_or_default();
+        rescue_moves.retain(|name, _| self.machines.get(name).is_some_and(|m| !m.resolved || m.lost));
+        self.move_unreachable(&mut rescue_moves, moves);
         if let Some(lead) = &mut self.lead {
-            lead.rescued = rescued;
+            lead.rescued = rescue_moves;
         }
     }
 
-    fn rescue_cut_off(&self, rescued: &mut BTreeMap<String, u32>, moves: &mut BTreeMap<String, String>) {
+    fn move_unreachable(
+        &self,
+        rescue_moves: &mut BTreeMap<String, u32>,
+        moves: &mut BTreeMap<String, String>,
+    ) {
         let Some(lead) = &self.lead else { return };
-        let silent = (self.report_every.as_secs_f64() * 2.0 + 1.0) as u32;
+        let silence_limit = (self.report_every.as_secs_f64() * 2.0 + 1.0) as u32;
         for (name, (by, at)) in &lead.heard {
             let recent = self.now.since(*at) < Micros::from_secs(6) && self.nodes.contains_key(by);
             let Some(m) = self.machines.get(name).filter(|m| !m.unused() && !m.row.returning) else {
                 continue;
             };
-            let word = self.peers.get(&m.row.owner).map_or(Micros::MAX, |p| self.now.since(p.heard));
-            let unheard = self.dark(m) >= silent || word > Micros::from_secs(u64::from(silent));
-            let times = rescued.get(name).copied().unwrap_or(0);
-            let another = m.row.owner != *by && !lead.moved.contains_key(name);
-            if recent && unheard && another && times < DEAF {
-                rescued.insert(name.clone(), times + 1);
+            let owner_silence = self.peers.get(&m.row.owner).map_or(Micros::MAX, |p| self.now.since(p.heard));
+            let unheard_by_owner =
+                self.dark(m) >= silence_limit || owner_silence > Micros::from_secs(u64::from(silence_limit));
+            let rescues = rescue_moves.get(name).copied().unwrap_or(0);
+            let may_move = m.row.owner != *by && !lead.moved.contains_key(name);
+            if recent && unheard_by_owner && may_move && rescues < MAX_RESCUE_MOVES {
+                rescue_moves.insert(name.clone(), rescues + 1);
                 moves.insert(name.clone(), by.clone());
             }
         }
     }
 
     /// How many more tasks of a job each zone may take; `None` if the job has no constraint on zones.
-    pub(super) fn zones_left<'m>(
+    pub(super) fn zone_headroom<'m>(
         &self,
         id: &str,
         job: &Job,
         rooms: impl Iterator<Item = (&'m Machine, Resources)>,
-    ) -> ZonesLeft {
+    ) -> ZoneHeadroom {
         let spec = &job.spec;
         if !spec.one_zone && !spec.spread {
             return None;
@@ -409,31 +478,35 @@
 
     /// Moves machines that no job needs to the members with the fewest idle machines of their type: new ones at once,
     /// others when the numbers differ by two or more. The owner of a new job then likely has room for it.
-    fn spread_idle(&self, spots: &[Spot<'_>], moves: &mut BTreeMap<String, String>) {
+    fn balance_idle_machines(
+        &self,
+        candidates: &[CandidateMachine<'_>],
+        moves: &mut BTreeMap<String, String>,
+    ) {
         let members: Vec<&String> = self.view.members.iter().map(|m| &m.0).collect();
         if members.is_empty() {
             return;
         }
-        let mut idle: BTreeMap<&str, BTreeMap<&str, Vec<&Spot>>> = BTreeMap::new();
-        for spot in spots {
+        let mut idle: BTreeMap<&str, BTreeMap<&str, Vec<&CandidateMachine>>> = BTreeMap::new();
+        for candidate in candidates {
             let by_owner = idle
-                .entry(spot.machine.row.kind.as_str())
+                .entry(candidate.machine.row.kind.as_str())
                 .or_insert_with(|| members.iter().map(|m| (m.as_str(), Vec::new())).collect());
-            if spot.machine.idle()
-                && !moves.contains_key(spot.name)
-                && let Some(list) = by_owner.get_mut(spot.held)
+            if candidate.machine.idle()
+                && !moves.contains_key(candidate.name)
+                && let Some(list) = by_owner.get_mut(candidate.planned_owner)
             {
-                list.push(spot);
+                list.push(candidate);
             }
         }
-        for spot in spots.iter().filter(|s| s.fresh) {
-            if moves.contains_key(spot.name) {
+        for candidate in candidates.iter().filter(|s| s.awaiting_first_grant) {
+            if moves.contains_key(candidate.name) {
                 continue;
             }
-            let Some(by_owner) = idle.get_mut(spot.machine.row.kind.as_str()) else { continue };
+            let Some(by_owner) = idle.get_mut(candidate.machine.row.kind.as_str()) else { continue };
             if let Some((owner, list)) = by_owner.iter_mut().min_by_key(|(_, l)| l.len()) {
-                list.push(spot);
-                moves.insert(spot.name.to_owned(), (*owner).to_owned());
+                list.push(candidate);
+                moves.insert(candidate.name.to_owned(), (*owner).to_owned());
             }
         }
         for by_owner in idle.values() {
@@ -441,9 +514,9 @@
             let least = by_owner.iter().min_by_key(|(_, l)| l.len());
             if let (Some((_, most)), Some((to, least))) = (most, least)
                 && most.len() >= least.len() + 2
-                && let Some(spot) = most.iter().find(|s| !s.fresh && !s.moved)
+                && let Some(candidate) = most.iter().find(|s| !s.awaiting_first_grant && !s.recently_moved)
             {
-                moves.insert(spot.name.to_owned(), (*to).to_owned());
+                moves.insert(candidate.name.to_owned(), (*to).to_owned());
             }
         }
     }
--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -25,7 +25,7 @@
         let recent = Micros(self.report_every.0 * 2);
         let overdue = self.latest_report() + OVERDUE;
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
-        let gate = StartGate::new(self.settled(), self.permits_in_force(), &self.jobs);
+        let gate = StartGate::new(self.settled(), self.active_permit(), &self.jobs);
         for (name, m) in &mut self.machines {
             let mine = m.row.node == stamp && m.row.owner == self.settings.member;
             let known = m.session != 0 || !m.resolved;
@@ -141,7 +141,7 @@
                     self.soon_status();
                 }
                 self.drop_disowned(name);
-                self.drop_unpermitted(name);
+                self.cancel_unpermitted_starts(name);
             }
             DirectReply::Unclear if asked => self.soon_status(),
             DirectReply::Unclear => {
--- a/src/coordination/displacement.rs
+++ b/src/coordination/displacement.rs
@@ -5,7 +5,7 @@
 use crate::coordination::Controller;
 use crate::coordination::eligibility::allows;
 use crate::coordination::model::{Machine, TaskOn};
-use crate::coordination::placement::Rooms;
+use crate::coordination::placement::AvailableCapacity;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::TaskId;
@@ -14,7 +14,7 @@
     /// Whether tasks of lower rank are stopped for a job at once: a service, which starts replica by
     /// replica, of a class that must start sooner than a machine boots.
     pub(super) fn may_displace(&self, spec: &JobSpec) -> bool {
-        spec.shape == Shape::Service && !spec.one_zone && self.is_quick(&spec.class)
+        spec.shape == Shape::Service && !spec.one_zone && self.needs_fast_start(&spec.class)
     }
 
     /// Tasks on a machine that would give way to a job: of arrays of lower rank.
@@ -43,7 +43,7 @@
         spec: &JobSpec,
         mut short: u64,
         zones: &mut BTreeMap<String, u32>,
-        rooms: &mut Rooms,
+        rooms: &mut AvailableCapacity,
         fetched: bool,
     ) -> u64 {
         let before = short;
@@ -53,14 +53,14 @@
         let need = spec.need();
         let most = spec.tasks.div_ceil(2);
         let mut options: Vec<(Micros, u64, String)> = Vec::new();
-        for name in rooms.soon.keys() {
+        for name in rooms.free_after_stops.keys() {
             let Some(m) = self.machines.get(name).filter(|m| allows(spec, m)) else { continue };
             let fetch = self.fetch_time(spec, m);
             if fetched && fetch > Micros::ZERO {
                 continue;
             }
             let lower = self.yielding(spec, m).count();
-            if lower > 0 || need.fits(rooms.soon[name]) {
+            if lower > 0 || need.fits(rooms.free_after_stops[name]) {
                 options.push((fetch, lower as u64, name.clone()));
             }
         }
@@ -71,7 +71,7 @@
             let here = zones.entry(m.row.zone.clone()).or_default();
             let mut lower: Vec<(&TaskId, &TaskOn)> = self.yielding(spec, m).collect();
             lower.sort_by_key(|(task, t)| (t.since, *task));
-            let mut room = rooms.soon[&name];
+            let mut room = rooms.free_after_stops[&name];
             while short > 0 && (!spec.spread || *here < most) {
                 let mut taken = Vec::new();
                 let mut with = room;
@@ -88,7 +88,7 @@
                 (*here, short) = (*here + 1, short - 1);
                 stops.extend(taken.into_iter().map(|t| (name.clone(), t)));
             }
-            rooms.soon.insert(name, room);
+            rooms.free_after_stops.insert(name, room);
             if short == 0 {
                 break;
             }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -356,7 +356,7 @@
         for (id, job) in others.filter(|(id, j)| self.worth_renting_for(id, j)) {
             let waiting = self.worth_trying(id, job).saturating_sub(job.placed());
             if waiting > 0 && (job.spec.floor() == 1 || job.on.is_empty()) {
-                let zones = self.zones_left(id, job, std::iter::empty());
+                let zones = self.zone_headroom(id, job, std::iter::empty());
                 self.want_for(
                     &job.spec,
                     u64::from(waiting),
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::coordination::Controller;
-use crate::coordination::placement::{MOST_STARTS, Only, Rooms};
+use crate::coordination::placement::{AvailableCapacity, MAX_STARTS_PER_PASS, MachineFilter};
 use crate::coordination::waiting::WaitReason;
 use crate::protocol::job::JobSpec;
 use crate::protocol::units::Micros;
@@ -11,10 +11,14 @@
 
 impl Controller {
     /// Starts all tasks of a gang, or none and says why. No task of an earlier attempt may be left.
-    pub(super) fn place_gang(&mut self, id: &str, rooms: &mut Rooms) -> Result<usize, WaitReason> {
+    pub(super) fn place_gang(
+        &mut self,
+        id: &str,
+        rooms: &mut AvailableCapacity,
+    ) -> Result<usize, WaitReason> {
         let Some(job) = self.jobs.get(id) else { return Ok(0) };
         let spec = job.spec.clone();
-        if self.wanted(job) < spec.tasks {
+        if self.target_task_count(job) < spec.tasks {
             return Err(WaitReason::NotAdmitted);
         }
         if !job.on.is_empty() {
@@ -37,8 +41,9 @@
         // Of the zones where all fit, the one that is left with least: a large gang may come next.
         let mut best: Option<(usize, Vec<String>)> = None;
         for zone in zones {
-            let only = zone.as_deref().map_or(Only::All, Only::Zone);
-            let mut names = self.choose(&spec, size.max(MOST_STARTS), rooms, BTreeMap::new(), &only);
+            let only = zone.as_deref().map_or(MachineFilter::All, MachineFilter::Zone);
+            let mut names =
+                self.choose_machines(&spec, size.max(MAX_STARTS_PER_PASS), rooms, BTreeMap::new(), &only);
             let room = names.len();
             names.truncate(size);
             if names.len() == size && best.as_ref().is_none_or(|(least, _)| room < *least) {
@@ -46,17 +51,17 @@
             }
         }
         let Some((_, chosen)) = best else { return Err(WaitReason::NoMachine) };
-        rooms.take(&chosen, total);
+        rooms.allocate(&chosen, total);
         let attempt = self.next_attempt(id);
         for (index, name) in chosen.iter().enumerate() {
-            self.plan(id, index as u32, attempt, name, &mut allowance);
+            self.plan_start(id, index as u32, attempt, name, &mut allowance);
         }
         Ok(size)
     }
 
     /// A gang that has not started may lack a task whose start was lost or refused: a replacement
     /// with the same attempt number completes it.
-    fn complete_gang(&mut self, id: &str, spec: &JobSpec, rooms: &mut Rooms) -> usize {
+    fn complete_gang(&mut self, id: &str, spec: &JobSpec, rooms: &mut AvailableCapacity) -> usize {
         let Some(job) = self.jobs.get(id) else { return 0 };
         let mut attempts = BTreeSet::new();
         for (index, places) in &job.on {
@@ -70,11 +75,12 @@
         let missing: Vec<u32> = (0..spec.tasks).filter(|i| !job.on.contains_key(i)).collect();
         let (Some(attempt), 1) = (attempts.first().copied(), attempts.len()) else { return 0 };
         let mut allowance = self.allowance(spec);
-        let most = spec.need().times_in(allowance.room()).min(missing.len() as u64);
-        let names = self.choose(spec, most as usize, rooms, self.zone_counts(id), &Only::All);
-        rooms.take(&names, spec.need());
+        let most = spec.need().times_in(allowance.remaining()).min(missing.len() as u64);
+        let names =
+            self.choose_machines(spec, most as usize, rooms, self.zone_counts(id), &MachineFilter::All);
+        rooms.allocate(&names, spec.need());
         for (index, name) in missing.iter().zip(&names) {
-            self.plan(id, *index, attempt, name, &mut allowance);
+            self.plan_start(id, *index, attempt, name, &mut allowance);
         }
         names.len()
     }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -10,7 +10,7 @@
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, BlockRow, ViewRecord};
 use crate::coordination::backfill::Backfill;
-use crate::coordination::blocks::{SETTLE, ZonesLeft};
+use crate::coordination::blocks::{MOVE_COOLDOWN, ZoneHeadroom};
 use crate::coordination::eligibility::allows;
 use crate::coordination::fleet::Fleet;
 use crate::coordination::model::{Job, Machine};
@@ -85,7 +85,7 @@
 pub(crate) struct Unplaced {
     pub job: String,
     pub count: u64,
-    pub zones: ZonesLeft,
+    pub zones: ZoneHeadroom,
 }
 
 impl Controller {
@@ -120,7 +120,7 @@
             return;
         }
         self.fleet_tick();
-        if self.lead.as_ref().is_some_and(|l| l.awaits_words) && self.may_divide() {
+        if self.lead.as_ref().is_some_and(|l| l.awaits_words) && self.may_divide_limits() {
             self.soon_round();
         }
         if self.lead.as_ref().is_none_or(|l| self.now < l.round_at) {
@@ -359,7 +359,7 @@
     }
 
     fn round(&mut self) {
-        let (mut volumes, shares) = self.volumes();
+        let (mut volumes, shares) = self.plan_volumes();
         self.note_stalls();
         self.backfill(&mut volumes);
         if let Some(lead) = &mut self.lead {
@@ -376,7 +376,7 @@
         let kept = self.choose_kept();
         let surplus = self.find_surplus(&volumes);
         let reserved = self.reserved.clone();
-        self.take_volumes(&volumes, kept.clone(), reserved.clone());
+        self.apply_volumes(&volumes, kept.clone(), reserved.clone());
         let message =
             PeerMessage::Volumes { leader, round, volumes, kept, reserved, surplus: surplus.clone() };
         self.effects.push(Effect::Send(None, message));
@@ -385,17 +385,17 @@
             return;
         }
         self.check_usage();
-        if self.allot() {
+        if self.divide_limits() {
             return;
         }
-        let (moves, added) = self.plan_blocks();
+        let (moves, added) = self.plan_machine_moves();
         if !moves.is_empty() || !added.is_empty() {
             let settled = self.now;
             if let Some(lead) = &mut self.lead {
                 for name in moves.keys() {
                     lead.moved.insert(name.clone(), settled);
                 }
-                lead.moved.retain(|_, at| settled.since(*at) < SETTLE);
+                lead.moved.retain(|_, at| settled.since(*at) < MOVE_COOLDOWN);
             }
             self.grant(moves, added, BTreeSet::new(), None);
         } else {
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -86,7 +86,7 @@
         }
         let placed = self.may_place();
         if placed {
-            self.place();
+            self.run_placement_pass();
             self.status_tick();
         }
         let answer = self.orders_for(&proof, &name, session, tally);
@@ -275,7 +275,7 @@
             .unwrap_or_default();
         self.drop_planned(name, |id| unwanted.contains(id));
         self.drop_disowned(name);
-        self.drop_unpermitted(name);
+        self.cancel_unpermitted_starts(name);
         let live: BTreeMap<String, bool> = self
             .machines
             .get(name)
@@ -295,7 +295,7 @@
             })
             .unwrap_or_default();
         let now = self.now;
-        let gate = StartGate::new(self.settled(), self.permits_in_force(), &self.jobs);
+        let gate = StartGate::new(self.settled(), self.active_permit(), &self.jobs);
         let Some(machine) = self.machines.get_mut(name) else {
             return proof.answer(0, orders);
         };
@@ -435,7 +435,7 @@
     fn report_heard(&mut self, machine: &str) {
         let me = self.settings.member.clone();
         if self.lead.is_some() {
-            self.heard_elsewhere(machine.to_owned(), me);
+            self.note_misdirected_report(machine.to_owned(), me);
         } else if let Some((leader, ..)) = &self.leader {
             let heard = PeerMessage::Heard { machine: machine.to_owned() };
             self.effects.push(Effect::Send(Some(leader.clone()), heard));
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -397,7 +397,7 @@
             Event::Withdraw(request, job) => self.withdrawal(request, job),
         }
         if self.may_place() {
-            self.place();
+            self.run_placement_pass();
             self.status_tick();
             self.speak();
         }
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -9,7 +9,7 @@
 
 use crate::bookkeeping::records::{BlockRow, TaskSet};
 pub use crate::coordination::pending::Pending;
-use crate::coordination::quota::{InForce, Permit};
+use crate::coordination::quota::{ActivePermit, Permit};
 use crate::coordination::waiting::Wait;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::units::{Micros, Resources};
@@ -223,7 +223,7 @@
     }
 
     /// The permit of a start that may be ordered now: it holds, and all that must know of the start do.
-    pub(in crate::coordination) fn may_start(&self, settled: u64, in_force: InForce) -> Option<Permit> {
+    pub(in crate::coordination) fn may_start(&self, settled: u64, in_force: ActivePermit) -> Option<Permit> {
         let announced = self.announced != 0 && self.announced <= settled;
         match self.pending {
             Some(Pending::Planned(permit)) if announced && self.stop.is_none() => {
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -16,45 +16,46 @@
 use crate::protocol::worker::{TaskId, TaskState};
 
 /// Maximum number of starts planned in one pass. It keeps a job with very many tasks from delaying all other jobs.
-pub(super) const MOST_STARTS: usize = 400;
+pub(super) const MAX_STARTS_PER_PASS: usize = 400;
 
 /// A backfilled array must have had no task placed for this long before it starts one, whatever the leader's last
 /// volumes say.
-const AGAIN_AFTER: Micros = Micros::from_secs(10);
+const BACKFILL_RESTART_DELAY: Micros = Micros::from_secs(10);
 
 /// Sort key by which an owner ranks machines for a task, the lowest first: suspicion of a fault, whether the task would
 /// keep a costlier machine than it needs, time to fetch the image, processors left.
 type Preference = (usize, bool, Micros, u64);
 
 /// Restricts the machines that [`Controller::choose_machines`] considers.
-pub(super) enum Only<'a> {
+pub(super) enum MachineFilter<'a> {
     All,
     Zone(&'a str),
     /// Machines whose cache holds the job's image.
-    Fetched,
+    ImageCached,
 }
 
-impl Only<'_> {
+impl MachineFilter<'_> {
     fn zone(&self) -> Option<&str> {
-        if let Only::Zone(zone) = self { Some(zone) } else { None }
+        if let MachineFilter::Zone(zone) = self { Some(zone) } else { None }
     }
 }
 
 /// Free capacity of the machines that this controller may use, during one placement pass.
-pub(super) struct Rooms {
+pub(super) struct AvailableCapacity {
     pub(super) free: ByName<Resources>,
     /// Free capacity once all tasks that are being stopped have gone, less what has been planned on it. Empty if no job
-    /// in this pass may displace tasks.
-    pub(super) soon: ByName<Resources>,
-    pub(super) cards: Cards,
-    pub(super) reserved: Vec<(String, String)>,
+    /// in this pass may preempt tasks.
+    pub(super) free_after_stops: ByName<Resources>,
+    pub(super) accelerator_policy: Cards,
+    /// Zones in which room is held back for a gang that fits nowhere: zone and job.
+    pub(super) gang_reservations: Vec<(String, String)>,
 }
 
-impl Rooms {
-    pub(super) fn take(&mut self, names: &[String], need: Resources) {
+impl AvailableCapacity {
+    pub(super) fn allocate(&mut self, names: &[String], need: Resources) {
         for name in names {
-            for rooms in [&mut self.free, &mut self.soon] {
-                if let Some(room) = rooms.get_mut(name) {
+            for capacity in [&mut self.free, &mut self.free_after_stops] {
+                if let Some(room) = capacity.get_mut(name) {
                     *room = room.minus(need);
                 }
             }
@@ -64,7 +65,7 @@
 
 impl Controller {
     /// Whether this controller owns the job, has taken it over completely and is not recording its completion.
-    pub(super) fn places(&self, job: &Job) -> bool {
+    pub(super) fn is_placeable(&self, job: &Job) -> bool {
         !job.adopting && !job.completing && job.owner.as_deref() == Some(self.me())
     }
 
@@ -73,30 +74,30 @@
     }
 
     /// How many tasks of a job its owner may have placed at a time.
-    pub(super) fn wanted(&self, job: &Job) -> u32 {
+    pub(super) fn target_task_count(&self, job: &Job) -> u32 {
         // Without volumes from the leader for three rounds, work goes on within the machines that this controller
         // holds.
-        let unheard =
+        let no_recent_volumes =
             self.leader_silent() && self.now.since(job.since) > Micros::from_secs_f64(self.tuning.round_s);
         let unfinished = self.worth_trying(&job.spec.id, job);
         match job.turn {
-            _ if unheard => unfinished,
+            _ if no_recent_volumes => unfinished,
             // The job has had its first task. Once that ends, the place goes to another job.
             Turn::First if job.started() > 0 => job.placed().min(job.volume),
-            Turn::Backfill if job.spec.shape == Shape::Array => self.backfilled(job),
+            Turn::Backfill if job.spec.shape == Shape::Array => self.backfill_target(job),
             _ => job.volume.min(unfinished),
         }
     }
 
     /// How many tasks a backfilled array may have placed: its volume if nothing of it has been placed for
     /// [`BACKFILL_RESTART_DELAY`], otherwise what is placed, as ended tasks are not replaced.
-    fn backfilled(&self, job: &Job) -> u32 {
-        let may_start = job.placed() == 0 && job.wait.waited(self.now) >= AGAIN_AFTER;
+    fn backfill_target(&self, job: &Job) -> u32 {
+        let may_start = job.placed() == 0 && job.wait.waited(self.now) >= BACKFILL_RESTART_DELAY;
         if may_start { job.volume.min(job.unfinished()) } else { job.placed().min(job.volume) }
     }
 
     /// Plans starts for all own jobs that are below their target, in order of precedence.
-    pub(super) fn place(&mut self) {
+    pub(super) fn run_placement_pass(&mut self) {
         if !self.entitled() || !self.placing {
             return;
         }
@@ -104,7 +105,7 @@
         for (id, job) in &self.jobs {
             // A job that the leader's volumes do not name fails the first check, before its owner is looked up, unless
             // no leader is heard.
-            if job.placed() < self.wanted(job) && self.places(job) && !self.held(id) {
+            if job.placed() < self.target_task_count(job) && self.is_placeable(job) && !self.held(id) {
                 let precedence = self.placing_precedence(job);
                 order.push((precedence, false, id.clone()));
                 // Each array in its turn is tried first on the machines that have its image, before any array is tried
@@ -121,42 +122,42 @@
             return;
         }
         order.sort();
-        self.bound = self.bound_teams();
-        let usable = || self.machines.iter().filter(|(_, m)| self.usable(m));
-        let free = usable().map(|(name, m)| (name.clone(), m.free())).collect();
+        self.bound = self.find_teams_with_binding_limit();
+        let usable_machines = || self.machines.iter().filter(|(_, m)| self.accepts_starts(m));
+        let free = usable_machines().map(|(name, m)| (name.clone(), m.free())).collect();
         // Only services that need a fast start use room that other tasks are still leaving.
-        let displaces = |id: &String| self.jobs.get(id).is_some_and(|j| self.may_displace(&j.spec));
-        let soon = if order.iter().any(|(_, _, id)| displaces(id)) {
-            usable().map(|(name, m)| (name.clone(), m.free_soon())).collect()
+        let preempts = |id: &String| self.jobs.get(id).is_some_and(|j| self.may_displace(&j.spec));
+        let free_after_stops = if order.iter().any(|(_, _, id)| preempts(id)) {
+            usable_machines().map(|(name, m)| (name.clone(), m.free_soon())).collect()
         } else {
             ByName::default()
         };
-        let reserved = if self.leader_silent() { Vec::new() } else { self.reserved.clone() };
-        let mut rooms = Rooms {
+        let gang_reservations = if self.leader_silent() { Vec::new() } else { self.reserved.clone() };
+        let mut capacity = AvailableCapacity {
             free,
-            soon,
-            cards: self.cards(self.machines.values().filter(|m| self.usable(m))),
-            reserved,
+            free_after_stops,
+            accelerator_policy: self.cards(self.machines.values().filter(|m| self.accepts_starts(m))),
+            gang_reservations,
         };
         let mut planned = 0;
-        let mut planned_of: BTreeMap<String, Resources> = BTreeMap::new();
-        let mut held_back: Option<u8> = None;
-        for (Precedence { rank, .. }, fetched, id) in order {
-            if planned >= MOST_STARTS {
+        let mut planned_by_team: BTreeMap<String, Resources> = BTreeMap::new();
+        let mut unserved_rank: Option<u8> = None;
+        for (Precedence { rank, .. }, cached_only, id) in order {
+            if planned >= MAX_STARTS_PER_PASS {
                 break;
             }
             // Jobs of lower rank must not fill the room that waiting jobs of a higher rank need.
-            if let Some(by) = held_back
-                && rank > by
+            if let Some(waiting_rank) = unserved_rank
+                && rank > waiting_rank
             {
-                self.hold_room(&mut rooms, by);
-                held_back = None;
+                self.hold_machines_for_waiting(&mut capacity, waiting_rank);
+                unserved_rank = None;
             }
             let gang = self.jobs.get(&id).is_some_and(Job::is_gang);
             let placed = if gang {
-                self.place_gang(&id, &mut rooms)
+                self.place_gang(&id, &mut capacity)
             } else {
-                self.place_array(&id, &mut rooms, fetched)
+                self.place_independent_tasks(&id, &mut capacity, cached_only)
             };
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.wait.passed_over = placed.err();
@@ -166,18 +167,18 @@
             if started > 0
                 && let Some(job) = self.jobs.get(&id)
             {
-                let sum = planned_of.entry(job.spec.team.clone()).or_default();
+                let sum = planned_by_team.entry(job.spec.team.clone()).or_default();
                 *sum = sum.plus(job.spec.need());
             }
-            if fetched {
+            if cached_only {
                 continue;
             }
-            let short = self.jobs.get(&id).is_some_and(|j| j.placed() < self.wanted(j));
-            if short && held_back.is_none() {
-                held_back = Some(rank);
+            let below_target = self.jobs.get(&id).is_some_and(|j| j.placed() < self.target_task_count(j));
+            if below_target && unserved_rank.is_none() {
+                unserved_rank = Some(rank);
             }
         }
-        self.check_planned(&planned_of);
+        self.check_planned(&planned_by_team);
         if planned > 0 {
             // A start is ordered only after the other controllers have confirmed the status that announces it.
             self.status_due = Some(self.now);
@@ -186,40 +187,40 @@
 
     /// Takes out of the pass, for each waiting own job of this rank or higher, the machine that will likely have room
     /// for the job soonest: of those that it may use, the one with the largest part of its processors free.
-    fn hold_room(&self, rooms: &mut Rooms, rank: u8) {
+    fn hold_machines_for_waiting(&self, capacity: &mut AvailableCapacity, rank: u8) {
         let waiting = self.jobs.values().filter(|j| {
             u8::MAX - j.spec.priority as u8 <= rank
-                && self.places(j)
-                && j.placed() < self.wanted(j)
+                && self.is_placeable(j)
+                && j.placed() < self.target_task_count(j)
                 // A job that waits for its team's limit does not wait for a machine.
                 && j.wait.passed_over.is_none_or(WaitReason::is_for_machines)
         });
         for job in waiting {
-            let cards = rooms.cards.after(job.wait.waited(self.now));
+            let accelerator_policy = capacity.accelerator_policy.after(job.wait.waited(self.now));
             // On a machine with room for one of its tasks, something other than room keeps the job from starting.
             let lacks_room = |room: Resources| job.is_gang() || !job.spec.need().fits(room);
             // Room in a zone that the job may not use does not help it: without this check, jobs bound to a full zone
             // kept the machines of other zones idle.
             let zones = self.zone_counts(&job.spec.id);
             let here = |m: &Machine| zones.get(&m.row.zone).copied().unwrap_or(0);
-            let open = |m: &Machine| zone_open(&job.spec, here(m), zones.values().sum());
-            let best = rooms
+            let zone_allows = |m: &Machine| zone_open(&job.spec, here(m), zones.values().sum());
+            let best = capacity
                 .free
                 .iter()
                 .filter_map(|(name, room)| self.machines.get(name).map(|m| (name, room, m)))
-                .filter(|(_, room, m)| allows(&job.spec, m) && open(m) && lacks_room(**room))
-                .filter(|(_, room, m)| !cards.keep_off(&job.spec, m, **room))
+                .filter(|(_, room, m)| allows(&job.spec, m) && zone_allows(m) && lacks_room(**room))
+                .filter(|(_, room, m)| !accelerator_policy.keep_off(&job.spec, m, **room))
                 .max_by_key(|(_, room, m)| room.cpu * 1000 / m.supply.cpu.max(1))
                 .map(|(name, ..)| name.clone());
             if let Some(name) = best {
-                rooms.free.shift_remove(&name);
+                capacity.free.shift_remove(&name);
             }
         }
     }
 
     /// Whether jobs of a class must start sooner than any machine boots: a wait objective for more than half of them is
     /// shorter than the shortest boot time.
-    pub(super) fn is_quick(&self, class: &str) -> bool {
+    pub(super) fn needs_fast_start(&self, class: &str) -> bool {
         let quickest = self.types.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min);
         self.settings.params.objectives.iter().any(|o| {
             o.kind == "wait"
@@ -231,18 +232,20 @@
 
     /// The part of a machine's free room that a job may use. Room that is kept for a class that needs a fast start is
     /// excluded, unless the job is of that class or has a higher priority.
-    pub(super) fn room_for(&self, spec: &JobSpec, name: &str, room: Resources) -> Resources {
+    pub(super) fn room_available_to(&self, spec: &JobSpec, name: &str, room: Resources) -> Resources {
         match self.kept.get(name).and_then(|class| self.quick.get(class)) {
-            Some(kept) if kept.class != spec.class && kept.priority >= spec.priority => {
-                room.minus(kept.need())
+            Some(reserved_for)
+                if reserved_for.class != spec.class && reserved_for.priority >= spec.priority =>
+            {
+                room.minus(reserved_for.need())
             }
             _ => room,
         }
     }
 
-    /// Whether tasks may be started on a machine now: this controller holds it, hears its reports, and nothing
-    /// (quarantine, preemption notice, return, undelivered answers) speaks against it.
-    fn usable(&self, machine: &Machine) -> bool {
+    /// Whether tasks may be started on a machine now: this controller holds it, has heard from it within three report
+    /// intervals, and it receives its answers and is not quarantined, being returned or about to be preempted.
+    fn accepts_starts(&self, machine: &Machine) -> bool {
         let recent = Micros(self.report_every.0 * 3);
         self.owns(machine)
             && !machine.row.returning
@@ -254,48 +257,66 @@
 
     /// Plans starts of tasks of an array or a service, as many as its target, the team's quota and the machines allow.
     /// Returns their number, or the reason why there are none.
-    fn place_array(&mut self, id: &str, rooms: &mut Rooms, fetched: bool) -> Result<usize, WaitReason> {
+    fn place_independent_tasks(
+        &mut self,
+        id: &str,
+        capacity: &mut AvailableCapacity,
+        cached_only: bool,
+    ) -> Result<usize, WaitReason> {
         let Some(job) = self.jobs.get(id) else { return Ok(0) };
         let spec = job.spec.clone();
-        let short = self.wanted(job).saturating_sub(job.placed()).min(MOST_STARTS as u32);
+        let missing =
+            self.target_task_count(job).saturating_sub(job.placed()).min(MAX_STARTS_PER_PASS as u32);
         let mut allowance = self.allowance(&spec);
         if let Some(reason) = allowance.refusal(spec.need()) {
             return Err(reason);
         }
-        let short = u64::from(short).min(spec.need().times_in(allowance.room()));
+        let missing = u64::from(missing).min(spec.need().times_in(allowance.remaining()));
         let zones = self.zone_counts(id);
         let names = if self.may_displace(&spec) {
             // First the machines that have the image, then those that have it and on which tasks of lower rank can be
-            // displaced, then any machine with room: a service that needs a fast start hardly has time to fetch its
+            // preempted, then any machine with room: a service that needs a fast start hardly has time to fetch its
             // image.
-            let mut names = self.choose(&spec, short as usize, rooms, zones.clone(), &Only::Fetched);
-            rooms.take(&names, spec.need());
-            let mut taken = zones;
-            self.count_zones(&names, &mut taken);
-            let mut left = short - names.len() as u64;
-            left -= self.make_room(&spec, left, &mut taken, rooms, true);
-            let others = self.choose(&spec, left as usize, rooms, taken.clone(), &Only::All);
-            rooms.take(&others, spec.need());
-            self.count_zones(&others, &mut taken);
-            left -= others.len() as u64;
-            self.make_room(&spec, left, &mut taken, rooms, false);
+            let mut names = self.choose_machines(
+                &spec,
+                missing as usize,
+                capacity,
+                zones.clone(),
+                &MachineFilter::ImageCached,
+            );
+            capacity.allocate(&names, spec.need());
+            let mut tasks_by_zone = zones;
+            self.add_zone_counts(&names, &mut tasks_by_zone);
+            let mut still_missing = missing - names.len() as u64;
+            still_missing -= self.make_room(&spec, still_missing, &mut tasks_by_zone, capacity, true);
+            let others = self.choose_machines(
+                &spec,
+                still_missing as usize,
+                capacity,
+                tasks_by_zone.clone(),
+                &MachineFilter::All,
+            );
+            capacity.allocate(&others, spec.need());
+            self.add_zone_counts(&others, &mut tasks_by_zone);
+            still_missing -= others.len() as u64;
+            self.make_room(&spec, still_missing, &mut tasks_by_zone, capacity, false);
             names.extend(others);
             names
         } else {
-            let only = if fetched { Only::Fetched } else { Only::All };
-            let names = self.choose(&spec, short as usize, rooms, zones, &only);
-            rooms.take(&names, spec.need());
+            let filter = if cached_only { MachineFilter::ImageCached } else { MachineFilter::All };
+            let names = self.choose_machines(&spec, missing as usize, capacity, zones, &filter);
+            capacity.allocate(&names, spec.need());
             names
         };
         if names.is_empty() {
             return Err(WaitReason::NoMachine);
         }
         let Some(job) = self.jobs.get(id) else { return Ok(0) };
-        let open = |i: &u32| !job.done.contains(*i) && !job.on.contains_key(i);
-        let starts: Vec<u32> = (job.next..spec.tasks).filter(open).take(names.len()).collect();
+        let startable = |i: &u32| !job.done.contains(*i) && !job.on.contains_key(i);
+        let starts: Vec<u32> = (job.next..spec.tasks).filter(startable).take(names.len()).collect();
         let attempt = self.next_attempt(id);
         for (index, name) in starts.iter().zip(&names) {
-            self.plan(id, *index, attempt, name, &mut allowance);
+            self.plan_start(id, *index, attempt, name, &mut allowance);
         }
         if let (Some(job), Some(first)) = (self.jobs.get_mut(id), starts.first()) {
             job.next = *first;
@@ -304,7 +325,7 @@
     }
 
     /// Adds one task for each of the named machines to a job's task counts by zone.
-    fn count_zones(&self, names: &[String], zones: &mut BTreeMap<String, u32>) {
+    fn add_zone_counts(&self, names: &[String], zones: &mut BTreeMap<String, u32>) {
         for machine in names.iter().filter_map(|name| self.machines.get(name)) {
             *zones.entry(machine.row.zone.clone()).or_default() += 1;
         }
@@ -319,10 +340,10 @@
         let fetching = machine.tasks.iter().filter(|(_, t)| t.state == TaskState::Fetching);
         let images: BTreeSet<&String> =
             fetching.filter_map(|(id, _)| self.jobs.get(&id.job).map(|j| &j.spec.image)).collect();
-        let shared = images.len() + usize::from(!images.contains(&spec.image));
+        let concurrent_fetches = images.len() + usize::from(!images.contains(&spec.image));
         // An image that is being fetched already counts as half fetched.
-        let part = if images.contains(&spec.image) { 0.5 } else { 1.0 };
-        Micros::from_secs_f64((spec.image_gb / rate * shared as f64 * part).max(1e-3))
+        let remaining_part = if images.contains(&spec.image) { 0.5 } else { 1.0 };
+        Micros::from_secs_f64((spec.image_gb / rate * concurrent_fetches as f64 * remaining_part).max(1e-3))
     }
 
     /// Returns a new attempt number for a job. Attempt numbers increase from one start to the next and from one owner
@@ -336,12 +357,19 @@
     }
 
     /// Plans the start of a task on a machine, if the team's quota allows one more.
-    pub(super) fn plan(&mut self, id: &str, index: u32, attempt: u64, name: &str, allowance: &mut Allowance) {
+    pub(super) fn plan_start(
+        &mut self,
+        id: &str,
+        index: u32,
+        attempt: u64,
+        name: &str,
+        allowance: &mut Allowance,
+    ) {
         let need = self.need_of(id);
-        let Some(permit) = allowance.take(need) else { return };
+        let Some(permit) = allowance.issue_permit(need) else { return };
         let task = TaskId::new(id, index);
-        self.log_planned(&task, name, allowance);
-        let on = TaskOn {
+        self.log_planned_start(&task, name, allowance);
+        let placed_task = TaskOn {
             attempt,
             state: TaskState::Fetching,
             cause: None,
@@ -353,7 +381,7 @@
             since: self.now,
         };
         if let Some(machine) = self.machines.get_mut(name) {
-            machine.tasks.insert(task, on);
+            machine.tasks.insert(task, placed_task);
             machine.idle_since = self.now;
         }
         if let Some(job) = self.jobs.get_mut(id) {
@@ -377,26 +405,26 @@
     /// Selects machines for up to `count` tasks of a job; each machine is listed once for every task that it is to
     /// take. Machines are ranked by [`Preference`]: of equally trusted and costly ones, those that have the image come
     /// first, then the fullest. `zones` holds the numbers of the job's other tasks by zone.
-    pub(super) fn choose(
+    pub(super) fn choose_machines(
         &self,
         spec: &JobSpec,
         count: usize,
-        rooms: &Rooms,
+        capacity: &AvailableCapacity,
         mut zones: BTreeMap<String, u32>,
-        only: &Only<'_>,
+        filter: &MachineFilter<'_>,
     ) -> Vec<String> {
         let need = spec.need();
-        let closed = HeldBack::from(self, &rooms.reserved, spec);
-        let cards = rooms.cards.after(self.waited(&spec.id));
+        let gang_hold = HeldBack::from(self, &capacity.gang_reservations, spec);
+        let accelerator_policy = capacity.accelerator_policy.after(self.waited(&spec.id));
         let mut options: Vec<(Preference, &String, Resources, &Machine)> = Vec::new();
         // Most machines are full, and this runs for every waiting job, so the cheap check comes first.
-        for (name, room) in rooms.free.iter().filter(|(_, room)| count > 0 && need.fits(**room)) {
+        for (name, room) in capacity.free.iter().filter(|(_, room)| count > 0 && need.fits(**room)) {
             let Some(m) = self.machines.get(name) else { continue };
-            if allows(spec, m) && only.zone().is_none_or(|z| z == m.row.zone) && !closed.holds(m) {
+            if allows(spec, m) && filter.zone().is_none_or(|z| z == m.row.zone) && !gang_hold.holds(m) {
                 let fetch = self.fetch_time(spec, m);
-                if fetch == Micros::ZERO || !matches!(only, Only::Fetched) {
-                    let doubt = self.blame.doubt(&spec.id, name);
-                    let preference = (doubt, keeps_dear(spec, m), fetch, room.cpu - need.cpu);
+                if fetch == Micros::ZERO || !matches!(filter, MachineFilter::ImageCached) {
+                    let suspicion = self.blame.doubt(&spec.id, name);
+                    let preference = (suspicion, keeps_dear(spec, m), fetch, room.cpu - need.cpu);
                     options.push((preference, name, *room, m));
                 }
             }
@@ -409,8 +437,8 @@
             let mut here = zones.get(&machine.row.zone).copied().unwrap_or(0);
             let before = names.len();
             while names.len() < count
-                && need.fits(self.room_for(spec, name, room))
-                && !cards.keep_off(spec, machine, room)
+                && need.fits(self.room_available_to(spec, name, room))
+                && !accelerator_policy.keep_off(spec, machine, room)
                 && zone_open(spec, here, total)
             {
                 names.push(name.clone());
@@ -428,21 +456,21 @@
     }
 
     /// Applies the volumes that the leader has sent. A job that they do not name is not admitted.
-    pub(super) fn take_volumes(
+    pub(super) fn apply_volumes(
         &mut self,
         volumes: &[Volume],
-        kept: Vec<(String, String)>,
-        reserved: Vec<(String, String)>,
+        fast_start_reservations: Vec<(String, String)>,
+        gang_reservations: Vec<(String, String)>,
     ) {
-        self.kept = kept.into_iter().collect();
-        self.reserved = reserved;
+        self.kept = fast_start_reservations.into_iter().collect();
+        self.reserved = gang_reservations;
         self.volumes_heard = self.now;
-        let named: HashMap<&str, (u32, Turn)> =
+        let volume_by_job: HashMap<&str, (u32, Turn)> =
             volumes.iter().map(|v| (v.job.as_str(), (v.tasks, v.turn))).collect();
         #[cfg(test)]
         let alone = self.alone;
         for (id, job) in &mut self.jobs {
-            (job.volume, job.turn) = named.get(id.as_str()).copied().unwrap_or_default();
+            (job.volume, job.turn) = volume_by_job.get(id.as_str()).copied().unwrap_or_default();
             #[cfg(test)]
             if alone {
                 (job.volume, job.turn) = (job.unfinished(), Turn::Usual);
@@ -454,7 +482,7 @@
     /// Stops the most recently started tasks of own jobs, as many as the leader has found above each job's volume.
     pub(super) fn stop_surplus(&mut self, surplus: &[(String, u32)]) {
         for (id, count) in surplus {
-            let Some(job) = self.jobs.get(id).filter(|j| self.places(j)) else { continue };
+            let Some(job) = self.jobs.get(id).filter(|j| self.is_placeable(j)) else { continue };
             let grace = job.spec.save() + Micros::from_secs(1);
             let mut tasks: Vec<(Micros, String, TaskId)> = Vec::new();
             for (index, places) in &job.on {
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -16,4 +16,4 @@
 pub use guard::Breach;
 pub(crate) use guard::Guard;
 pub use permit::Permit;
-pub(super) use permit::{Allowance, InForce};
+pub(super) use permit::{ActivePermit, Allowance};
--- a/src/coordination/quota/division.rs
+++ b/src/coordination/quota/division.rs
@@ -10,20 +10,20 @@
 
 /// One controller's part in the division of a limit.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Member {
+pub(super) struct MemberShare {
     /// What it may use by the division in force; nothing if there is none.
     pub granted: Resources,
     /// What its jobs' tasks use, or may use wherever they may be.
     pub used: Resources,
     /// What its jobs could start.
-    pub units: Vec<Unit>,
+    pub units: Vec<StartUnit>,
 }
 
 /// Possible starts of one job.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Unit {
+pub(super) struct StartUnit {
     /// Units with the lowest key come first.
-    pub order: Order,
+    pub order: UnitOrder,
     /// What one start takes: a task, or all of a gang. Memory is not counted.
     pub need: Resources,
     /// The most starts that there may be.
@@ -32,7 +32,7 @@
 
 /// Sort key that decides which units come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Order {
+pub(super) struct UnitOrder {
     /// The job has made no use of its volume: others come before it.
     pub stalled: bool,
     /// Other tasks of the job are running.
@@ -49,48 +49,49 @@
 /// While machines change owner, a task counts wherever it may be, so that the usages may add up to more than the limit.
 /// Then each share is the usage less the whole excess: a controller that starts something within its share leaves
 /// enough of the limit unused for all that the others run.
-pub(super) fn divide(limit: Resources, members: &[Member]) -> Vec<Resources> {
+pub(super) fn divide_limit(limit: Resources, members: &[MemberShare]) -> Vec<Resources> {
     let none = Resources::default();
     let sum = |amounts: &mut dyn Iterator<Item = Resources>| amounts.fold(none, Resources::plus);
-    let fresh = members.iter().all(|m| m.granted == none);
-    let mut next: Vec<Resources> = members.iter().map(|m| if fresh { m.used } else { m.granted }).collect();
+    let undivided = members.iter().all(|m| m.granted == none);
+    let mut next: Vec<Resources> =
+        members.iter().map(|m| if undivided { m.used } else { m.granted }).collect();
     // A reduction in proportion is not enough: two controllers kept running what was beyond their shares, and the
     // third, whose tasks had been counted twice, started as many as its share allowed: 41 of 40.
-    let beyond = sum(&mut next.iter().copied()).minus(limit);
-    next.iter_mut().for_each(|n| *n = n.minus(beyond));
+    let excess = sum(&mut next.iter().copied()).minus(limit);
+    next.iter_mut().for_each(|n| *n = n.minus(excess));
     // What a member may use, or uses beyond its share, cannot be given to another.
-    let bound = sum(&mut next.iter().zip(members).map(|(n, m)| n.max(m.used)));
-    let mut spare = limit.minus(bound);
-    let mut aims: Vec<Resources> = members.iter().map(|m| m.used).collect();
-    let mut left = limit.minus(sum(&mut aims.iter().copied()));
-    let mut lacking = false;
-    for (i, unit) in in_order(members) {
+    let committed = sum(&mut next.iter().zip(members).map(|(n, m)| n.max(m.used)));
+    let mut spare = limit.minus(committed);
+    let mut targets: Vec<Resources> = members.iter().map(|m| m.used).collect();
+    let mut left = limit.minus(sum(&mut targets.iter().copied()));
+    let mut some_lack_room = false;
+    for (i, unit) in units_in_order(members) {
         let count = unit.count.min(unit.need.times_in(left));
-        let aim = aims[i].plus(unit.need.times(count));
+        let target = targets[i].plus(unit.need.times(count));
         left = left.minus(unit.need.times(count));
         // As many starts of the unit as fit into what is free now.
-        let reach = next[i].plus(spare).minus(aims[i]);
-        let at_once = count.min(unit.need.times_in(reach));
-        let grown = aims[i].plus(unit.need.times(at_once));
+        let available = next[i].plus(spare).minus(targets[i]);
+        let at_once = count.min(unit.need.times_in(available));
+        let grown = targets[i].plus(unit.need.times(at_once));
         let more = grown.minus(next[i]);
         if at_once > 0 && more.fits(spare) {
             next[i] = next[i].max(grown);
             spare = spare.minus(more);
         }
-        lacking |= count < unit.count || !aim.fits(next[i]);
-        aims[i] = aim;
+        some_lack_room |= count < unit.count || !target.fits(next[i]);
+        targets[i] = target;
     }
-    if lacking {
+    if some_lack_room {
         // What is beyond a target is given up, so that the next division can give it to others.
-        next.iter_mut().zip(&aims).for_each(|(n, aim)| *n = n.min(*aim));
+        next.iter_mut().zip(&targets).for_each(|(n, target)| *n = n.min(*target));
     }
     next
 }
 
 /// All units with the indices of their members, in order.
-fn in_order(members: &[Member]) -> Vec<(usize, Unit)> {
+fn units_in_order(members: &[MemberShare]) -> Vec<(usize, StartUnit)> {
     let units = members.iter().enumerate().flat_map(|(i, m)| m.units.iter().map(move |unit| (i, *unit)));
-    let mut units: Vec<(usize, Unit)> = units.filter(|(_, unit)| unit.count > 0).collect();
+    let mut units: Vec<(usize, StartUnit)> = units.filter(|(_, unit)| unit.count > 0).collect();
     units.sort_by_key(|(i, unit)| (unit.order, *i));
     units
 }
--- a/src/coordination/quota/division/tests.rs
+++ b/src/coordination/quota/division/tests.rs
@@ -8,8 +8,8 @@
     Resources { cpu, gpu, memory: 0 }
 }
 
-fn order(since: u64) -> Order {
-    Order { stalled: false, running: false, since, arrival: since }
+fn order(since: u64) -> UnitOrder {
+    UnitOrder { stalled: false, running: false, since, arrival: since }
 }
 
 fn total(amounts: impl Iterator<Item = Resources>) -> Resources {
@@ -20,9 +20,9 @@
     amount(rng.random_range(0..=most.cpu), rng.random_range(0..=most.gpu))
 }
 
-fn random_units(rng: &mut StdRng) -> Vec<Unit> {
-    let unit = |rng: &mut StdRng| Unit {
-        order: Order {
+fn random_units(rng: &mut StdRng) -> Vec<StartUnit> {
+    let unit = |rng: &mut StdRng| StartUnit {
+        order: UnitOrder {
             stalled: rng.random_bool(0.1),
             running: rng.random_bool(0.4),
             since: rng.random_range(0..50),
@@ -38,26 +38,26 @@
 /// counted as its share, with tasks that may be in two places counted twice. When the count fell, the controller
 /// started as many more: 41 of 40.
 #[test]
-fn what_is_allotted_never_adds_up_to_more_than_the_limit() {
+fn shares_never_add_up_to_more_than_the_limit() {
     for seed in 0..500 {
         let mut rng = StdRng::seed_from_u64(seed);
         let limit = up_to(&mut rng, amount(60_000, 12_000));
-        let mut members = vec![Member::default(); rng.random_range(1..8)];
+        let mut members = vec![MemberShare::default(); rng.random_range(1..8)];
         for _ in 0..20 {
-            let fresh = members.iter().all(|m| m.granted == Resources::default());
+            let undivided = members.iter().all(|m| m.granted == Resources::default());
             for m in &mut members {
                 m.units = random_units(&mut rng);
                 // Tasks end, and while jobs change owner a task may count in several places.
-                let most = if fresh { amount(20_000, 4_000) } else { m.granted.max(m.used) };
+                let most = if undivided { amount(20_000, 4_000) } else { m.granted.max(m.used) };
                 m.used = up_to(&mut rng, most);
             }
-            let next = divide(limit, &members);
+            let next = divide_limit(limit, &members);
             let all = total(next.iter().copied());
             assert!(all.fits(limit), "seed {seed}: {next:?} of {limit:?}");
-            let bound = total(members.iter().map(|m| m.granted.max(m.used)));
-            let grown = next.iter().zip(&members).filter(|_| !fresh).map(|(n, m)| n.minus(m.granted));
+            let committed = total(members.iter().map(|m| m.granted.max(m.used)));
+            let grown = next.iter().zip(&members).filter(|_| !undivided).map(|(n, m)| n.minus(m.granted));
             let more = total(grown);
-            assert!(more.fits(limit.minus(bound)), "seed {seed}: grew into what others may use");
+            assert!(more.fits(limit.minus(committed)), "seed {seed}: a share grew into what others may use");
             members.iter_mut().zip(next).for_each(|(m, n)| m.granted = n);
             // A new view, in which the division of the limit begins again.
             if rng.random_bool(0.1) {
@@ -70,7 +70,7 @@
 /// Guards against exceeding a limit when shares are smaller than the usage. Replicas and gangs keep running beyond
 /// their controller's share, so controllers that use less than their share must leave room for them.
 #[test]
-fn whoever_starts_within_its_part_leaves_room_for_all_that_others_use() {
+fn starts_within_a_share_leave_room_for_the_usage_of_others() {
     for seed in 0..500 {
         let mut rng = StdRng::seed_from_u64(seed);
         let limit = amount(40_000, 40_000);
@@ -78,33 +78,33 @@
         // What is really running, and what else is counted while some of it may be in two places.
         let mut left = limit;
         let mut share = || {
-            let runs = up_to(&mut rng, left);
-            left = left.minus(runs);
-            runs
+            let running_usage = up_to(&mut rng, left);
+            left = left.minus(running_usage);
+            running_usage
         };
-        let mut runs: Vec<Resources> = (0..n).map(|_| share()).collect();
-        let mut twice: Vec<Resources> = runs.iter().map(|r| up_to(&mut rng, *r)).collect();
-        let mut members = vec![Member::default(); n as usize];
+        let mut running_usage: Vec<Resources> = (0..n).map(|_| share()).collect();
+        let mut double_counted: Vec<Resources> = running_usage.iter().map(|r| up_to(&mut rng, *r)).collect();
+        let mut members = vec![MemberShare::default(); n as usize];
         for round in 0..30 {
             for (i, m) in members.iter_mut().enumerate() {
-                m.used = runs[i].plus(twice[i]);
+                m.used = running_usage[i].plus(double_counted[i]);
                 let need = amount(1_000, 1_000);
-                m.units = vec![Unit { order: order(i as u64), need, count: rng.random_range(0..30) }];
+                m.units = vec![StartUnit { order: order(i as u64), need, count: rng.random_range(0..30) }];
             }
-            let next = divide(limit, &members);
+            let next = divide_limit(limit, &members);
             members.iter_mut().zip(next).for_each(|(m, n)| m.granted = n);
             for (i, m) in members.iter().enumerate() {
-                twice[i] = twice[i].minus(up_to(&mut rng, twice[i]));
+                double_counted[i] = double_counted[i].minus(up_to(&mut rng, double_counted[i]));
                 if rng.random_bool(0.4) {
-                    runs[i] = runs[i].minus(up_to(&mut rng, runs[i]));
+                    running_usage[i] = running_usage[i].minus(up_to(&mut rng, running_usage[i]));
                 }
                 // Each resource by itself, which is more than starts of tasks would use.
                 if rng.random_bool(0.8) {
-                    let more = m.granted.minus(runs[i].plus(twice[i]));
-                    runs[i] = runs[i].plus(more);
+                    let more = m.granted.minus(running_usage[i].plus(double_counted[i]));
+                    running_usage[i] = running_usage[i].plus(more);
                 }
             }
-            let all = total(runs.iter().copied());
+            let all = total(running_usage.iter().copied());
             assert!(all.fits(limit), "seed {seed}: {all:?} of {limit:?} in round {round}");
         }
     }
@@ -113,36 +113,36 @@
 /// Guards against a limit of which every controller holds a share that is too small for its gang: none gave up what it
 /// could not use, and no gang ever started.
 #[test]
-fn shares_too_small_to_start_anything_are_given_to_one_that_can() {
-    let gang = |granted, size, since| Member {
+fn shares_too_small_to_use_are_given_to_members_that_can_start() {
+    let gang = |granted, size, since| MemberShare {
         granted: amount(granted, 0),
         used: Resources::default(),
-        units: vec![Unit { order: order(since), need: amount(size, 0), count: 1 }],
+        units: vec![StartUnit { order: order(since), need: amount(size, 0), count: 1 }],
     };
     let mut members = vec![gang(14, 15, 1), gang(12, 16, 2), gang(14, 15, 3)];
     for _ in 0..3 {
-        let next = divide(amount(40, 0), &members);
+        let next = divide_limit(amount(40, 0), &members);
         assert!(total(next.iter().copied()).fits(amount(40, 0)));
         members.iter_mut().zip(next).for_each(|(m, n)| m.granted = n);
     }
     let able = members.iter().filter(|m| m.units[0].need.fits(m.granted)).count();
     assert_eq!(able, 2, "{members:?}");
     let before: Vec<Resources> = members.iter().map(|m| m.granted).collect();
-    assert_eq!(divide(amount(40, 0), &members), before, "shares go to and fro");
+    assert_eq!(divide_limit(amount(40, 0), &members), before, "shares oscillate");
 }
 
 /// Guards against separate divisions of processors and accelerators: one owner held the processors and another the
 /// accelerators that the other's gang lacked, and neither gave up any.
 #[test]
-fn processors_and_accelerators_come_together_at_the_gang_that_has_waited_longest() {
-    let gang = |granted, since| Member {
+fn processors_and_accelerators_go_to_the_gang_that_has_waited_longest() {
+    let gang = |granted, since| MemberShare {
         granted,
         used: Resources::default(),
-        units: vec![Unit { order: order(since), need: amount(20, 4), count: 1 }],
+        units: vec![StartUnit { order: order(since), need: amount(20, 4), count: 1 }],
     };
     let mut members = vec![gang(amount(20, 0), 9), gang(amount(0, 4), 5)];
     for _ in 0..2 {
-        let next = divide(amount(24, 4), &members);
+        let next = divide_limit(amount(24, 4), &members);
         members.iter_mut().zip(next).for_each(|(m, n)| m.granted = n);
     }
     assert!(members[1].units[0].need.fits(members[1].granted), "{members:?}");
@@ -152,30 +152,30 @@
 /// any part of it: only the owner's smallest unit counted, and the gang never got its whole share.
 #[test]
 fn a_gang_beside_a_small_job_of_the_same_owner_gets_its_share() {
-    let unit = |since, cpu| Unit { order: order(since), need: amount(cpu, 0), count: 1 };
+    let unit = |since, cpu| StartUnit { order: order(since), need: amount(cpu, 0), count: 1 };
     let mut members = vec![
-        Member { granted: amount(30, 0), used: amount(10, 0), units: vec![unit(7, 1); 3] },
-        Member { granted: amount(10, 0), used: amount(2, 0), units: vec![unit(1, 15), unit(8, 1)] },
+        MemberShare { granted: amount(30, 0), used: amount(10, 0), units: vec![unit(7, 1); 3] },
+        MemberShare { granted: amount(10, 0), used: amount(2, 0), units: vec![unit(1, 15), unit(8, 1)] },
     ];
     for _ in 0..2 {
-        let next = divide(amount(40, 0), &members);
+        let next = divide_limit(amount(40, 0), &members);
         members.iter_mut().zip(next).for_each(|(m, n)| m.granted = n);
     }
     assert!(amount(17, 0).fits(members[1].granted), "{members:?}");
 }
 
 /// How many divisions after the last start a unit that fits beside the usage may be left out.
-const SETTLES_WITHIN: usize = 4;
+const MAX_DIVISIONS_TO_SETTLE: usize = 4;
 
 /// Random owners start what their shares allow until nothing changes: then no unit that fits under the limit is left
 /// out, whatever was granted before, and the shares never add up to more than the limit.
 #[test]
-fn divided_to_rest_no_unit_that_fits_is_left_out() {
+fn no_fitting_unit_is_left_out_once_divisions_settle() {
     let mut started = 0;
     for seed in 0..2_000 {
         let mut rng = StdRng::seed_from_u64(seed);
         let limit = amount(40_000, 6_000);
-        let mut members = vec![Member::default(); rng.random_range(1..6)];
+        let mut members = vec![MemberShare::default(); rng.random_range(1..6)];
         let mut left = limit;
         for m in &mut members {
             m.used = up_to(&mut rng, left);
@@ -190,8 +190,8 @@
             m.granted = m.used.plus(more);
         }
         let mut idle = 0;
-        while idle < SETTLES_WITHIN {
-            let next = divide(limit, &members);
+        while idle < MAX_DIVISIONS_TO_SETTLE {
+            let next = divide_limit(limit, &members);
             assert!(total(next.iter().copied()).fits(limit), "seed {seed}");
             members.iter_mut().zip(next).for_each(|(m, n)| m.granted = n);
             let before = started;
@@ -208,7 +208,7 @@
             idle = if started == before { idle + 1 } else { 0 };
         }
         let left = limit.minus(total(members.iter().map(|m| m.used)));
-        for (i, unit) in in_order(&members) {
+        for (i, unit) in units_in_order(&members) {
             assert!(
                 !unit.need.fits(left),
                 "seed {seed}: {unit:?} of {i} is left out of {left:?}: {members:?}"
--- a/src/coordination/quota/guard.rs
+++ b/src/coordination/quota/guard.rs
@@ -10,7 +10,7 @@
 use crate::protocol::units::{Micros, Resources};
 
 /// How long the members together may seem to use more than a limit: their statuses are from different moments.
-const STATUSES_DIFFER: Micros = Micros::from_secs(3);
+const USAGE_EXCESS_GRACE: Micros = Micros::from_secs(3);
 
 /// An invariant of teams' limits that has been violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,7 +41,7 @@
 
 /// Why a controller may count more usage than there is. Its status tells the others whether it does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CountedTwice {
+enum OvercountReason {
     /// A task counts wherever it may be until the state of a machine that changed owner is resolved.
     MachinesUnresolved,
     /// Tasks of jobs that ended before this controller joined count as all the room that is left on their machines.
@@ -54,25 +54,25 @@
     counts: BTreeMap<Breach, u64>,
     halted: BTreeSet<String>,
     /// Since when the members have seemed to use more than a team's limit.
-    exceeded: BTreeMap<String, Micros>,
+    exceeded_since: BTreeMap<String, Micros>,
     /// How often the usage of all members could be compared with the limits, and how often it could not because members
     /// may overcount.
-    compared: (u64, u64),
+    usage_checks: (u64, u64),
     /// Breaches are counted and halt the team, as in production, instead of causing a panic.
     #[cfg(test)]
-    pub tolerant: bool,
+    pub tolerate_breaches: bool,
 }
 
 impl Guard {
     /// Whether this controller starts nothing more of a team.
-    pub fn halts(&self, team: &str) -> bool {
+    pub fn is_halted(&self, team: &str) -> bool {
         self.halted.contains(team)
     }
 
     /// How often the usage of all members has been compared with the limits here, and how often it could not be.
     #[cfg(test)]
-    pub fn compared(&self) -> (u64, u64) {
-        self.compared
+    pub fn usage_checks(&self) -> (u64, u64) {
+        self.usage_checks
     }
 
     /// How often an invariant has been violated.
@@ -82,7 +82,7 @@
 }
 
 /// Whether an amount in thousandths exceeds a limit; a limit of 0 is no limit.
-fn beyond(limit: f64, amount: u64) -> bool {
+fn exceeds(limit: f64, amount: u64) -> bool {
     limit > 0.0 && amount > (limit * 1e3) as u64
 }
 
@@ -97,9 +97,9 @@
     /// count in several places.
     pub(in crate::coordination) fn check_planned(&mut self, planned: &BTreeMap<String, Resources>) {
         let bound = planned.iter().filter(|(team, _)| self.bound.contains(*team));
-        let beyond = bound.filter(|(team, amount)| !self.within_share(team, **amount));
-        for team in beyond.map(|(team, _)| team.clone()).collect::<Vec<_>>() {
-            self.breached(Breach::PlannedBeyondShare, &team);
+        let exceeding = bound.filter(|(team, amount)| !self.within_share(team, **amount));
+        for team in exceeding.map(|(team, _)| team.clone()).collect::<Vec<_>>() {
+            self.record_breach(Breach::PlannedBeyondShare, &team);
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// The teams of which a record grants more than their limits.
-    fn granted_beyond(&self, record: &QuotaRecord) -> Vec<String> {
+    fn overgranted_teams(&self, record: &QuotaRecord) -> Vec<String> {
         let sum = |team: &str| {
             let rows = record.rows.iter().filter(|r| r.team == team);
             rows.fold((0, 0), |(cpu, gpu), r| (cpu + r.cpu, gpu + r.gpu))
@@ -122,7 +122,7 @@
         let teams = self.settings.params.teams.iter();
         let more = teams.filter(|t| {
             let (cpu, gpu) = sum(&t.name);
-            beyond(t.cpus_max, cpu) || beyond(t.gpus_max, gpu)
+            exceeds(t.cpus_max, cpu) || exceeds(t.gpus_max, gpu)
         });
         more.map(|t| t.name.clone()).collect()
     }
@@ -130,8 +130,8 @@
     /// Checks that a division that has come into force grants no more than the limits, and logs this controller's
     /// shares.
     pub(in crate::coordination) fn check_shares(&mut self) {
-        for team in self.granted_beyond(&self.quota.0) {
-            self.breached(Breach::SharesBeyondLimit, &team);
+        for team in self.overgranted_teams(&self.quota.0) {
+            self.record_breach(Breach::SharesBeyondLimit, &team);
         }
         if self.quota.0.view != self.view_stamp {
             return;
@@ -139,22 +139,29 @@
         for team in &self.settings.params.teams {
             if let Some((cpu, gpu)) = self.own_share(&team.name) {
                 let view = self.view_stamp;
-                tracing::info!(team = team.name, view, stamp = self.quota.1, cpu, gpu, "share of a limit");
+                tracing::info!(
+                    team = team.name,
+                    view,
+                    stamp = self.quota.1,
+                    cpu,
+                    gpu,
+                    "own share of a team's limit"
+                );
             }
         }
     }
 
     /// Whether this controller's usage includes no task that only may be running.
     pub(in crate::coordination) fn usage_is_exact(&self) -> bool {
-        self.counted_twice().is_none()
+        self.overcount_reason().is_none()
     }
 
     /// Why this controller may count more usage than there is.
-    fn counted_twice(&self) -> Option<CountedTwice> {
+    fn overcount_reason(&self) -> Option<OvercountReason> {
         if self.machines.values().any(|m| !m.unused() && !m.resolved) {
-            Some(CountedTwice::MachinesUnresolved)
+            Some(OvercountReason::MachinesUnresolved)
         } else if !self.strangers.is_empty() {
-            Some(CountedTwice::UnknownTasks)
+            Some(OvercountReason::UnknownTasks)
         } else {
             None
         }
@@ -162,34 +169,36 @@
 
     /// On the leader: compares what all members use of the divided limits with these limits.
     pub(in crate::coordination) fn check_usage(&mut self) {
-        if !self.may_divide() || self.quota.0.view != self.view_stamp {
-            return self.quota_guard.exceeded.clear();
+        if !self.may_divide_limits() || self.quota.0.view != self.view_stamp {
+            return self.quota_guard.exceeded_since.clear();
         }
         let now = self.now;
-        let exact =
-            |(member, node): &(String, u64)| self.word_of(member, *node).is_some_and(|s| s.usage_exact);
-        let unexplained = self.usage_is_exact() && self.view.members.iter().all(exact);
-        let (made, left_out) = &mut self.quota_guard.compared;
-        *(if unexplained { made } else { left_out }) += 1;
+        let exact = |(member, registration): &(String, u64)| {
+            self.word_of(member, *registration).is_some_and(|s| s.usage_exact)
+        };
+        let all_exact = self.usage_is_exact() && self.view.members.iter().all(exact);
+        let (made, skipped) = &mut self.quota_guard.usage_checks;
+        *(if all_exact { made } else { skipped }) += 1;
         let teams = self.settings.params.teams.iter().filter(|t| {
-            let (cpu, gpu) = self.usage_told(&t.name);
+            let (cpu, gpu) = self.reported_usage(&t.name);
             let divided = self.quota.0.rows.iter().any(|r| r.team == t.name);
-            divided && unexplained && (beyond(t.cpus_max, cpu) || beyond(t.gpus_max, gpu))
+            divided && all_exact && (exceeds(t.cpus_max, cpu) || exceeds(t.gpus_max, gpu))
         });
         let teams: BTreeSet<String> = teams.map(|t| t.name.clone()).collect();
-        self.quota_guard.exceeded.retain(|team, _| teams.contains(team));
+        self.quota_guard.exceeded_since.retain(|team, _| teams.contains(team));
         for team in teams {
-            let since = *self.quota_guard.exceeded.entry(team.clone()).or_insert(now);
-            if now.since(since) > STATUSES_DIFFER && !self.quota_guard.halts(&team) {
-                self.breached(Breach::UsageBeyondLimit, &team);
+            let since = *self.quota_guard.exceeded_since.entry(team.clone()).or_insert(now);
+            if now.since(since) > USAGE_EXCESS_GRACE && !self.quota_guard.is_halted(&team) {
+                self.record_breach(Breach::UsageBeyondLimit, &team);
             }
         }
     }
 
     /// What all members report that their jobs of a team use.
-    fn usage_told(&self, team: &str) -> (u64, u64) {
-        let words = self.view.members.iter().filter_map(|(member, node)| self.word_of(member, *node));
-        let rows = words.flat_map(|status| &status.usage).filter(|row| row.0 == team);
+    fn reported_usage(&self, team: &str) -> (u64, u64) {
+        let statuses =
+            self.view.members.iter().filter_map(|(member, registration)| self.word_of(member, *registration));
+        let rows = statuses.flat_map(|status| &status.usage).filter(|row| row.0 == team);
         rows.fold((0, 0), |(cpu, gpu), row| (cpu + row.1, gpu + row.2))
     }
 
@@ -198,18 +207,18 @@
         if self.quota_guard.halted.is_empty() {
             return;
         }
-        let beyond = self.granted_beyond(&self.quota.0);
+        let overgranted = self.overgranted_teams(&self.quota.0);
         let mut halted = std::mem::take(&mut self.quota_guard.halted);
         let any = Resources { cpu: 1, gpu: 1, memory: 0 };
         let within = |team: &String| self.own_share(team).is_none() || self.within_share(team, any);
         halted.retain(|team| {
-            beyond.contains(team) || self.quota_guard.exceeded.contains_key(team) || !within(team)
+            overgranted.contains(team) || self.quota_guard.exceeded_since.contains_key(team) || !within(team)
         });
         self.quota_guard.halted = halted;
     }
 
     /// Logs and counts a breach, and halts starts of the team on this controller.
-    fn breached(&mut self, breach: Breach, team: &str) {
+    fn record_breach(&mut self, breach: Breach, team: &str) {
         let limits = self.settings.params.teams.iter().find(|t| t.name == team);
         tracing::error!(
             rule = breach.name(),
@@ -217,18 +226,18 @@
             limit = ?limits.map(|t| (t.cpus_max, t.gpus_max)),
             granted = ?self.own_share(team),
             used = ?self.team_usage(team),
-            used_by_all = ?self.usage_told(team),
+            used_by_all = ?self.reported_usage(team),
             leader = self.leader.as_ref().map_or("", |l| l.0.as_str()),
             leader_stamp = self.leader.as_ref().map_or(0, |l| l.2),
             view = self.view_stamp,
             registration = self.life().1,
             applied = self.applied,
             knowledge_ms = self.knowledge_age().as_millis(),
-            "a rule of limits is broken: nothing more of the team starts here"
+            "quota invariant violated: no more tasks of the team are started here"
         );
         *self.quota_guard.counts.entry(breach).or_default() += 1;
         self.quota_guard.halted.insert(team.to_owned());
         #[cfg(test)]
-        assert!(self.quota_guard.tolerant, "{}: {team} at {}", breach.name(), self.me());
+        assert!(self.quota_guard.tolerate_breaches, "{}: {team} at {}", breach.name(), self.me());
     }
 }
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -37,7 +37,7 @@
 
 impl Allowance {
     /// What may still be started.
-    pub fn room(&self) -> Resources {
+    pub fn remaining(&self) -> Resources {
         self.room
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Issues a permit for one task and deducts what the task needs.
-    pub fn take(&mut self, need: Resources) -> Option<Permit> {
+    pub fn issue_permit(&mut self, need: Resources) -> Option<Permit> {
         let need = Resources { memory: 0, ..need };
         if !need.fits(self.room) {
             return None;
@@ -67,9 +67,9 @@
 
 /// The permit that is valid now: that of the current view and registration.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::coordination) struct InForce(Permit);
+pub(in crate::coordination) struct ActivePermit(Permit);
 
-impl InForce {
+impl ActivePermit {
     /// Whether a start with this permit may be sent.
     pub fn covers(self, permit: Permit) -> bool {
         self.0 == permit
@@ -78,18 +78,18 @@
 
 impl Controller {
     /// The permit that is valid now.
-    pub(in crate::coordination) fn permits_in_force(&self) -> InForce {
-        InForce(Permit { registration: self.life().1, view: self.view_stamp })
+    pub(in crate::coordination) fn active_permit(&self) -> ActivePermit {
+        ActivePermit(Permit { registration: self.life().1, view: self.view_stamp })
     }
 
     /// What this controller may still start of a job's team, by its share of the team's limit.
     pub(in crate::coordination) fn allowance(&self, spec: &JobSpec) -> Allowance {
-        let permit = self.permits_in_force().0;
+        let permit = self.active_permit().0;
         let none = Allowance { permit, room: Resources::default(), granted: None, used: (0, 0) };
         let Some(team) = self.settings.params.teams.iter().find(|t| t.name == spec.team) else {
             return none;
         };
-        if self.quota_guard.halts(&team.name) {
+        if self.quota_guard.is_halted(&team.name) {
             return none;
         }
         if !self.bound.contains(&team.name) {
@@ -124,7 +124,7 @@
     }
 
     /// Logs what a planned start is based on, so that a timeline can be reconstructed.
-    pub(in crate::coordination) fn log_planned(&self, task: &TaskId, machine: &str, by: &Allowance) {
+    pub(in crate::coordination) fn log_planned_start(&self, task: &TaskId, machine: &str, by: &Allowance) {
         tracing::debug!(
             task = task.text(),
             machine,
@@ -144,8 +144,8 @@
     /// permits are renewed. Where it is, the starts are cancelled, since the share that they were planned within is
     /// void.
     pub(in crate::coordination) fn renew_permits(&mut self) {
-        let permit = self.permits_in_force().0;
-        let bound = if self.placing { self.bound_teams() } else { BTreeSet::new() };
+        let permit = self.active_permit().0;
+        let bound = if self.placing { self.find_teams_with_binding_limit() } else { BTreeSet::new() };
         let goes_on = |task: &TaskId| self.jobs.get(&task.job).is_some_and(|j| !bound.contains(&j.spec.team));
         let mut lapsed: Vec<(String, TaskId)> = Vec::new();
         let mut renewed: Vec<(String, TaskId)> = Vec::new();
@@ -168,8 +168,8 @@
 
     /// Cancels planned starts on a machine whose permits are no longer valid: a direct call that was not carried out
     /// may have carried them while the view changed.
-    pub(in crate::coordination) fn drop_unpermitted(&mut self, name: &str) {
-        let in_force = self.permits_in_force();
+    pub(in crate::coordination) fn cancel_unpermitted_starts(&mut self, name: &str) {
+        let in_force = self.active_permit();
         let Some(machine) = self.machines.get(name) else { return };
         let lapsed = |pending: Option<Pending>| match pending {
             Some(Pending::Planned(permit)) => !in_force.covers(permit),
--- a/src/coordination/quota/usage.rs
+++ b/src/coordination/quota/usage.rs
@@ -14,34 +14,34 @@
     /// controller needs to count usage. Every controller has the record of a machine before the machine is granted, and
     /// a controller that starts a job's tasks knows all jobs accepted before that job, so no controller notices a
     /// binding limit too late.
-    pub(in crate::coordination) fn bound_teams(&self) -> BTreeSet<String> {
+    pub(in crate::coordination) fn find_teams_with_binding_limit(&self) -> BTreeSet<String> {
         let over = |limit: f64, has: u64| limit > 0.0 && has as f64 > limit * 1e3;
-        if !self.limits_teams() {
+        if !self.any_team_limited() {
             return BTreeSet::new();
         }
         let all = self.machines.values().fold(Resources::default(), |sum, m| sum.plus(m.supply));
         let unknown = self.blind() || self.machines.values().any(|m| m.supply == Resources::default());
         let rows = if self.quota.0.view == self.view_stamp { &self.quota.0.rows[..] } else { &[] };
         let mut requested: Option<BTreeMap<&str, Resources>> = None;
-        let mut bound = BTreeSet::new();
+        let mut binding = BTreeSet::new();
         for team in &self.settings.params.teams {
             let cpu = unknown || over(team.cpus_max, all.cpu);
             let gpu = unknown || over(team.gpus_max, all.gpu);
-            let shared = rows.iter().any(|r| r.team == team.name);
+            let divided = rows.iter().any(|r| r.team == team.name);
             let mut requests_more = || {
                 let requested = requested.get_or_insert_with(|| self.requested_by_teams());
                 let all = requested.get(team.name.as_str()).copied().unwrap_or_default();
                 cpu && over(team.cpus_max, all.cpu) || gpu && over(team.gpus_max, all.gpu)
             };
-            if shared || (cpu || gpu) && requests_more() {
-                bound.insert(team.name.clone());
+            if divided || (cpu || gpu) && requests_more() {
+                binding.insert(team.name.clone());
             }
         }
-        bound
+        binding
     }
 
     /// Whether any team has a limit.
-    pub(in crate::coordination) fn limits_teams(&self) -> bool {
+    pub(in crate::coordination) fn any_team_limited(&self) -> bool {
         self.settings.params.teams.iter().any(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0)
     }
 
@@ -53,17 +53,17 @@
         let orphan = |(id, t): (&TaskId, &TaskOn)| {
             !t.ended() && !self.jobs.contains_key(&id.job) && !self.retired.contains_key(&id.job)
         };
-        let hides = |m: &&Machine| !m.unused() && (!m.known || m.tasks.iter().any(orphan));
-        let hidden = self.machines.values().filter(hides);
+        let may_hide_tasks = |m: &&Machine| !m.unused() && (!m.known || m.tasks.iter().any(orphan));
+        let hidden = self.machines.values().filter(may_hide_tasks);
         let hidden = hidden.fold(Resources::default(), |sum, m| sum.plus(m.supply));
         let teams = self.settings.params.teams.iter();
         let mut requested: BTreeMap<&str, Resources> = teams.map(|t| (t.name.as_str(), hidden)).collect();
         let all = |j: &Job| j.spec.need().times(u64::from(j.spec.tasks));
-        let there = |j: &Job| j.spec.need().times(j.places_in_use());
+        let placed = |j: &Job| j.spec.need().times(j.places_in_use());
         let live = self.jobs.values().map(|j| (&j.spec.team, all(j)));
         let removed = self.removed.iter().map(|(_, team, amount)| (team, *amount));
         // These include second runs of tasks that are done, for example when a completion was recorded late.
-        let retired = self.retired.values().map(|j| (&j.spec.team, there(j)));
+        let retired = self.retired.values().map(|j| (&j.spec.team, placed(j)));
         for (team, amount) in live.chain(removed).chain(retired) {
             if let Some(sum) = requested.get_mut(team.as_str()) {
                 *sum = sum.plus(amount);
@@ -81,25 +81,25 @@
         let mine = |(id, j): &(&String, &Job)| {
             j.spec.team == team && self.owner_of(id).as_deref() == Some(self.me())
         };
-        let over = self.retired.iter().filter(mine).map(|(_, j)| (j.spec.need(), j.places_in_use()));
+        let retired = self.retired.iter().filter(mine).map(|(_, j)| (j.spec.need(), j.places_in_use()));
         // Neither team nor size is known of a job that ended before this controller joined. Its tasks may be of any
         // team, so they count as all the room that other tasks leave on their machines. Without this, a controller that
         // was back at once did not count eight processors of a withdrawn job that was still running, and started tasks
         // on as many more.
         let unknown = self.strangers.iter().filter(|(id, _)| self.owner_of(id).as_deref() == Some(self.me()));
         let hosts: BTreeSet<&String> = unknown.flat_map(|(_, hosts)| hosts).collect();
-        let there =
+        let has_unknown_tasks =
             |m: &&Machine| m.tasks.iter().any(|(id, t)| !t.ended() && self.strangers.contains_key(&id.job));
-        let hosts = hosts.into_iter().filter_map(|name| self.machines.get(name)).filter(there);
+        let hosts = hosts.into_iter().filter_map(|name| self.machines.get(name)).filter(has_unknown_tasks);
         // While the machine types are not known, neither is the room left on a machine: it may be all there is.
         let all_there_is = Resources { cpu: 1 << 40, gpu: 1 << 40, memory: 0 };
         let left = |m: &Machine| if m.supply == Resources::default() { all_there_is } else { m.free() };
         let unknown = hosts.map(|m| (left(m), 1));
-        let all = live.chain(over).chain(unknown);
+        let all = live.chain(retired).chain(unknown);
         all.fold((0, 0), |(cpu, gpu), (need, n)| (cpu + need.cpu * n, gpu + need.gpu * n))
     }
 
-    pub(in crate::coordination) fn usage(&self) -> Vec<(String, u64, u64)> {
+    pub(in crate::coordination) fn usage_by_team(&self) -> Vec<(String, u64, u64)> {
         let limited = self.settings.params.teams.iter().filter(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0);
         limited
             .map(|t| {
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::coordination::Controller;
-use crate::coordination::blocks::DEAF;
+use crate::coordination::blocks::MAX_RESCUE_MOVES;
 use crate::protocol::units::Micros;
 
 /// How long beyond a late report a machine may stay unheard after it has changed hands.
@@ -70,7 +70,7 @@
             zone.settled += 1;
             zone.fine += usize::from(m.resolved && dark <= late);
             // One that is heard elsewhere and takes no token for longer than its lease does not hear.
-            let deaf = lead.rescued.get(name).is_some_and(|times| *times >= DEAF)
+            let deaf = lead.rescued.get(name).is_some_and(|times| *times >= MAX_RESCUE_MOVES)
                 || self.now.since(m.granted) > self.worker_lease;
             if unknown && (deaf || !heard(name)) {
                 of.unheard.push((&m.row.zone, name));
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -170,7 +170,7 @@
                     Err(problem) => return self.not_understood(key, &problem),
                 };
                 // One that may displace others needs no room kept for it.
-                if self.is_quick(&spec.class) && !self.may_displace(&spec) {
+                if self.needs_fast_start(&spec.class) && !self.may_displace(&spec) {
                     self.quick.insert(spec.class.clone(), spec.clone());
                 }
                 if self.phase == Phase::Active {
@@ -442,7 +442,7 @@
         // Of jobs that are over it owns some as well: what they still run counts against limits, also where nothing else
         // is taken over. A controller that was back at once said that it used nothing, while forty processors of a
         // withdrawn job of its own were in use on machines that it had not heard yet.
-        self.taking_over = taken || member && self.limits_teams();
+        self.taking_over = taken || member && self.any_team_limited();
         if self.taking_over {
             // Only machines that somebody holds can run anything.
             let used = self.machines.iter().filter(|(_, m)| !m.unused());
--- a/src/coordination/simulation/at_limits.rs
+++ b/src/coordination/simulation/at_limits.rs
@@ -97,7 +97,7 @@
         let (_, trouble) = both(pairs()[(seed - FIRST) as usize]);
         let world = play(seed, trouble);
         for controller in world.controllers.iter().flatten() {
-            let (compared, not) = controller.quota_guard.compared();
+            let (compared, not) = controller.quota_guard.usage_checks();
             (made, left_out) = (made + compared, left_out + not);
         }
     }
--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -95,7 +95,7 @@
         let all = w.controllers.iter().flatten();
         let free = |c: &Controller| {
             let open = c.view.members.len() == 3 && c.placing && !c.taking_over;
-            open && c.bound_teams().is_empty() && c.quota.0.view != c.view_stamp
+            open && c.find_teams_with_binding_limit().is_empty() && c.quota.0.view != c.view_stamp
         };
         all.clone().count() == 3 && all.clone().all(free)
     };
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -119,7 +119,7 @@
     submit(&mut world, "red", job(2, 1.0));
     go(&mut world, Micros::from_secs(15));
     let leader = world.controllers[world.leader().unwrap()].as_ref().unwrap();
-    let (volumes, _) = leader.volumes();
+    let (volumes, _) = leader.plan_volumes();
     let promised: u64 =
         volumes.iter().map(|v| u64::from(v.tasks) * leader.jobs[&v.job].spec.need().cpu).sum();
     assert_eq!(volumes.len(), 2);
@@ -269,8 +269,10 @@
 /// that comes to nothing, and until the next try.
 #[test]
 fn the_waits_of_backfilling_add_up_to_less_than_the_aim() {
-    use crate::coordination::backfill::{BACKFILL_AFTER, GIVEN_UP_AFTER, HOLD, TRIED_AGAIN_AFTER};
-    let longest = BACKFILL_AFTER + HOLD + GIVEN_UP_AFTER + TRIED_AGAIN_AFTER;
+    use crate::coordination::backfill::{
+        BACKFILL_AFTER, BACKFILL_RETRY_DELAY, BACKFILL_TIMEOUT, GANG_HOLD_TIME,
+    };
+    let longest = BACKFILL_AFTER + GANG_HOLD_TIME + BACKFILL_TIMEOUT + BACKFILL_RETRY_DELAY;
     assert!(longest < AIM, "{longest:?}");
 }
 
--- a/src/coordination/simulation/quota_guard.rs
+++ b/src/coordination/simulation/quota_guard.rs
@@ -54,7 +54,7 @@
 fn more_planned_than_the_share_is_noticed() {
     let mut world = divided(501);
     let controller = world.controllers[1].as_mut().unwrap();
-    controller.bound = controller.bound_teams();
+    controller.bound = controller.find_teams_with_binding_limit();
     let some = Resources { cpu: 1_000, gpu: 0, memory: 0 };
     let (none, some) = ([("blue".to_owned(), Resources::default())], [("blue".to_owned(), some)]);
     controller.check_planned(&some.clone().into());
@@ -90,7 +90,7 @@
 #[test]
 fn a_breach_halts_the_team_until_the_rule_holds_again() {
     let mut world = divided(503);
-    world.controllers.iter_mut().flatten().for_each(|c| c.quota_guard.tolerant = true);
+    world.controllers.iter_mut().flatten().for_each(|c| c.quota_guard.tolerate_breaches = true);
     // The leader would mend the record at once.
     let leader = world.leader().unwrap();
     world.fate_of = Some(late_divisions);
@@ -98,7 +98,7 @@
     grant_each(&mut world, 30_000);
     go(&mut world, Micros::from_millis(1_500));
     let others = (0..3).filter(|n| *n != leader).collect::<Vec<_>>();
-    let halted = |w: &World, n: usize| w.controllers[n].as_ref().unwrap().quota_guard.halts("blue");
+    let halted = |w: &World, n: usize| w.controllers[n].as_ref().unwrap().quota_guard.is_halted("blue");
     assert!(others.iter().all(|n| halted(&world, *n)), "the team is not halted");
     let counted =
         |n: &usize| world.controllers[*n].as_ref().unwrap().quota_breaches(Breach::SharesBeyondLimit);
@@ -170,7 +170,10 @@
     let controller = world.controllers[1].as_mut().unwrap();
     let need = controller.jobs[&done].spec.need().cpu;
     let requested = need * 10 + controller.jobs[&other].spec.need().cpu * 8;
-    assert!(requested <= 40_000 && controller.bound_teams().is_empty(), "{requested} of 40000 requested");
+    assert!(
+        requested <= 40_000 && controller.find_teams_with_binding_limit().is_empty(),
+        "{requested} of 40000 requested"
+    );
     let job = controller.jobs.get_mut(&done).unwrap();
     (0..10).for_each(|index| assert!(job.complete(index)));
     controller.retire(&done);
@@ -180,5 +183,5 @@
     third.tasks = ((40_000 - requested) / third.need().cpu + 1) as u32;
     let third = crate::coordination::model::Job::new(third, u64::MAX, controller.now);
     controller.jobs.insert(third.spec.id.clone(), third);
-    assert!(controller.bound_teams().contains("blue"));
+    assert!(controller.find_teams_with_binding_limit().contains("blue"));
 }
--- a/src/coordination/simulation/returns.rs
+++ b/src/coordination/simulation/returns.rs
@@ -147,7 +147,7 @@
 fn tasks_of_jobs_that_were_over_before_count_against_the_limit() {
     let mut world = busy(140, Trouble::default(), 300);
     let c = world.controllers[0].as_mut().unwrap();
-    let before = c.usage();
+    let before = c.usage_by_team();
     let (name, free) =
         c.machines.iter().find(|(_, m)| m.free().cpu > 0).map(|(n, m)| (n.clone(), m.free())).unwrap();
     let stranger = (0..).map(|n| format!("j-9{n:05}")).find(|id| c.owner_of(id).as_deref() == Some(c.me()));
@@ -159,5 +159,5 @@
     );
     c.set_tasks(&name, tasks);
     let team = |usage: &[(String, u64, u64)]| usage.iter().find(|u| u.0 == "blue").map(|u| u.1).unwrap();
-    assert_eq!(team(&c.usage()), team(&before) + free.cpu);
+    assert_eq!(team(&c.usage_by_team()), team(&before) + free.cpu);
 }
--- a/src/coordination/start_gate.rs
+++ b/src/coordination/start_gate.rs
@@ -5,7 +5,7 @@
 //! ([`Controller::withdraw_duplicates`]), and whatever should still come to be sent is stopped here and counted.
 
 use crate::coordination::model::{Job, TaskOn};
-use crate::coordination::quota::{InForce, Permit};
+use crate::coordination::quota::{ActivePermit, Permit};
 use crate::coordination::{ByName, Controller, Counters};
 use crate::protocol::worker::TaskId;
 
@@ -13,13 +13,13 @@
 pub(super) struct StartGate<'a> {
     /// Starts announced by statuses up to this one are known to all who must know.
     settled: u64,
-    in_force: InForce,
+    in_force: ActivePermit,
     jobs: &'a ByName<Job>,
 }
 
 impl<'a> StartGate<'a> {
     /// As of one decision of a controller.
-    pub(super) fn new(settled: u64, in_force: InForce, jobs: &'a ByName<Job>) -> Self {
+    pub(super) fn new(settled: u64, in_force: ActivePermit, jobs: &'a ByName<Job>) -> Self {
         StartGate { settled, in_force, jobs }
     }
 
--- a/src/coordination/volume_plan.rs
+++ b/src/coordination/volume_plan.rs
@@ -13,7 +13,7 @@
 use crate::coordination::eligibility::allows;
 use crate::coordination::model::{Job, Machine};
 use crate::coordination::precedence::Precedence;
-use crate::coordination::volumes::{Claim, share};
+use crate::coordination::volumes::{Claim, fair_volumes};
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::peer::Volume;
 use crate::protocol::units::Resources;
@@ -21,35 +21,35 @@
 
 /// Factor on the weight of a job that can still meet its objective, compared with others of its rank, and the further
 /// factor for a job with a single task left (less with more tasks, see [`Controller::urgency`]).
-const URGENT: f64 = 8.0;
-const SMALL: f64 = 6.0;
+const ON_TIME_WEIGHT: f64 = 8.0;
+const SMALL_JOB_WEIGHT: f64 = 6.0;
 
 /// What a team without a limit on a resource may use of it: more than any deployment has, and far from overflowing when
 /// amounts are added to it.
 const UNLIMITED: u64 = u64::MAX >> 2;
 
 /// A job that the shares admit.
-struct Admitted<'a> {
+struct AdmittedJob<'a> {
     id: &'a str,
     job: &'a Job,
     claim: Claim,
     turn: Turn,
     /// It claims accelerators.
-    accelerated: bool,
+    accelerator_pool: bool,
     /// It has tasks on machines, so it keeps its minimum.
-    begun: bool,
+    running: bool,
     precedence: Precedence,
 }
 
-impl Admitted<'_> {
+impl AdmittedJob<'_> {
     /// The least that it is given.
-    fn floor(&self) -> Resources {
-        self.job.spec.need().times(u64::from(self.claim.floor.min(self.claim.demand)))
+    fn min_resources(&self) -> Resources {
+        self.job.spec.need().times(u64::from(self.claim.min_tasks.min(self.claim.max_tasks)))
     }
 }
 
 /// What a team's tasks may use at once. Memory is not limited.
-pub(super) fn limits(team: &Team) -> Resources {
+pub(super) fn team_limits(team: &Team) -> Resources {
     let limit = |most: f64| if most > 0.0 { (most * 1e3) as u64 } else { UNLIMITED };
     Resources { cpu: limit(team.cpus_max), gpu: limit(team.gpus_max), memory: UNLIMITED }
 }
@@ -68,9 +68,9 @@
 }
 
 /// The machines that work may be planned on, as the division of the pools counts them.
-struct Supply<'a> {
+struct PoolSupply<'a> {
     /// One machine of each kind, and how many there are: a job's share depends on the kind of a machine only.
-    sorts: Vec<(&'a Machine, f64)>,
+    machine_kinds: Vec<(&'a Machine, f64)>,
     /// Processors that work with accelerators leaves to other work.
     cpu: u64,
     gpu: u64,
@@ -79,25 +79,26 @@
 impl Controller {
     /// The volumes of all admitted jobs, and each team's and class's share of the pools. Claims are capped by the
     /// teams' limits before each pool is divided among them.
-    pub(super) fn volumes(&self) -> (Vec<Volume>, Vec<FlowShare>) {
-        let supply = self.supply();
+    pub(super) fn plan_volumes(&self) -> (Vec<Volume>, Vec<FlowShare>) {
+        let supply = self.pool_supply();
         let mut admitted = Vec::new();
         let mut shares = Vec::new();
-        for accelerated in [false, true] {
-            let (jobs, flows) = self.admit(accelerated, &supply);
+        for accelerator_pool in [false, true] {
+            let (jobs, flows) = self.admit_jobs(accelerator_pool, &supply);
             admitted.extend(jobs);
             shares.extend(flows);
         }
         for team in &self.settings.params.teams {
-            cap_by_limits(team, &mut admitted);
+            cap_demands_by_limits(team, &mut admitted);
         }
         let mut volumes = Vec::new();
-        for accelerated in [false, true] {
-            let of_pool: Vec<&Admitted> = admitted.iter().filter(|a| a.accelerated == accelerated).collect();
+        for accelerator_pool in [false, true] {
+            let of_pool: Vec<&AdmittedJob> =
+                admitted.iter().filter(|a| a.accelerator_pool == accelerator_pool).collect();
             let claims: Vec<Claim> = of_pool.iter().map(|a| a.claim.clone()).collect();
-            let pool = if accelerated { supply.gpu } else { supply.cpu };
-            let fill = share(&claims, pool as f64);
-            volumes.extend(of_pool.into_iter().zip(fill).map(|(a, tasks)| Volume {
+            let pool = if accelerator_pool { supply.gpu } else { supply.cpu };
+            let task_counts = fair_volumes(&claims, pool as f64);
+            volumes.extend(of_pool.into_iter().zip(task_counts).map(|(a, tasks)| Volume {
                 job: a.id.to_owned(),
                 tasks,
                 turn: a.turn,
@@ -107,10 +108,10 @@
     }
 
     /// The capacity that is divided.
-    fn supply(&self) -> Supply<'_> {
-        let there = self.machines.values().filter(|m| self.serving(m) || self.coming(m));
-        let there: Vec<&Machine> = there.collect();
-        let total = there.iter().fold(Resources::default(), |sum, m| sum.plus(m.supply));
+    fn pool_supply(&self) -> PoolSupply<'_> {
+        let available = self.machines.values().filter(|m| self.serving(m) || self.coming(m));
+        let available: Vec<&Machine> = available.collect();
+        let total = available.iter().fold(Resources::default(), |sum, m| sum.plus(m.supply));
         // Processors of accelerator machines that work with accelerators takes are not available to other work.
         let (cpu, gpu) = self
             .jobs
@@ -118,86 +119,91 @@
             .filter(|j| j.spec.gpus > 0.0)
             .map(|j| (j.spec.need(), u64::from(j.unfinished())))
             .fold((0, 0), |(cpu, gpu), (need, n)| (cpu + need.cpu * n, gpu + need.gpu * n));
-        let with_cards = there
+        let taken_by_accelerator_jobs = available
             .iter()
             .map(|m| (m.supply.gpu * cpu).checked_div(gpu).unwrap_or(0).min(m.supply.cpu))
             .sum::<u64>();
         let mut counted: BTreeMap<_, (&Machine, f64)> = BTreeMap::new();
-        for m in there {
-            let sort = (&m.row.kind, &m.row.zone, m.row.spot, m.supply.cpu);
-            counted.entry(sort).or_insert((m, 0.0)).1 += 1.0;
+        for m in available {
+            let kind_key = (&m.row.kind, &m.row.zone, m.row.spot, m.supply.cpu);
+            counted.entry(kind_key).or_insert((m, 0.0)).1 += 1.0;
         }
-        Supply {
-            sorts: counted.into_values().collect(),
-            cpu: total.cpu.saturating_sub(with_cards),
+        PoolSupply {
+            machine_kinds: counted.into_values().collect(),
+            cpu: total.cpu.saturating_sub(taken_by_accelerator_jobs),
             gpu: total.gpu,
         }
     }
 
     /// The jobs that the division of a pool admits, and each team's and class's share of the pool.
-    fn admit(&self, accelerated: bool, supply: &Supply<'_>) -> (Vec<Admitted<'_>>, Vec<FlowShare>) {
+    fn admit_jobs(
+        &self,
+        accelerator_pool: bool,
+        supply: &PoolSupply<'_>,
+    ) -> (Vec<AdmittedJob<'_>>, Vec<FlowShare>) {
         let mut jobs: Vec<(&String, &Job)> = self
             .jobs
             .iter()
-            .filter(|(id, j)| (j.spec.gpus > 0.0) == accelerated && j.unfinished() > 0 && !self.held(id))
+            .filter(|(id, j)| (j.spec.gpus > 0.0) == accelerator_pool && j.unfinished() > 0 && !self.held(id))
             .collect();
         // Running jobs keep their minimum. The others are admitted by priority, then arrival, when all fit, and
         // otherwise as the shares of team and class allow (`marblewalk_admission::pool`).
         jobs.sort_by_cached_key(|(_, j)| (j.on.is_empty(), self.precedence(j)));
-        let sorts: Vec<&Machine> = supply.sorts.iter().map(|(m, _)| *m).collect();
+        let machine_kinds: Vec<&Machine> = supply.machine_kinds.iter().map(|(m, _)| *m).collect();
         let mut sizes: HashMap<_, (f64, f64)> = HashMap::new();
         let size = |spec: &JobSpec| {
             let need = spec.need();
             let key = (need.cpu, need.gpu, need.memory, spec.spot, spec.types.clone(), spec.zone.clone());
             *sizes.entry(key).or_insert_with(|| {
-                let size = slot_size(spec, &sorts);
-                let fit = supply.sorts.iter().filter(|(m, _)| allows(spec, m));
+                let size = slot_size(spec, &machine_kinds);
+                let fit = supply.machine_kinds.iter().filter(|(m, _)| allows(spec, m));
                 let slots: f64 = fit.map(|(m, n)| need.times_in(m.supply) as f64 * n).sum();
                 (size, size * slots)
             })
         };
-        let offers: Vec<Offer<'_>> =
-            jobs.iter().map(|(_, j)| j).map(self.offers(accelerated, size)).collect();
-        let pool = if accelerated { supply.gpu } else { supply.cpu };
-        let entitled = |team: &str| self.team_entitlement(team, accelerated);
-        let (verdicts, flows) = pool::divide(&offers, pool as f64, entitled);
+        let requests: Vec<Offer<'_>> =
+            jobs.iter().map(|(_, j)| j).map(self.request_builder(accelerator_pool, size)).collect();
+        let pool = if accelerator_pool { supply.gpu } else { supply.cpu };
+        let entitled = |team: &str| self.team_entitlement(team, accelerator_pool);
+        let (admissions, flows) = pool::divide(&requests, pool as f64, entitled);
         let mut admitted = Vec::new();
-        for (((id, job), offer), verdict) in jobs.into_iter().zip(&offers).zip(verdicts) {
-            let Verdict::Admitted { most, turn } = verdict else { continue };
+        for (((id, job), request), admission) in jobs.into_iter().zip(&requests).zip(admissions) {
+            let Verdict::Admitted { most, turn } = admission else { continue };
             let weight = match turn {
                 Turn::Usual => self.urgency(job),
-                Turn::First | Turn::Nth(_) => URGENT * (1.0 + SMALL),
+                Turn::First | Turn::Nth(_) => ON_TIME_WEIGHT * (1.0 + SMALL_JOB_WEIGHT),
                 Turn::Spare(_) | Turn::Backfill => 1.0,
             };
             let priority = job.spec.priority.weight() * weight;
-            let claim = Claim { priority, demand: most, floor: offer.floor(), size: offer.size };
-            let (begun, precedence) = (!job.on.is_empty(), self.precedence(job));
-            admitted.push(Admitted { id, job, claim, turn, accelerated, begun, precedence });
+            let claim =
+                Claim { priority, max_tasks: most, min_tasks: request.floor(), task_size: request.size };
+            let (running, precedence) = (!job.on.is_empty(), self.precedence(job));
+            admitted.push(AdmittedJob { id, job, claim, turn, accelerator_pool, running, precedence });
         }
         (admitted, flows)
     }
 
     /// Returns a function that describes a job to the division of its pool.
-    fn offers<'a>(
+    fn request_builder<'a>(
         &'a self,
-        accelerated: bool,
+        accelerator_pool: bool,
         mut size: impl FnMut(&JobSpec) -> (f64, f64),
     ) -> impl FnMut(&&'a Job) -> Offer<'a> {
-        let mut aims: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+        let mut time_targets: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         for o in self.settings.params.objectives.iter().filter(|o| o.kind == "finished") {
             if let (Some(class), Some(within)) = (o.class.as_deref(), o.within_s) {
-                aims.entry(class).or_default().push(within);
+                time_targets.entry(class).or_default().push(within);
             }
         }
         move |job| {
             let spec = &job.spec;
             let age = self.now.since(job.since).as_secs_f64();
-            let aims = aims.get(spec.class.as_str()).into_iter().flatten().copied();
-            let due = spec.deadline_s.into_iter().chain(aims).map(|within| within - age);
+            let time_targets = time_targets.get(spec.class.as_str()).into_iter().flatten().copied();
+            let due = spec.deadline_s.into_iter().chain(time_targets).map(|within| within - age);
             let (size, usable) = size(spec);
             let need = spec.need();
             Offer {
-                taken: if accelerated { need.gpu } else { need.cpu } as f64,
+                taken: if accelerator_pool { need.gpu } else { need.cpu } as f64,
                 team: &spec.team,
                 class: &spec.class,
                 rank: spec.priority as u8,
@@ -217,10 +223,11 @@
     }
 
     /// A team's guarantee and limit in a pool.
-    fn team_entitlement(&self, team: &str, accelerated: bool) -> Entitlement {
+    fn team_entitlement(&self, team: &str, accelerator_pool: bool) -> Entitlement {
         let team = self.settings.params.teams.iter().find(|t| t.name == team);
         team.map_or(Entitlement::default(), |t| {
-            let (guarantee, limit) = if accelerated { (t.gpus, t.gpus_max) } else { (t.cpus, t.cpus_max) };
+            let (guarantee, limit) =
+                if accelerator_pool { (t.gpus, t.gpus_max) } else { (t.cpus, t.cpus_max) };
             Entitlement { guarantee: guarantee * 1e3, limit: limit * 1e3 }
         })
     }
@@ -230,16 +237,16 @@
     ///
     /// With equal weights, a full pool would be shared so that all jobs finish late together.
     fn urgency(&self, job: &Job) -> f64 {
-        let aims = self
+        let time_targets = self
             .settings
             .params
             .objectives
             .iter()
             .filter(|o| o.kind == "finished" && o.class.as_deref() == Some(job.spec.class.as_str()));
         let age = self.now.since(job.since).as_secs_f64();
-        let mut due = job.spec.deadline_s.into_iter().chain(aims.filter_map(|o| o.within_s));
+        let mut due = job.spec.deadline_s.into_iter().chain(time_targets.filter_map(|o| o.within_s));
         if due.any(|within| within - age > job.spec.estimate_s * 0.6) {
-            URGENT * (1.0 + SMALL / f64::from(job.unfinished().max(1)).sqrt())
+            ON_TIME_WEIGHT * (1.0 + SMALL_JOB_WEIGHT / f64::from(job.unfinished().max(1)).sqrt())
         } else {
             1.0
         }
@@ -250,42 +257,43 @@
 ///
 /// When each pool was capped by itself, a team's plain jobs and its jobs with accelerators were each promised all of
 /// the team's processors: jobs with a volume could not start, and jobs that could have started had no volume.
-fn cap_by_limits(team: &Team, admitted: &mut [Admitted<'_>]) {
+fn cap_demands_by_limits(team: &Team, admitted: &mut [AdmittedJob<'_>]) {
     if team.cpus_max <= 0.0 && team.gpus_max <= 0.0 {
         return;
     }
-    let mut own: Vec<&mut Admitted> = admitted.iter_mut().filter(|a| a.job.spec.team == team.name).collect();
+    let mut team_jobs: Vec<&mut AdmittedJob> =
+        admitted.iter_mut().filter(|a| a.job.spec.team == team.name).collect();
     // First tasks of jobs that do not have their turn yet come last here: one after the other, they kept a gang as
     // large as the limit from ever starting.
-    own.sort_by_key(|a| (!a.begun, a.turn == Turn::First, a.precedence));
+    team_jobs.sort_by_key(|a| (!a.running, a.turn == Turn::First, a.precedence));
     // In this order, running jobs keep their minimum, and each other job is admitted if its minimum fits. The minimum
     // of a job that does not fit yet is deducted too, so that later jobs do not pass it: there would always be more of
     // them.
-    let mut left = limits(team);
-    for a in &mut own {
-        let floor = Resources { memory: 0, ..a.floor() };
-        if !a.begun && !floor.fits(left) {
-            a.claim.demand = 0;
+    let mut left = team_limits(team);
+    for a in &mut team_jobs {
+        let minimum = Resources { memory: 0, ..a.min_resources() };
+        if !a.running && !minimum.fits(left) {
+            a.claim.max_tasks = 0;
         }
-        left = left.minus(floor);
+        left = left.minus(minimum);
     }
     // Accelerators first: jobs that their limit does not admit leave processors to others.
     let accelerators = |need: Resources| need.gpu;
     let processors = |need: Resources| need.cpu;
-    fill_limit(team.gpus_max, accelerators, &mut own);
-    fill_limit(team.cpus_max, processors, &mut own);
+    cap_demands(team.gpus_max, accelerators, &mut team_jobs);
+    cap_demands(team.cpus_max, processors, &mut team_jobs);
 }
 
 /// Lowers demands to a fair division of one limit; `resource` selects the limited resource of a task's need.
-fn fill_limit(limit: f64, of: fn(Resources) -> u64, own: &mut [&mut Admitted<'_>]) {
+fn cap_demands(limit: f64, resource: fn(Resources) -> u64, team_jobs: &mut [&mut AdmittedJob<'_>]) {
     if limit <= 0.0 {
         return;
     }
-    let size = |a: &Admitted| of(a.job.spec.need()) as f64;
-    let mut users: Vec<&mut &mut Admitted> = own.iter_mut().filter(|a| size(a) > 0.0).collect();
-    let claims: Vec<Claim> = users.iter().map(|a| Claim { size: size(a), ..a.claim.clone() }).collect();
-    for (a, volume) in users.iter_mut().zip(share(&claims, limit * 1e3)) {
+    let size = |a: &AdmittedJob| resource(a.job.spec.need()) as f64;
+    let mut users: Vec<&mut &mut AdmittedJob> = team_jobs.iter_mut().filter(|a| size(a) > 0.0).collect();
+    let claims: Vec<Claim> = users.iter().map(|a| Claim { task_size: size(a), ..a.claim.clone() }).collect();
+    for (a, volume) in users.iter_mut().zip(fair_volumes(&claims, limit * 1e3)) {
         let claim = &mut a.claim;
-        claim.demand = claim.demand.min(volume.max(claim.floor));
+        claim.max_tasks = claim.max_tasks.min(volume.max(claim.min_tasks));
     }
 }
--- a/src/coordination/volumes.rs
+++ b/src/coordination/volumes.rs
@@ -9,42 +9,45 @@
 pub struct Claim {
     pub priority: f64,
     /// The most tasks that it can use.
-    pub demand: u32,
+    pub max_tasks: u32,
     /// The fewest tasks that it is given once admitted: 1, or all of a gang.
-    pub floor: u32,
+    pub min_tasks: u32,
     /// What one task takes of the pool.
-    pub size: f64,
+    pub task_size: f64,
 }
 
 impl Claim {
-    fn at(&self, alpha: f64) -> f64 {
-        (alpha * self.priority).min(f64::from(self.demand)).max(f64::from(self.floor.min(self.demand)))
+    fn volume_at(&self, alpha: f64) -> f64 {
+        (alpha * self.priority)
+            .min(f64::from(self.max_tasks))
+            .max(f64::from(self.min_tasks.min(self.max_tasks)))
     }
 }
 
 /// Divides `supply` among admitted claims. Claims of the same priority receive leftovers in the order given.
 ///
 /// Every claim gets its minimum, even if the minimums alone exceed the supply: the caller decides on admission.
-pub fn share(claims: &[Claim], supply: f64) -> Vec<u32> {
-    let used = |alpha: f64| claims.iter().map(|c| c.at(alpha) * c.size).sum::<f64>();
-    let top = claims.iter().map(|c| f64::from(c.demand) / c.priority).fold(0.0, f64::max);
-    if used(top) <= supply {
-        return claims.iter().map(|c| c.demand).collect();
+pub fn fair_volumes(claims: &[Claim], supply: f64) -> Vec<u32> {
+    let used = |alpha: f64| claims.iter().map(|c| c.volume_at(alpha) * c.task_size).sum::<f64>();
+    let max_alpha = claims.iter().map(|c| f64::from(c.max_tasks) / c.priority).fold(0.0, f64::max);
+    if used(max_alpha) <= supply {
+        return claims.iter().map(|c| c.max_tasks).collect();
     }
-    let (mut low, mut high) = (0.0, top);
+    let (mut low, mut high) = (0.0, max_alpha);
     for _ in 0..60 {
         let middle = (low + high) / 2.0;
         if used(middle) <= supply { low = middle } else { high = middle }
     }
-    let mut volumes: Vec<u32> = claims.iter().map(|c| (c.at(low) + 1e-9).floor() as u32).collect();
-    let mut left = supply - claims.iter().zip(&volumes).map(|(c, v)| c.size * f64::from(*v)).sum::<f64>();
+    let mut volumes: Vec<u32> = claims.iter().map(|c| (c.volume_at(low) + 1e-9).floor() as u32).collect();
+    let mut left =
+        supply - claims.iter().zip(&volumes).map(|(c, v)| c.task_size * f64::from(*v)).sum::<f64>();
     // Leftover units go to claims below their demand, one each, by priority.
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by(|a, b| claims[*b].priority.total_cmp(&claims[*a].priority));
     for i in order {
-        if volumes[i] < claims[i].demand && claims[i].size <= left + 1e-9 {
+        if volumes[i] < claims[i].max_tasks && claims[i].task_size <= left + 1e-9 {
             volumes[i] += 1;
-            left -= claims[i].size;
+            left -= claims[i].task_size;
         }
     }
     volumes
@@ -60,7 +63,7 @@
     /// supply is used up. C2: each volume is between 1 and the demand. C3: volumes are proportional to priorities, up
     /// to rounding.
     #[test]
-    fn volumes_keep_the_papers_three_conditions() {
+    fn fair_volumes_meet_the_papers_three_conditions() {
         for seed in 0..400 {
             let mut rng = StdRng::seed_from_u64(seed);
             let n = rng.random_range(1..30usize);
@@ -68,21 +71,21 @@
             let claims: Vec<Claim> = (0..n)
                 .map(|_| Claim {
                     priority: [1.0, 4.0, 16.0, 64.0][rng.random_range(0..4)],
-                    demand: rng.random_range(1..40),
-                    floor: 1,
-                    size: 1.0,
+                    max_tasks: rng.random_range(1..40),
+                    min_tasks: 1,
+                    task_size: 1.0,
                 })
                 .collect();
-            let volumes = share(&claims, f64::from(supply));
+            let volumes = fair_volumes(&claims, f64::from(supply));
             let total: u32 = volumes.iter().sum();
-            let satisfied = claims.iter().zip(&volumes).all(|(c, v)| *v == c.demand);
+            let satisfied = claims.iter().zip(&volumes).all(|(c, v)| *v == c.max_tasks);
             assert!(satisfied || total == supply, "C1: {total} of {supply}, seed {seed}");
             for (c, v) in claims.iter().zip(&volumes) {
-                assert!((1..=c.demand).contains(v), "C2, seed {seed}");
+                assert!((1..=c.max_tasks).contains(v), "C2, seed {seed}");
             }
             for (a, va) in claims.iter().zip(&volumes) {
                 for (b, vb) in claims.iter().zip(&volumes) {
-                    if a.priority >= b.priority && *va < a.demand && *vb > 1 {
+                    if a.priority >= b.priority && *va < a.max_tasks && *vb > 1 {
                         let fair = f64::from(*vb - 1) * a.priority / b.priority;
                         assert!(f64::from(*va) + 1.0 >= fair, "C3: {va} against {vb}, seed {seed}");
                     }
@@ -92,17 +95,17 @@
     }
 
     #[test]
-    fn the_papers_example_comes_out() {
-        let claim = |priority, demand| Claim { priority, demand, floor: 1, size: 1.0 };
+    fn fair_volumes_match_the_papers_example() {
+        let claim = |priority, max_tasks| Claim { priority, max_tasks, min_tasks: 1, task_size: 1.0 };
         // With alpha = 0.8 the volumes are 0.8 (raised to 1), 1.6, 2.4 and 2, the last one capped by its demand.
         let claims = [claim(1.0, 4), claim(2.0, 5), claim(3.0, 5), claim(4.0, 2)];
-        assert_eq!(share(&claims, 7.0), [1, 1, 3, 2]);
+        assert_eq!(fair_volumes(&claims, 7.0), [1, 1, 3, 2]);
     }
 
     #[test]
-    fn gangs_are_given_whole() {
-        let gang = Claim { priority: 1.0, demand: 8, floor: 8, size: 2.0 };
-        let array = Claim { priority: 4.0, demand: 50, floor: 1, size: 1.0 };
-        assert_eq!(share(&[gang, array], 30.0), [8, 14]);
+    fn gangs_receive_all_their_tasks() {
+        let gang = Claim { priority: 1.0, max_tasks: 8, min_tasks: 8, task_size: 2.0 };
+        let array = Claim { priority: 4.0, max_tasks: 50, min_tasks: 1, task_size: 1.0 };
+        assert_eq!(fair_volumes(&[gang, array], 30.0), [8, 14]);
     }
 }
--- a/src/coordination/waiting.rs
+++ b/src/coordination/waiting.rs
@@ -161,7 +161,7 @@
             Some(WaitReason::TakingOver)
         } else if self.held(id) {
             Some(WaitReason::RetryLater)
-        } else if self.wanted(job) == 0 {
+        } else if self.target_task_count(job) == 0 {
             Some(WaitReason::NotAdmitted)
         } else {
             job.wait.passed_over
--- a/src/coordination/words.rs
+++ b/src/coordination/words.rs
@@ -188,7 +188,7 @@
             stamp: self.lease.as_ref().map_or(0, |l| l.stamp),
             store_ok: self.now.since(self.store_heard) < Micros::from_secs(2),
             adopted: !self.taking_over && self.in_view(),
-            usage: self.usage(),
+            usage: self.usage_by_team(),
             usage_exact: self.usage_is_exact(),
             machines: Vec::new(),
             tallies: Vec::new(),
@@ -222,12 +222,12 @@
             PeerMessage::Plan(plan) => self.plan_said(&plan),
             PeerMessage::Volumes { leader, volumes, kept, reserved, surplus, .. } => {
                 if self.leader.as_ref().is_some_and(|l| l.0 == from && l.2 == leader) {
-                    self.take_volumes(&volumes, kept, reserved);
+                    self.apply_volumes(&volumes, kept, reserved);
                     self.stop_surplus(&surplus);
                 }
             }
             PeerMessage::Addresses(list) => self.take_addresses(&list),
-            PeerMessage::Heard { machine } => self.heard_elsewhere(machine, from),
+            PeerMessage::Heard { machine } => self.note_misdirected_report(machine, from),
             PeerMessage::Stray { machine, kind, zone, spot } => self.stray(machine, kind, zone, spot),
         }
     }
