--- a/src/coordination/volumes.rs
+++ b/src/coordination/volumes.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub struct Claim {
     pub priority: f64,
-    /// The most tasks that it can use.
+    /// The most tasks that it can use: its demand.
     pub max_tasks: u32,
     /// The fewest tasks that it is given once admitted: 1, or all of a gang.
     pub min_tasks: u32,
