--- a/src/coordination/blocks.rs
+++ b/src/coordination/blocks.rs
@@ -393,10 +393,12 @@
         if waited_too_long { zones.saturating_sub(1).max(1) } else { (zones / 2).max(1) }
     }
 
+    /// Whether a job has waited for longer than the operators' setting allows.
     fn exceeds_longest_wait(&self, job: &Job) -> bool {
         self.now.since(job.since).as_secs_f64() > self.tuning.longest_wait_s
     }
 
+    /// Notes that a machine has reported to a controller that does not hold it.
     pub(super) fn note_misdirected_report(&mut self, machine: String, by: String) {
         let now = self.now;
         if let Some(lead) = &mut self.lead {
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -69,14 +69,14 @@
         !job.adopting && !job.completing && job.owner.as_deref() == Some(self.me())
     }
 
+    /// Whether no volumes have come from the leader for three rounds.
     fn leader_silent(&self) -> bool {
         self.now.since(self.volumes_heard) > Micros::from_secs_f64(self.tuning.round_s * 3.0)
     }
 
     /// How many tasks of a job its owner may have placed at a time.
     pub(super) fn target_task_count(&self, job: &Job) -> u32 {
-        // Without volumes from the leader for three rounds, work goes on within the machines that this controller
-        // holds.
+        // Without volumes from the leader, work goes on within the machines that this controller holds.
         let no_recent_volumes =
             self.leader_silent() && self.now.since(job.since) > Micros::from_secs_f64(self.tuning.round_s);
         let unfinished = self.worth_trying(&job.spec.id, job);
@@ -331,7 +331,8 @@
         }
     }
 
-    /// Estimated time until a machine has a job's image. Fetches at the same time share the machine's fetch rate.
+    /// Estimated time until a machine has a job's image, zero if it has it already. Fetches at the same time share the
+    /// machine's fetch rate.
     pub(super) fn fetch_time(&self, spec: &JobSpec, machine: &Machine) -> Micros {
         if machine.has_image(&spec.image) {
             return Micros::ZERO;
--- a/src/coordination/quota/division.rs
+++ b/src/coordination/quota/division.rs
@@ -53,14 +53,14 @@
     let none = Resources::default();
     let sum = |amounts: &mut dyn Iterator<Item = Resources>| amounts.fold(none, Resources::plus);
     let undivided = members.iter().all(|m| m.granted == none);
-    let mut next: Vec<Resources> =
+    let mut new_shares: Vec<Resources> =
         members.iter().map(|m| if undivided { m.used } else { m.granted }).collect();
     // A reduction in proportion is not enough: two controllers kept running what was beyond their shares, and the
     // third, whose tasks had been counted twice, started as many as its share allowed: 41 of 40.
-    let excess = sum(&mut next.iter().copied()).minus(limit);
-    next.iter_mut().for_each(|n| *n = n.minus(excess));
+    let excess = sum(&mut new_shares.iter().copied()).minus(limit);
+    new_shares.iter_mut().for_each(|share| *share = share.minus(excess));
     // What a member may use, or uses beyond its share, cannot be given to another.
-    let committed = sum(&mut next.iter().zip(members).map(|(n, m)| n.max(m.used)));
+    let committed = sum(&mut new_shares.iter().zip(members).map(|(share, m)| share.max(m.used)));
     let mut spare = limit.minus(committed);
     let mut targets: Vec<Resources> = members.iter().map(|m| m.used).collect();
     let mut left = limit.minus(sum(&mut targets.iter().copied()));
@@ -70,22 +70,22 @@
         let target = targets[i].plus(unit.need.times(count));
         left = left.minus(unit.need.times(count));
         // As many starts of the unit as fit into what is free now.
-        let available = next[i].plus(spare).minus(targets[i]);
+        let available = new_shares[i].plus(spare).minus(targets[i]);
         let at_once = count.min(unit.need.times_in(available));
         let grown = targets[i].plus(unit.need.times(at_once));
-        let more = grown.minus(next[i]);
+        let more = grown.minus(new_shares[i]);
         if at_once > 0 && more.fits(spare) {
-            next[i] = next[i].max(grown);
+            new_shares[i] = new_shares[i].max(grown);
             spare = spare.minus(more);
         }
-        some_lack_room |= count < unit.count || !target.fits(next[i]);
+        some_lack_room |= count < unit.count || !target.fits(new_shares[i]);
         targets[i] = target;
     }
     if some_lack_room {
         // What is beyond a target is given up, so that the next division can give it to others.
-        next.iter_mut().zip(&targets).for_each(|(n, target)| *n = n.min(*target));
+        new_shares.iter_mut().zip(&targets).for_each(|(share, target)| *share = share.min(*target));
     }
-    next
+    new_shares
 }
 
 /// All units with the indices of their members, in order.
--- a/src/coordination/quota/grants.rs
+++ b/src/coordination/quota/grants.rs
@@ -22,12 +22,12 @@
     /// divided. When a limit was divided at once, by a record that was committed late, the record reached a controller
     /// that had not counted meanwhile and had gone beyond its share.
     pub(in crate::coordination) fn divide_limits(&mut self) -> bool {
-        let bound = self.find_teams_with_binding_limit();
+        let binding = self.find_teams_with_binding_limit();
         let divided = self.quota.0.view == self.view_stamp;
         let is_divided = |t: &Team| divided && self.quota.0.rows.iter().any(|r| r.team == t.name);
         // A team without jobs needs no share; its limit is binding all the same.
         let has_jobs = |t: &Team| is_divided(t) || self.jobs.values().any(|j| j.spec.team == t.name);
-        let teams = self.settings.params.teams.iter().filter(|t| bound.contains(&t.name) && has_jobs(t));
+        let teams = self.settings.params.teams.iter().filter(|t| binding.contains(&t.name) && has_jobs(t));
         let teams: Vec<Team> = teams.cloned().collect();
         if teams.is_empty() || self.view.members.is_empty() {
             return false;
--- a/src/coordination/quota/guard.rs
+++ b/src/coordination/quota/guard.rs
@@ -96,8 +96,8 @@
     /// usage is within its share. Usage of a resource of which nothing was planned may exceed the share while tasks
     /// count in several places.
     pub(in crate::coordination) fn check_planned(&mut self, planned: &BTreeMap<String, Resources>) {
-        let bound = planned.iter().filter(|(team, _)| self.bound.contains(*team));
-        let exceeding = bound.filter(|(team, amount)| !self.within_share(team, **amount));
+        let binding = planned.iter().filter(|(team, _)| self.bound.contains(*team));
+        let exceeding = binding.filter(|(team, amount)| !self.within_share(team, **amount));
         for team in exceeding.map(|(team, _)| team.clone()).collect::<Vec<_>>() {
             self.record_breach(Breach::PlannedBeyondShare, &team);
         }
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Whether this controller's usage includes no task that only may be running.
+    /// Whether this controller's usage counts nothing for tasks that are only possibly running.
     pub(in crate::coordination) fn usage_is_exact(&self) -> bool {
         self.overcount_reason().is_none()
     }
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -145,20 +145,21 @@
     /// void.
     pub(in crate::coordination) fn renew_permits(&mut self) {
         let permit = self.active_permit().0;
-        let bound = if self.placing { self.find_teams_with_binding_limit() } else { BTreeSet::new() };
-        let goes_on = |task: &TaskId| self.jobs.get(&task.job).is_some_and(|j| !bound.contains(&j.spec.team));
+        let binding = if self.placing { self.find_teams_with_binding_limit() } else { BTreeSet::new() };
+        let goes_on =
+            |task: &TaskId| self.jobs.get(&task.job).is_some_and(|j| !binding.contains(&j.spec.team));
         let mut lapsed: Vec<(String, TaskId)> = Vec::new();
         let mut renewed: Vec<(String, TaskId)> = Vec::new();
         for (name, machine) in &self.machines {
-            for (task, on) in machine.tasks.iter().filter(|(_, t)| t.planned()) {
+            for (task, placed_task) in machine.tasks.iter().filter(|(_, t)| t.planned()) {
                 let list = if self.placing && goes_on(task) { &mut renewed } else { &mut lapsed };
                 list.push((name.clone(), task.clone()));
-                debug_assert!(on.pending.is_some());
+                debug_assert!(placed_task.pending.is_some());
             }
         }
         for (name, task) in renewed {
-            if let Some(on) = self.machines.get_mut(&name).and_then(|m| m.tasks.get_mut(&task)) {
-                on.pending = Some(Pending::Planned(permit));
+            if let Some(placed_task) = self.machines.get_mut(&name).and_then(|m| m.tasks.get_mut(&task)) {
+                placed_task.pending = Some(Pending::Planned(permit));
             }
         }
         for (name, task) in lapsed {
@@ -169,10 +170,10 @@
     /// Cancels planned starts on a machine whose permits are no longer valid: a direct call that was not carried out
     /// may have carried them while the view changed.
     pub(in crate::coordination) fn cancel_unpermitted_starts(&mut self, name: &str) {
-        let in_force = self.active_permit();
+        let active_permit = self.active_permit();
         let Some(machine) = self.machines.get(name) else { return };
         let lapsed = |pending: Option<Pending>| match pending {
-            Some(Pending::Planned(permit)) => !in_force.covers(permit),
+            Some(Pending::Planned(permit)) => !active_permit.covers(permit),
             _ => false,
         };
         let tasks = machine.tasks.iter().filter(|(_, t)| lapsed(t.pending));
--- a/src/coordination/quota/usage.rs
+++ b/src/coordination/quota/usage.rs
@@ -99,6 +99,7 @@
         all.fold((0, 0), |(cpu, gpu), (need, n)| (cpu + need.cpu * n, gpu + need.gpu * n))
     }
 
+    /// Processors and accelerators that this controller's jobs use, for each team with a limit.
     pub(in crate::coordination) fn usage_by_team(&self) -> Vec<(String, u64, u64)> {
         let limited = self.settings.params.teams.iter().filter(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0);
         limited
