--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -26,7 +26,7 @@
         let recent = Micros(self.report_every.0 * 2);
         let overdue = self.max_report_gap() + PROBE_DELAY;
         let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
-        let gate = StartGate::new(self.confirmed_through(), self.permits_in_force(), &self.jobs);
+        let gate = StartGate::new(self.confirmed_through(), self.active_permit(), &self.jobs);
         for (name, m) in &mut self.machines {
             let mine = m.row.node == stamp && m.row.owner == self.settings.member;
             let known = m.session != 0 || !m.resolved;
@@ -156,7 +156,7 @@
                     self.schedule_status();
                 }
                 self.drop_disowned_starts(name);
-                self.drop_unpermitted(name);
+                self.cancel_unpermitted_starts(name);
             }
             DirectReply::Unclear if asked => self.schedule_status(),
             DirectReply::Unclear => {
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -388,7 +388,7 @@
         for (id, job) in other_jobs.filter(|(id, j)| self.worth_renting_for(id, j)) {
             let waiting = self.tasks_worth_starting(id, job).saturating_sub(job.placed());
             if waiting > 0 && (job.spec.floor() == 1 || job.placements.is_empty()) {
-                let zones = self.zones_left(id, job, std::iter::empty());
+                let zones = self.zone_headroom(id, job, std::iter::empty());
                 self.add_wanted(
                     &job.spec,
                     u64::from(waiting),
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::coordination::Controller;
-use crate::coordination::placement::{MOST_STARTS, Only, Rooms};
+use crate::coordination::placement::{AvailableCapacity, MAX_STARTS_PER_PASS, MachineFilter};
 use crate::coordination::waiting::WaitReason;
 use crate::protocol::job::JobSpec;
 use crate::protocol::units::Micros;
@@ -12,10 +12,14 @@
 impl Controller {
     /// Plans starts of all tasks of a gang and returns their number, or plans none and returns the reason. If tasks of
     /// the gang are still placed, only replacements for missing ones of the same attempt are planned.
-    pub(super) fn place_gang(&mut self, id: &str, rooms: &mut Rooms) -> Result<usize, WaitReason> {
+    pub(super) fn place_gang(
+        &mut self,
+        id: &str,
+        rooms: &mut AvailableCapacity,
+    ) -> Result<usize, WaitReason> {
         let Some(job) = self.jobs.get(id) else { return Ok(0) };
         let spec = job.spec.clone();
-        if self.wanted(job) < spec.tasks {
+        if self.target_task_count(job) < spec.tasks {
             return Err(WaitReason::NotAdmitted);
         }
         if !job.placements.is_empty() {
@@ -39,8 +43,9 @@
         // come next.
         let mut best: Option<(usize, Vec<String>)> = None;
         for zone in zones {
-            let only = zone.as_deref().map_or(Only::All, Only::Zone);
-            let mut names = self.choose(&spec, size.max(MOST_STARTS), rooms, BTreeMap::new(), &only);
+            let only = zone.as_deref().map_or(MachineFilter::All, MachineFilter::Zone);
+            let mut names =
+                self.choose_machines(&spec, size.max(MAX_STARTS_PER_PASS), rooms, BTreeMap::new(), &only);
             let slots = names.len();
             names.truncate(size);
             if names.len() == size && best.as_ref().is_none_or(|(least, _)| slots < *least) {
@@ -48,17 +53,22 @@
             }
         }
         let Some((_, chosen)) = best else { return Err(WaitReason::NoMachine) };
-        rooms.take(&chosen, need);
+        rooms.allocate(&chosen, need);
         let attempt = self.next_attempt(id);
         for (index, name) in chosen.iter().enumerate() {
-            self.plan(id, index as u32, attempt, name, &mut allowance);
+            self.plan_start(id, index as u32, attempt, name, &mut allowance);
         }
         Ok(size)
     }
 
     /// Plans replacements for missing tasks of a gang that has not begun to run, with the gang's attempt number. A task
     /// is missing if its start was lost or refused.
-    fn replace_missing_gang_tasks(&mut self, id: &str, spec: &JobSpec, rooms: &mut Rooms) -> usize {
+    fn replace_missing_gang_tasks(
+        &mut self,
+        id: &str,
+        spec: &JobSpec,
+        rooms: &mut AvailableCapacity,
+    ) -> usize {
         let Some(job) = self.jobs.get(id) else { return 0 };
         let mut attempts = BTreeSet::new();
         for (index, places) in &job.placements {
@@ -72,11 +82,12 @@
         let missing: Vec<u32> = (0..spec.tasks).filter(|i| !job.placements.contains_key(i)).collect();
         let (Some(attempt), 1) = (attempts.first().copied(), attempts.len()) else { return 0 };
         let mut allowance = self.allowance(spec);
-        let max_tasks = spec.need().times_in(allowance.room()).min(missing.len() as u64);
-        let names = self.choose(spec, max_tasks as usize, rooms, self.zone_counts(id), &Only::All);
-        rooms.take(&names, spec.need());
+        let max_tasks = spec.need().times_in(allowance.remaining()).min(missing.len() as u64);
+        let names =
+            self.choose_machines(spec, max_tasks as usize, rooms, self.zone_counts(id), &MachineFilter::All);
+        rooms.allocate(&names, spec.need());
         for (index, name) in missing.iter().zip(&names) {
-            self.plan(id, *index, attempt, name, &mut allowance);
+            self.plan_start(id, *index, attempt, name, &mut allowance);
         }
         names.len()
     }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -11,7 +11,7 @@
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, BlockRow, ViewRecord};
 use crate::coordination::backfill::Backfill;
-use crate::coordination::blocks::{SETTLE, ZonesLeft};
+use crate::coordination::blocks::{MOVE_COOLDOWN, ZoneHeadroom};
 use crate::coordination::eligibility::allows;
 use crate::coordination::fleet::FleetState;
 use crate::coordination::model::{Job, Machine};
@@ -101,7 +101,7 @@
     pub job: String,
     pub count: u64,
     /// How many of them each zone may take, if the job restricts zones.
-    pub zones: ZonesLeft,
+    pub zones: ZoneHeadroom,
 }
 
 impl Controller {
@@ -138,7 +138,7 @@
             return;
         }
         self.fleet_tick();
-        if self.leader_state.as_ref().is_some_and(|l| l.awaiting_quota_acks) && self.may_divide() {
+        if self.leader_state.as_ref().is_some_and(|l| l.awaiting_quota_acks) && self.may_divide_limits() {
             self.schedule_round();
         }
         if self.leader_state.as_ref().is_none_or(|l| self.now < l.round_at) {
@@ -389,7 +389,7 @@
     /// Computes and broadcasts the volumes. Unless a grant is in flight, it then changes at most one of the quota,
     /// the machines' owners and the completion records, and rents machines unless the quota has changed.
     fn run_round(&mut self) {
-        let (mut volumes, shares) = self.volumes();
+        let (mut volumes, shares) = self.plan_volumes();
         self.note_stalls();
         self.backfill(&mut volumes);
         if let Some(lead) = &mut self.leader_state {
@@ -406,7 +406,7 @@
         let kept = self.choose_fast_start_machines();
         let surplus = self.find_surplus(&volumes);
         let reserved = self.gang_reservations.clone();
-        self.take_volumes(&volumes, kept.clone(), reserved.clone());
+        self.apply_volumes(&volumes, kept.clone(), reserved.clone());
         let message =
             PeerMessage::Volumes { leader, round, volumes, kept, reserved, surplus: surplus.clone() };
         self.effects.push(Effect::Send(None, message));
@@ -415,17 +415,17 @@
             return;
         }
         self.check_usage();
-        if self.allot() {
+        if self.divide_limits() {
             return;
         }
-        let (moves, added) = self.plan_blocks();
+        let (moves, added) = self.plan_machine_moves();
         if !moves.is_empty() || !added.is_empty() {
             let moved_at = self.now;
             if let Some(lead) = &mut self.leader_state {
                 for name in moves.keys() {
                     lead.moved_at.insert(name.clone(), moved_at);
                 }
-                lead.moved_at.retain(|_, at| moved_at.since(*at) < SETTLE);
+                lead.moved_at.retain(|_, at| moved_at.since(*at) < MOVE_COOLDOWN);
             }
             self.grant(moves, added, BTreeSet::new(), None);
         } else {
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -90,7 +90,7 @@
         }
         let placed = self.begin_due_placement();
         if placed {
-            self.place();
+            self.run_placement_pass();
             self.status_tick();
         }
         let answer = self.build_report_answer(&proof, &name, session, tally);
@@ -293,7 +293,7 @@
             .unwrap_or_default();
         self.drop_planned_starts(name, |id| unwanted.contains(id));
         self.drop_disowned_starts(name);
-        self.drop_unpermitted(name);
+        self.cancel_unpermitted_starts(name);
         let live: BTreeMap<String, bool> = self
             .machines
             .get(name)
@@ -313,7 +313,7 @@
             })
             .unwrap_or_default();
         let now = self.now;
-        let gate = StartGate::new(self.confirmed_through(), self.permits_in_force(), &self.jobs);
+        let gate = StartGate::new(self.confirmed_through(), self.active_permit(), &self.jobs);
         let Some(machine) = self.machines.get_mut(name) else {
             return proof.answer(0, orders);
         };
@@ -467,7 +467,7 @@
     fn notify_leader_of_misdirected_report(&mut self, machine: &str) {
         let me = self.settings.member.clone();
         if self.leader_state.is_some() {
-            self.heard_elsewhere(machine.to_owned(), me);
+            self.note_misdirected_report(machine.to_owned(), me);
         } else if let Some((leader, ..)) = &self.leader {
             let heard = PeerMessage::Heard { machine: machine.to_owned() };
             self.effects.push(Effect::Send(Some(leader.clone()), heard));
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -441,7 +441,7 @@
             Event::Withdraw(request, job) => self.handle_withdrawal(request, job),
         }
         if self.begin_due_placement() {
-            self.place();
+            self.run_placement_pass();
             self.status_tick();
             self.send_direct_calls();
         }
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -9,7 +9,7 @@
 
 use crate::bookkeeping::records::{BlockRow, TaskSet};
 pub use crate::coordination::pending::PendingStart;
-use crate::coordination::quota::{InForce, Permit};
+use crate::coordination::quota::{ActivePermit, Permit};
 use crate::coordination::waiting::JobWait;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::units::{Micros, Resources};
@@ -250,7 +250,7 @@
     pub(in crate::coordination) fn startable_permit(
         &self,
         confirmed_through: u64,
-        in_force: InForce,
+        in_force: ActivePermit,
     ) -> Option<Permit> {
         let announced = self.announced_in_status != 0 && self.announced_in_status <= confirmed_through;
         match self.pending {
--- a/src/coordination/quota/guard.rs
+++ b/src/coordination/quota/guard.rs
@@ -1,7 +1,7 @@
-//! What must hold of teams' limits, checked as it happens.
+//! Run-time checks of the invariants of teams' limits.
 //!
-//! A breach is a fault of this program. It is logged with all that the decision rested on and counted for the operators;
-//! nothing more of the team starts here until the rule holds again. In tests it panics.
+//! A breach is a bug in this program. It is logged with everything that the decision was based on, and counted in the
+//! metrics; this controller starts nothing more of the team until the invariant holds again. In tests it panics.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,22 +9,22 @@
 use crate::coordination::Controller;
 use crate::protocol::units::{Micros, Resources};
 
-/// How long the members may seem to use more than a limit together: their statuses are of different moments.
-const STATUSES_DIFFER: Micros = Micros::from_secs(3);
+/// How long the members together may seem to use more than a limit: their statuses are from different moments.
+const USAGE_EXCESS_GRACE: Micros = Micros::from_secs(3);
 
-/// A rule of teams' limits that has been broken.
+/// An invariant of teams' limits that has been violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
-    /// More was planned here than this controller's share has room for.
+    /// This controller has planned more than its share has room for.
     PlannedBeyondShare,
     /// The shares in force add up to more than the limit.
     SharesBeyondLimit,
-    /// All members together use more than the limit, and nothing explains it.
+    /// All members together use more than the limit, and no overcount explains it.
     UsageBeyondLimit,
 }
 
 impl Breach {
-    /// Its name among the operators' counters.
+    /// The label value in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Breach::PlannedBeyondShare => "planned_beyond_share",
@@ -33,76 +33,78 @@
         }
     }
 
-    /// All of them, for the counters.
+    /// All kinds, for the metrics.
     pub fn all() -> [Breach; 3] {
         [Breach::PlannedBeyondShare, Breach::SharesBeyondLimit, Breach::UsageBeyondLimit]
     }
 }
 
-/// Why a controller may count more than runs: it says so with its usage.
+/// Why a controller may count more usage than there is. Its status tells the others whether it does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CountedTwice {
-    /// A task counts wherever it may be until a machine that changed hands is known again.
+enum OvercountReason {
+    /// A task counts wherever it may be until the state of a machine that changed owner is resolved.
     MachinesUnresolved,
-    /// Tasks of jobs that were over before this controller joined count as all that their machines have left.
+    /// Tasks of jobs that ended before this controller joined count as all the room that is left on their machines.
     UnknownTasks,
 }
 
-/// The breaches so far, and the teams of which nothing more is started here.
+/// The breaches so far, and the teams of which this controller starts nothing more.
 #[derive(Debug, Default)]
 pub(crate) struct Guard {
     counts: BTreeMap<Breach, u64>,
     halted: BTreeSet<String>,
     /// Since when the members have seemed to use more than a team's limit.
-    exceeded: BTreeMap<String, Micros>,
-    /// How often all usage could be compared with the limits, and how often it could not, since members counted more than
-    /// runs.
-    compared: (u64, u64),
-    /// Breaches are counted and halt the team, as in production, rather than panic.
+    exceeded_since: BTreeMap<String, Micros>,
+    /// How often the usage of all members could be compared with the limits, and how often it could not because members
+    /// may overcount.
+    usage_checks: (u64, u64),
+    /// Breaches are counted and halt the team, as in production, instead of causing a panic.
     #[cfg(test)]
-    pub tolerant: bool,
+    pub tolerate_breaches: bool,
 }
 
 impl Guard {
-    /// Whether nothing more of a team may start here.
-    pub fn halts(&self, team: &str) -> bool {
+    /// Whether this controller starts nothing more of a team.
+    pub fn is_halted(&self, team: &str) -> bool {
         self.halted.contains(team)
     }
 
-    /// How often all usage has been compared with the limits here, and how often it could not be.
+    /// How often the usage of all members has been compared with the limits here, and how often it could not be.
     #[cfg(test)]
-    pub fn compared(&self) -> (u64, u64) {
-        self.compared
+    pub fn usage_checks(&self) -> (u64, u64) {
+        self.usage_checks
     }
 
-    /// How often a rule has been broken.
+    /// How often an invariant has been violated.
     pub fn count(&self, breach: Breach) -> u64 {
         self.counts.get(&breach).copied().unwrap_or_default()
     }
 }
 
-/// Whether an amount is more than a limit, in thousandths; 0 is none.
-fn beyond(limit: f64, amount: u64) -> bool {
+/// Whether an amount in thousandths exceeds a limit; a limit of 0 is no limit.
+fn exceeds(limit: f64, amount: u64) -> bool {
     limit > 0.0 && amount > (limit * 1e3) as u64
 }
 
 impl Controller {
-    /// How often a rule of limits has been broken here.
+    /// How often this controller has recorded a breach of this kind.
     pub fn quota_breaches(&self, breach: Breach) -> u64 {
         self.quota_guard.count(breach)
     }
 
-    /// What has been planned of each team in this pass: of that, what is used now is within this controller's shares.
-    /// What was not planned may be beyond them, while it counts in several places.
+    /// Checks, for each team and resource of which something has been planned in this pass, that this controller's
+    /// usage is within its share. Usage of a resource of which nothing was planned may exceed the share while tasks
+    /// count in several places.
     pub(in crate::coordination) fn check_planned(&mut self, planned: &BTreeMap<String, Resources>) {
-        let bound = planned.iter().filter(|(team, _)| self.teams_with_binding_limit.contains(*team));
-        let beyond = bound.filter(|(team, amount)| !self.within_share(team, **amount));
-        for team in beyond.map(|(team, _)| team.clone()).collect::<Vec<_>>() {
-            self.breached(Breach::PlannedBeyondShare, &team);
+        let binding = planned.iter().filter(|(team, _)| self.teams_with_binding_limit.contains(*team));
+        let exceeding = binding.filter(|(team, amount)| !self.within_share(team, **amount));
+        for team in exceeding.map(|(team, _)| team.clone()).collect::<Vec<_>>() {
+            self.record_breach(Breach::PlannedBeyondShare, &team);
         }
     }
 
-    /// Whether this controller's jobs of a team use no more than its share, of what the amount has any of.
+    /// Whether this controller's jobs of a team use no more than its share, for each resource of which `of` is not
+    /// zero.
     fn within_share(&self, team: &str, of: Resources) -> bool {
         let Some(limits) = self.settings.params.teams.iter().find(|t| t.name == team) else { return false };
         let (cpu, gpu) = self.own_share(team).unwrap_or_default();
@@ -112,7 +114,7 @@
     }
 
     /// The teams of which a record grants more than their limits.
-    fn granted_beyond(&self, record: &QuotaRecord) -> Vec<String> {
+    fn overgranted_teams(&self, record: &QuotaRecord) -> Vec<String> {
         let sum = |team: &str| {
             let rows = record.rows.iter().filter(|r| r.team == team);
             rows.fold((0, 0), |(cpu, gpu), r| (cpu + r.cpu, gpu + r.gpu))
@@ -120,15 +122,16 @@
         let teams = self.settings.params.teams.iter();
         let more = teams.filter(|t| {
             let (cpu, gpu) = sum(&t.name);
-            beyond(t.cpus_max, cpu) || beyond(t.gpus_max, gpu)
+            exceeds(t.cpus_max, cpu) || exceeds(t.gpus_max, gpu)
         });
         more.map(|t| t.name.clone()).collect()
     }
 
-    /// A division is in force: it grants no more than the limits.
+    /// Checks that a division that has come into force grants no more than the limits, and logs this controller's
+    /// shares.
     pub(in crate::coordination) fn check_shares(&mut self) {
-        for team in self.granted_beyond(&self.quota_record.0) {
-            self.breached(Breach::SharesBeyondLimit, &team);
+        for team in self.overgranted_teams(&self.quota_record.0) {
+            self.record_breach(Breach::SharesBeyondLimit, &team);
         }
         if self.quota_record.0.view != self.view_revision {
             return;
@@ -142,78 +145,83 @@
                     stamp = self.quota_record.1,
                     cpu,
                     gpu,
-                    "share of a limit"
+                    "own share of a team's limit"
                 );
             }
         }
     }
 
-    /// Whether this controller counts nothing for what only may be somewhere.
+    /// Whether this controller's usage counts nothing for tasks that are only possibly running.
     pub(in crate::coordination) fn usage_is_exact(&self) -> bool {
-        self.counted_twice().is_none()
+        self.overcount_reason().is_none()
     }
 
-    /// Why this controller may count more than runs.
-    fn counted_twice(&self) -> Option<CountedTwice> {
+    /// Why this controller may count more usage than there is.
+    fn overcount_reason(&self) -> Option<OvercountReason> {
         if self.machines.values().any(|m| !m.never_granted() && !m.resolved) {
-            Some(CountedTwice::MachinesUnresolved)
+            Some(OvercountReason::MachinesUnresolved)
         } else if !self.machines_with_unknown_tasks.is_empty() {
-            Some(CountedTwice::UnknownTasks)
+            Some(OvercountReason::UnknownTasks)
         } else {
             None
         }
     }
 
-    /// The leader compares what all members use of the limits that are divided with these limits.
+    /// On the leader: compares what all members use of the divided limits with these limits.
     pub(in crate::coordination) fn check_usage(&mut self) {
-        if !self.may_divide() || self.quota_record.0.view != self.view_revision {
-            return self.quota_guard.exceeded.clear();
+        if !self.may_divide_limits() || self.quota_record.0.view != self.view_revision {
+            return self.quota_guard.exceeded_since.clear();
         }
         let now = self.now;
-        let exact =
-            |(member, node): &(String, u64)| self.status_of(member, *node).is_some_and(|s| s.usage_exact);
-        let unexplained = self.usage_is_exact() && self.view.members.iter().all(exact);
-        let (made, left_out) = &mut self.quota_guard.compared;
-        *(if unexplained { made } else { left_out }) += 1;
+        let exact = |(member, registration): &(String, u64)| {
+            self.status_of(member, *registration).is_some_and(|s| s.usage_exact)
+        };
+        let all_exact = self.usage_is_exact() && self.view.members.iter().all(exact);
+        let (made, skipped) = &mut self.quota_guard.usage_checks;
+        *(if all_exact { made } else { skipped }) += 1;
         let teams = self.settings.params.teams.iter().filter(|t| {
-            let (cpu, gpu) = self.usage_told(&t.name);
+            let (cpu, gpu) = self.reported_usage(&t.name);
             let divided = self.quota_record.0.rows.iter().any(|r| r.team == t.name);
-            divided && unexplained && (beyond(t.cpus_max, cpu) || beyond(t.gpus_max, gpu))
+            divided && all_exact && (exceeds(t.cpus_max, cpu) || exceeds(t.gpus_max, gpu))
         });
         let teams: BTreeSet<String> = teams.map(|t| t.name.clone()).collect();
-        self.quota_guard.exceeded.retain(|team, _| teams.contains(team));
+        self.quota_guard.exceeded_since.retain(|team, _| teams.contains(team));
         for team in teams {
-            let since = *self.quota_guard.exceeded.entry(team.clone()).or_insert(now);
-            if now.since(since) > STATUSES_DIFFER && !self.quota_guard.halts(&team) {
-                self.breached(Breach::UsageBeyondLimit, &team);
+            let since = *self.quota_guard.exceeded_since.entry(team.clone()).or_insert(now);
+            if now.since(since) > USAGE_EXCESS_GRACE && !self.quota_guard.is_halted(&team) {
+                self.record_breach(Breach::UsageBeyondLimit, &team);
             }
         }
     }
 
-    /// What all members say that their jobs of a team use.
-    fn usage_told(&self, team: &str) -> (u64, u64) {
-        let words = self.view.members.iter().filter_map(|(member, node)| self.status_of(member, *node));
-        let rows = words.flat_map(|status| &status.usage).filter(|row| row.0 == team);
+    /// What all members report that their jobs of a team use.
+    fn reported_usage(&self, team: &str) -> (u64, u64) {
+        let statuses = self
+            .view
+            .members
+            .iter()
+            .filter_map(|(member, registration)| self.status_of(member, *registration));
+        let rows = statuses.flat_map(|status| &status.usage).filter(|row| row.0 == team);
         rows.fold((0, 0), |(cpu, gpu), row| (cpu + row.1, gpu + row.2))
     }
 
-    /// Starts of teams that were halted go on where the rules hold again.
+    /// Resumes starts of halted teams for which the invariants hold again.
     pub(in crate::coordination) fn lift_halts(&mut self) {
         if self.quota_guard.halted.is_empty() {
             return;
         }
-        let beyond = self.granted_beyond(&self.quota_record.0);
+        let overgranted = self.overgranted_teams(&self.quota_record.0);
         let mut halted = std::mem::take(&mut self.quota_guard.halted);
         let any = Resources { cpu: 1, gpu: 1, memory: 0 };
         let within = |team: &String| self.own_share(team).is_none() || self.within_share(team, any);
         halted.retain(|team| {
-            beyond.contains(team) || self.quota_guard.exceeded.contains_key(team) || !within(team)
+            overgranted.contains(team) || self.quota_guard.exceeded_since.contains_key(team) || !within(team)
         });
         self.quota_guard.halted = halted;
     }
 
-    /// Says and counts that a rule is broken, and starts nothing more of the team here.
-    fn breached(&mut self, breach: Breach, team: &str) {
+    /// Logs and counts a breach, and halts starts of the team on this controller.
+    fn record_breach(&mut self, breach: Breach, team: &str) {
         let limits = self.settings.params.teams.iter().find(|t| t.name == team);
         tracing::error!(
             rule = breach.name(),
@@ -221,18 +229,18 @@
             limit = ?limits.map(|t| (t.cpus_max, t.gpus_max)),
             granted = ?self.own_share(team),
             used = ?self.team_usage(team),
-            used_by_all = ?self.usage_told(team),
+            used_by_all = ?self.reported_usage(team),
             leader = self.leader.as_ref().map_or("", |l| l.0.as_str()),
             leader_stamp = self.leader.as_ref().map_or(0, |l| l.2),
             view = self.view_revision,
             registration = self.incarnation().1,
             applied = self.applied_revision,
             knowledge_ms = self.knowledge_age().as_millis(),
-            "a rule of limits is broken: nothing more of the team starts here"
+            "quota invariant violated: no more tasks of the team are started here"
         );
         *self.quota_guard.counts.entry(breach).or_default() += 1;
         self.quota_guard.halted.insert(team.to_owned());
         #[cfg(test)]
-        assert!(self.quota_guard.tolerant, "{}: {team} at {}", breach.name(), self.own_name());
+        assert!(self.quota_guard.tolerate_breaches, "{}: {team} at {}", breach.name(), self.own_name());
     }
 }
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::coordination::Controller;
-use crate::coordination::blocks::DEAF;
+use crate::coordination::blocks::MAX_RESCUE_MOVES;
 use crate::protocol::units::Micros;
 
 /// How long after the time for its first report a machine may stay unheard under a new grant.
@@ -84,7 +84,7 @@
             zone.reporting += usize::from(m.resolved && unheard_s <= late);
             // A machine that reports to another controller but takes no token for longer than its lease is not
             // receiving.
-            let not_receiving = lead.rescue_moves.get(name).is_some_and(|times| *times >= DEAF)
+            let not_receiving = lead.rescue_moves.get(name).is_some_and(|times| *times >= MAX_RESCUE_MOVES)
                 || self.now.since(m.grant_seen_at) > self.worker_lease;
             if overdue && (not_receiving || !heard(name)) {
                 owner.unheard.push((&m.row.zone, name));
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -181,7 +181,7 @@
                     Err(problem) => return self.mark_unreadable(key, &problem),
                 };
                 // No room is kept for jobs that may displace others.
-                if self.is_quick(&spec.class) && !self.may_preempt(&spec) {
+                if self.needs_fast_start(&spec.class) && !self.may_preempt(&spec) {
                     self.fast_start_jobs.insert(spec.class.clone(), spec.clone());
                 }
                 if self.phase == Phase::Active {
@@ -464,7 +464,7 @@
         // accounted for even if no live job is taken over. Otherwise a controller that registered again at once
         // reported no usage, while forty processors of a withdrawn job of its own were in use on machines that it had
         // not heard from yet.
-        self.takeover_in_progress = taken || member && self.limits_teams();
+        self.takeover_in_progress = taken || member && self.any_team_limited();
         if self.takeover_in_progress {
             // Machines without an owner cannot run any task.
             let granted = self.machines.iter().filter(|(_, m)| !m.never_granted());
--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -95,7 +95,7 @@
         let all = w.controllers.iter().flatten();
         let free = |c: &Controller| {
             let open = c.view.members.len() == 3 && c.is_view_member && !c.takeover_in_progress;
-            open && c.bound_teams().is_empty() && c.quota_record.0.view != c.view_revision
+            open && c.find_teams_with_binding_limit().is_empty() && c.quota_record.0.view != c.view_revision
         };
         all.clone().count() == 3 && all.clone().all(free)
     };
--- a/src/coordination/start_gate.rs
+++ b/src/coordination/start_gate.rs
@@ -6,7 +6,7 @@
 //! back here and counted.
 
 use crate::coordination::model::{Job, PlacedTask};
-use crate::coordination::quota::{InForce, Permit};
+use crate::coordination::quota::{ActivePermit, Permit};
 use crate::coordination::{Controller, Counters, SortedMap};
 use crate::protocol::worker::TaskId;
 
@@ -14,13 +14,13 @@
 pub(super) struct StartGate<'a> {
     /// All controllers that must know have confirmed the starts announced by statuses up to this number.
     confirmed_up_to: u64,
-    in_force: InForce,
+    in_force: ActivePermit,
     jobs: &'a SortedMap<Job>,
 }
 
 impl<'a> StartGate<'a> {
     /// Creates a gate for starts that are sent in the same step.
-    pub(super) fn new(confirmed_up_to: u64, in_force: InForce, jobs: &'a SortedMap<Job>) -> Self {
+    pub(super) fn new(confirmed_up_to: u64, in_force: ActivePermit, jobs: &'a SortedMap<Job>) -> Self {
         StartGate { confirmed_up_to, in_force, jobs }
     }
 
--- a/src/coordination/waiting.rs
+++ b/src/coordination/waiting.rs
@@ -163,7 +163,7 @@
             Some(WaitReason::TakingOver)
         } else if self.awaits_retry(id) {
             Some(WaitReason::RetryLater)
-        } else if self.wanted(job) == 0 {
+        } else if self.target_task_count(job) == 0 {
             Some(WaitReason::NotAdmitted)
         } else {
             job.wait.placement_refusal
--- a/src/coordination/words.rs
+++ b/src/coordination/words.rs
@@ -201,7 +201,7 @@
             stamp: self.lease.as_ref().map_or(0, |l| l.registration),
             store_ok: self.now.since(self.last_store_reply_at) < Micros::from_secs(2),
             adopted: !self.takeover_in_progress && self.in_view(),
-            usage: self.usage(),
+            usage: self.usage_by_team(),
             usage_exact: self.usage_is_exact(),
             machines: Vec::new(),
             tallies: Vec::new(),
@@ -236,12 +236,12 @@
             PeerMessage::Plan(plan) => self.handle_rate_plan(&plan),
             PeerMessage::Volumes { leader, volumes, kept, reserved, surplus, .. } => {
                 if self.leader.as_ref().is_some_and(|l| l.0 == from && l.2 == leader) {
-                    self.take_volumes(&volumes, kept, reserved);
+                    self.apply_volumes(&volumes, kept, reserved);
                     self.stop_surplus(&surplus);
                 }
             }
             PeerMessage::Addresses(list) => self.apply_addresses(&list),
-            PeerMessage::Heard { machine } => self.heard_elsewhere(machine, from),
+            PeerMessage::Heard { machine } => self.note_misdirected_report(machine, from),
             PeerMessage::Stray { machine, kind, zone, spot } => {
                 self.note_unrecorded_machine(machine, kind, zone, spot)
             }
