--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -1,9 +1,9 @@
 //! Sends direct calls to workers, which start and stop tasks without waiting for the workers' next reports, and handles
 //! their replies.
 
-use crate::coordination::machines::MAX_ORDERS;
 use crate::coordination::model::{PendingStart, PlacedTask};
 use crate::coordination::start_gate::StartGate;
+use crate::coordination::worker_reports::MAX_ORDERS;
 use crate::coordination::{Controller, Effect};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::{DirectReply, Order, TaskState};
--- a/src/coordination/fleet_demand.rs
+++ b/src/coordination/fleet_demand.rs
@@ -4,7 +4,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::eligibility::allows;
-use crate::coordination::fleet::ARRIVAL_WINDOW;
+use crate::coordination::fleet_scaling::ARRIVAL_WINDOW;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::units::Resources;
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -4,7 +4,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::placement::{AvailableCapacity, MAX_STARTS_PER_PASS, MachineFilter};
-use crate::coordination::waiting::WaitReason;
+use crate::coordination::wait_reasons::WaitReason;
 use crate::protocol::job::JobSpec;
 use crate::protocol::units::Micros;
 use crate::protocol::worker::{TaskId, TaskState};
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -11,12 +11,12 @@
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, BlockRow, ViewRecord};
 use crate::coordination::backfill::Backfill;
-use crate::coordination::blocks::{MOVE_COOLDOWN, ZoneHeadroom};
 use crate::coordination::eligibility::allows;
-use crate::coordination::fleet::FleetState;
+use crate::coordination::fleet_scaling::FleetState;
+use crate::coordination::machine_moves::{MOVE_COOLDOWN, ZoneHeadroom};
 use crate::coordination::model::{Job, Machine};
 use crate::coordination::stalls::StallTracker;
-use crate::coordination::{Controller, Effect, Purpose, rules};
+use crate::coordination::{Controller, Effect, Purpose, backoff_policies};
 use crate::protocol::job::JobSpec;
 use crate::protocol::peer::{PeerMessage, Volume};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
@@ -348,7 +348,7 @@
                 lead.grant_backoff.succeeded();
                 self.now + ROUND_DELAY_AFTER_GRANT
             } else {
-                lead.grant_backoff.failed(self.now, &rules::GRANT, &mut self.rng)
+                lead.grant_backoff.failed(self.now, &backoff_policies::GRANT, &mut self.rng)
             };
         }
     }
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -9,7 +9,7 @@
 
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, LeaderRecord, NodeRecord};
-use crate::coordination::{Controller, Lease, Phase, Purpose, rules};
+use crate::coordination::{Controller, Lease, Phase, Purpose, backoff_policies};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
 
@@ -369,7 +369,7 @@
             self.counters.rejoins += 1;
         }
         self.phase = Phase::Unregistered;
-        self.join_backoff.failed(self.now, &rules::JOIN, &mut self.rng);
+        self.join_backoff.failed(self.now, &backoff_policies::JOIN, &mut self.rng);
         self.lease = None;
         self.leader_state = None;
         self.next_follow_at = None;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -5,43 +5,43 @@
 
 mod admission;
 mod backfill;
-mod blocks;
+mod backoff_policies;
+mod call_purposes;
 mod conclusions;
 mod counters;
 mod direct_calls;
-mod displacement;
 mod eligibility;
 mod events;
-mod failures;
-mod finals;
-mod fleet;
+pub mod fair_volumes;
+mod final_states;
 mod fleet_demand;
+mod fleet_scaling;
 mod gangs;
-mod intake;
 mod knowledge;
-mod lapses;
 mod leader;
-mod machines;
+mod machine_moves;
 mod membership;
 mod model;
-mod pending;
+mod peer_statuses;
+mod pending_start;
 mod placement;
 mod precedence;
+mod preemption;
 mod progress;
-mod purposes;
 mod quota;
-mod reach;
 mod removal;
 mod rentals;
 mod replica;
-mod rules;
 mod stalls;
 mod start_gate;
 mod takeover;
+mod task_failures;
+mod unreachable_machines;
+mod user_requests;
 mod volume_plan;
-pub mod volumes;
-mod waiting;
-mod words;
+mod wait_reasons;
+mod worker_lease_expiry;
+mod worker_reports;
 
 #[cfg(test)]
 mod simulation;
@@ -67,13 +67,13 @@
 use crate::protocol::units::{Micros, Resources};
 use crate::settings::{Settings, Tuning};
 
+pub(crate) use call_purposes::{CloudPurpose, IfNotFound, JobQuery, LookupGoal, Purpose};
 pub use counters::Counters;
 pub use events::{Answer, CallId, Effect, Event, RequestId};
 pub use model::{Job, Machine};
-pub(crate) use purposes::{CloudPurpose, IfNotFound, JobQuery, LookupGoal, Purpose};
 pub use quota::Breach;
 pub use removal::RemovalGround;
-pub use waiting::WaitReason;
+pub use wait_reasons::WaitReason;
 
 /// Relative drift allowed for between two machines' monotonic clocks. They may differ by 0.05%; this leaves a margin.
 pub(crate) const CLOCK_DRIFT: f64 = 0.001;
@@ -254,13 +254,13 @@
     pub(crate) next_poll_check_at: Micros,
     /// Final states of ended jobs.
     pub(crate) final_states: FinalCache,
-    pub(crate) final_states_scan: finals::FinalStatesScan,
+    pub(crate) final_states_scan: final_states::FinalStatesScan,
     /// Ends of jobs that some other controllers may not know of, by job.
-    pub(crate) unsettled_ends: IndexMap<String, finals::UnsettledEnd>,
+    pub(crate) unsettled_ends: IndexMap<String, final_states::UnsettledEnd>,
     /// By controller: its registration, and the last of this controller's statuses up to which it has received all.
     pub(crate) status_acks: BTreeMap<String, (u64, u64)>,
     /// Users' requests that wait until an end is settled.
-    pub(crate) end_waiters: Vec<finals::EndWaiter>,
+    pub(crate) end_waiters: Vec<final_states::EndWaiter>,
     pub(crate) next_end_check_at: Micros,
     /// Present while this controller is the leader.
     pub(crate) leader_state: Option<leader::LeaderState>,
@@ -268,7 +268,7 @@
     pub(crate) next_leader_attempt_at: Micros,
     /// When the leader's volumes were last received.
     pub(crate) volumes_received_at: Micros,
-    pub(crate) wait_summary: waiting::WaitSummary,
+    pub(crate) wait_summary: wait_reasons::WaitSummary,
     /// When a status is to be sent, if earlier than the next regular one.
     pub(crate) status_due_at: Option<Micros>,
     pub(crate) last_regular_status_at: Micros,
@@ -383,7 +383,7 @@
             leader_state: None,
             next_leader_attempt_at: Micros::ZERO,
             volumes_received_at: Micros::ZERO,
-            wait_summary: waiting::WaitSummary::default(),
+            wait_summary: wait_reasons::WaitSummary::default(),
             status_due_at: None,
             last_regular_status_at: Micros::ZERO,
             last_status_at: Micros::ZERO,
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -8,9 +8,9 @@
 use marblewalk_retry::Backoff;
 
 use crate::bookkeeping::records::{BlockRow, TaskSet};
-pub use crate::coordination::pending::PendingStart;
+pub use crate::coordination::pending_start::PendingStart;
 use crate::coordination::quota::{ActivePermit, Permit};
-use crate::coordination::waiting::JobWait;
+use crate::coordination::wait_reasons::JobWait;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::{Cause, TaskId, TaskState};
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -10,7 +10,7 @@
 use crate::coordination::model::{Job, Machine, PendingStart, PlacedTask};
 use crate::coordination::precedence::Precedence;
 use crate::coordination::quota::Allowance;
-use crate::coordination::waiting::WaitReason;
+use crate::coordination::wait_reasons::WaitReason;
 use crate::coordination::{Controller, SortedMap};
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::peer::Volume;
--- a/src/coordination/progress.rs
+++ b/src/coordination/progress.rs
@@ -2,8 +2,8 @@
 
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, FinalRecord};
-use crate::coordination::finals::EndSource;
-use crate::coordination::{Controller, Purpose, rules};
+use crate::coordination::final_states::EndSource;
+use crate::coordination::{Controller, Purpose, backoff_policies};
 use crate::protocol::job::{Final, Shape};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
@@ -113,7 +113,7 @@
             _ => {
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.completion_in_flight = false;
-                    job.completion_backoff.failed(self.now, &rules::COMPLETE, &mut self.rng);
+                    job.completion_backoff.failed(self.now, &backoff_policies::COMPLETE, &mut self.rng);
                 }
             }
         }
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -5,7 +5,7 @@
 use crate::bookkeeping::records::Allotment;
 use crate::coordination::Controller;
 use crate::coordination::model::PendingStart;
-use crate::coordination::waiting::WaitReason;
+use crate::coordination::wait_reasons::WaitReason;
 use crate::protocol::job::JobSpec;
 use crate::protocol::units::Resources;
 use crate::protocol::worker::TaskId;
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -7,7 +7,7 @@
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, BlockRow};
 use crate::coordination::model::Machine;
-use crate::coordination::{CloudPurpose, Controller, Effect, Purpose, rules};
+use crate::coordination::{CloudPurpose, Controller, Effect, Purpose, backoff_policies};
 use crate::protocol::cloud::{CloudCall, CloudReply, ListedState, MachineList, Rental};
 use crate::protocol::peer::PeerMessage;
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
@@ -156,7 +156,7 @@
             CloudReply::NoCapacity => {
                 self.counters.rentals_refused += 1;
                 let (_, times) = lead.fleet.refusals.get(&key).copied().unwrap_or((now, 0));
-                let pause = rules::NO_CAPACITY.delay(times + 1);
+                let pause = backoff_policies::NO_CAPACITY.delay(times + 1);
                 lead.fleet.refusals.insert(key, (now + pause, times + 1));
             }
             CloudReply::Rejected => {
@@ -170,7 +170,7 @@
                         .unconfirmed_rentals
                         .entry(rental.request.clone())
                         .or_insert((rental, Backoff::default()));
-                    backoff.failed(now, &rules::RENT, &mut self.rng);
+                    backoff.failed(now, &backoff_policies::RENT, &mut self.rng);
                 }
                 return;
             }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -8,7 +8,7 @@
 use crate::bookkeeping::records::{self, LeaderRecord, TaskSet};
 use crate::coordination::model::{Job, Machine, PlacedTask};
 use crate::coordination::removal::RemovalGround;
-use crate::coordination::{Controller, Phase, rules};
+use crate::coordination::{Controller, Phase, backoff_policies};
 use crate::protocol::job::JobSpec;
 use crate::protocol::store::{Change, Entry, Json, StoreReply};
 use crate::protocol::units::{Micros, Resources};
@@ -151,7 +151,7 @@
             StoreReply::TooOld => self.leave("the changes missed are no longer kept"),
             _ => {
                 self.next_follow_at =
-                    Some(self.follow_backoff.failed(self.now, &rules::FOLLOW, &mut self.rng))
+                    Some(self.follow_backoff.failed(self.now, &backoff_policies::FOLLOW, &mut self.rng))
             }
         }
     }
--- a/src/coordination/reach.rs
+++ b/src/coordination/unreachable_machines.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::coordination::Controller;
-use crate::coordination::blocks::MAX_RESCUE_MOVES;
+use crate::coordination::machine_moves::MAX_RESCUE_MOVES;
 use crate::protocol::units::Micros;
 
 /// How long after the time for its first report a machine may stay unheard under a new grant.
--- a/src/coordination/intake.rs
+++ b/src/coordination/user_requests.rs
@@ -9,7 +9,7 @@
 
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, FinalRecord};
-use crate::coordination::finals::EndSource;
+use crate::coordination::final_states::EndSource;
 use crate::coordination::knowledge::Liveness;
 use crate::coordination::{Answer, Controller, IfNotFound, JobQuery, LookupGoal, Phase, Purpose, RequestId};
 use crate::protocol::job::{Final, JobSpec, JobState};
--- a/src/coordination/volume_plan.rs
+++ b/src/coordination/volume_plan.rs
@@ -11,9 +11,9 @@
 
 use crate::coordination::Controller;
 use crate::coordination::eligibility::allows;
+use crate::coordination::fair_volumes::{Claim, fair_volumes};
 use crate::coordination::model::{Job, Machine};
 use crate::coordination::precedence::Precedence;
-use crate::coordination::volumes::{Claim, fair_volumes};
 use crate::protocol::job::{JobSpec, Shape};
 use crate::protocol::peer::Volume;
 use crate::protocol::units::Resources;
@@ -177,12 +177,8 @@
                 Turn::Spare(_) | Turn::Backfill => 1.0,
             };
             let priority = job.spec.priority.weight() * weight;
-            let claim = Claim {
-                priority,
-                max_tasks: max_tasks,
-                min_tasks: request.min_tasks(),
-                task_size: request.task_size,
-            };
+            let claim =
+                Claim { priority, max_tasks, min_tasks: request.min_tasks(), task_size: request.task_size };
             let (running, precedence) = (!job.placements.is_empty(), self.precedence(job));
             admitted.push(AdmittedJob { id, job, claim, turn, accelerator_pool, running, precedence });
         }
--- a/src/coordination/machines.rs
+++ b/src/coordination/worker_reports.rs
@@ -8,7 +8,7 @@
 use crate::coordination::conclusions::Evidence;
 use crate::coordination::knowledge::Authorization;
 use crate::coordination::model::{Machine, PendingStart, PlacedTask};
-use crate::coordination::pending::WorkerMessage;
+use crate::coordination::pending_start::WorkerMessage;
 use crate::coordination::removal::RemovalGround;
 use crate::coordination::start_gate::StartGate;
 use crate::coordination::{Answer, Controller, Effect, RequestId};
