--- a/src/bookkeeping/blocks.rs
+++ b/src/bookkeeping/blocks.rs
@@ -12,24 +12,24 @@
 use super::records::BlockRow;
 
 /// The form that is written. The first, a plain list of rows, is still read.
-const VERSION: u32 = 2;
-const SPOT: u8 = 1;
-const RETURNING: u8 = 2;
+const FORMAT_VERSION: u32 = 2;
+const SPOT_FLAG: u8 = 1;
+const RETURNING_FLAG: u8 = 2;
 /// The longest that numbers in a row may become: two indices of names, a registration, a token.
-const NUMBERS: usize = 3 * 5 + 2 * 13 + 1;
+const MAX_NUMBERS_BYTES: usize = 3 * 5 + 2 * 13 + 1;
 
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum BlockError {
     #[error("version {0} is not known")]
-    Version(u64),
+    UnknownVersion(u64),
     #[error("a row names what is not there")]
-    Name,
+    UndefinedName,
     #[error("{0}")]
-    Form(String),
+    Malformed(String),
 }
 
 #[derive(Serialize, Deserialize)]
-struct Stored<'a> {
+struct StoredBlock<'a> {
     v: u32,
     /// Types, zones and owners; the first is nobody.
     #[serde(borrow)]
@@ -43,7 +43,7 @@
 struct StoredRow<'a>(#[serde(borrow)] Cow<'a, str>, usize, usize, usize, u64, u64, u8);
 
 impl StoredRow<'_> {
-    fn names(&self) -> [usize; 3] {
+    fn name_indices(&self) -> [usize; 3] {
         [self.1, self.2, self.3]
     }
 
@@ -53,24 +53,24 @@
             machine: self.0.clone().into_owned(),
             kind: name(self.1),
             zone: name(self.2),
-            spot: self.6 & SPOT != 0,
+            spot: self.6 & SPOT_FLAG != 0,
             owner: name(self.3),
-            node: self.4,
-            returning: self.6 & RETURNING != 0,
+            registration: self.4,
+            returning: self.6 & RETURNING_FLAG != 0,
             token: self.5,
         }
     }
 }
 
 /// What a name takes in a value, at most, with its comma.
-pub fn name_bytes(name: &str) -> usize {
+pub fn max_name_bytes(name: &str) -> usize {
     let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '\\';
     name.chars().map(|c| if plain(c) { 1 } else { 6 }).sum::<usize>() + 3
 }
 
 /// What a machine's row may come to take of a value, whatever becomes of it; its names apart.
-pub fn row_bytes(machine: &str) -> usize {
-    name_bytes(machine) + NUMBERS + 4
+pub fn max_row_bytes(machine: &str) -> usize {
+    max_name_bytes(machine) + MAX_NUMBERS_BYTES + 4
 }
 
 /// What a value takes beside rows and names.
@@ -81,15 +81,15 @@
 pub struct Block {
     names: Vec<Cow<'static, str>>,
     rows: Vec<StoredRow<'static>>,
-    bytes: usize,
+    max_rows_bytes: usize,
 }
 
 /// What differs between two readings of a block.
 #[derive(Debug, Default, PartialEq)]
-pub struct Changes {
-    pub gone: Vec<String>,
-    /// Rows that are new, or other than before.
-    pub rows: Vec<BlockRow>,
+pub struct BlockChanges {
+    pub removed: Vec<String>,
+    /// Rows that are new, or other than old_index.
+    pub changed: Vec<BlockRow>,
 }
 
 impl Block {
@@ -102,53 +102,53 @@
     }
 
     /// What its rows may come to take of a value, their names apart.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    pub fn max_rows_bytes(&self) -> usize {
+        self.max_rows_bytes
     }
 
     /// Takes what has been written, and says what is new in it. One that is not understood changes nothing.
-    pub fn update(&mut self, text: &str) -> Result<Changes, BlockError> {
+    pub fn update(&mut self, text: &str) -> Result<BlockChanges, BlockError> {
         let old: Vec<BlockRow>;
         let mut stored = match text.trim_start().starts_with('[') {
             true => {
-                old = serde_json::from_str(text).map_err(form)?;
-                stored_form(&old)
+                old = serde_json::from_str(text).map_err(malformed)?;
+                to_stored(&old)
             }
-            false => read(text)?,
+            false => parse(text)?,
         };
         let count = stored.names.len();
-        if stored.rows.iter().any(|r| r.names().into_iter().any(|n| n >= count)) {
-            return Err(BlockError::Name);
+        if stored.rows.iter().any(|r| r.name_indices().into_iter().any(|n| n >= count)) {
+            return Err(BlockError::UndefinedName);
         }
         if !stored.rows.is_sorted_by(|a, b| a.0 < b.0) {
             stored.rows.sort_by(|a, b| a.0.cmp(&b.0));
         }
-        // Names by their numbers of before, so that rows compare without them.
-        let before = |name: &Cow<'_, str>| self.names.iter().position(|n| n == name);
-        let before: Vec<Option<usize>> = stored.names.iter().map(before).collect();
-        let same = |old: &StoredRow<'_>, new: &StoredRow<'_>| {
-            let names = old.names().into_iter().zip(new.names());
+        // Names by their numbers of old_index, so that rows compare without them.
+        let old_index = |name: &Cow<'_, str>| self.names.iter().position(|n| n == name);
+        let old_index: Vec<Option<usize>> = stored.names.iter().map(old_index).collect();
+        let is_unchanged = |old: &StoredRow<'_>, new: &StoredRow<'_>| {
+            let names = old.name_indices().into_iter().zip(new.name_indices());
             (old.4, old.5, old.6) == (new.4, new.5, new.6)
-                && names.into_iter().all(|(o, n)| before[n] == Some(o))
+                && names.into_iter().all(|(o, n)| old_index[n] == Some(o))
         };
-        let mut changes = Changes::default();
-        let mut had = self.rows.iter().peekable();
+        let mut changes = BlockChanges::default();
+        let mut old_rows = self.rows.iter().peekable();
         for row in &stored.rows {
-            while let Some(gone) = had.next_if(|old| old.0 < row.0) {
-                changes.gone.push(gone.0.clone().into_owned());
+            while let Some(removed) = old_rows.next_if(|old| old.0 < row.0) {
+                changes.removed.push(removed.0.clone().into_owned());
             }
-            match had.next_if(|old| old.0.cmp(&row.0) == Ordering::Equal) {
-                Some(old) if same(old, row) => {}
-                _ => changes.rows.push(row.expand(&stored.names)),
+            match old_rows.next_if(|old| old.0.cmp(&row.0) == Ordering::Equal) {
+                Some(old) if is_unchanged(old, row) => {}
+                _ => changes.changed.push(row.expand(&stored.names)),
             }
         }
-        changes.gone.extend(had.map(|old| old.0.clone().into_owned()));
-        // Most names and machines stay: their text is kept rather than copied again.
-        let mut kept = std::mem::take(&mut self.rows).into_iter().peekable();
+        changes.removed.extend(old_rows.map(|old| old.0.clone().into_owned()));
+        // Most names and machines stay: their text is reusable rather than copied again.
+        let mut reusable = std::mem::take(&mut self.rows).into_iter().peekable();
         self.rows = Vec::with_capacity(stored.rows.len());
         for row in stored.rows {
-            while kept.next_if(|old| old.0 < row.0).is_some() {}
-            let name = kept.next_if(|old| old.0 == row.0).map(|old| old.0);
+            while reusable.next_if(|old| old.0 < row.0).is_some() {}
+            let name = reusable.next_if(|old| old.0 == row.0).map(|old| old.0);
             self.rows.push(StoredRow(
                 name.unwrap_or_else(|| Cow::Owned(row.0.clone().into_owned())),
                 row.1,
@@ -160,36 +160,36 @@
             ));
         }
         self.names = stored.names.into_iter().map(|n| Cow::Owned(n.into_owned())).collect();
-        self.bytes = self.rows.iter().map(|r| row_bytes(&r.0)).sum();
+        self.max_rows_bytes = self.rows.iter().map(|r| max_row_bytes(&r.0)).sum();
         Ok(changes)
     }
 
     /// Its key has been removed, and with it all its rows.
-    pub fn clear(&mut self) -> Changes {
+    pub fn clear(&mut self) -> BlockChanges {
         let all = std::mem::take(self).rows;
-        Changes { gone: all.into_iter().map(|r| r.0.into_owned()).collect(), rows: Vec::new() }
+        BlockChanges { removed: all.into_iter().map(|r| r.0.into_owned()).collect(), changed: Vec::new() }
     }
 }
 
-fn form(problem: serde_json::Error) -> BlockError {
-    BlockError::Form(problem.to_string())
+fn malformed(error: serde_json::Error) -> BlockError {
+    BlockError::Malformed(error.to_string())
 }
 
-fn read(text: &str) -> Result<Stored<'_>, BlockError> {
+fn parse(text: &str) -> Result<StoredBlock<'_>, BlockError> {
     #[derive(Deserialize)]
     struct Versioned {
         v: u64,
     }
-    match serde_json::from_str::<Stored<'_>>(text) {
-        Ok(stored) if stored.v == VERSION => Ok(stored),
-        problem => match serde_json::from_str::<Versioned>(text) {
-            Ok(other) if other.v != u64::from(VERSION) => Err(BlockError::Version(other.v)),
-            _ => Err(problem.err().map_or(BlockError::Name, form)),
+    match serde_json::from_str::<StoredBlock<'_>>(text) {
+        Ok(stored) if stored.v == FORMAT_VERSION => Ok(stored),
+        error => match serde_json::from_str::<Versioned>(text) {
+            Ok(other) if other.v != u64::from(FORMAT_VERSION) => Err(BlockError::UnknownVersion(other.v)),
+            _ => Err(error.err().map_or(BlockError::UndefinedName, malformed)),
         },
     }
 }
 
-fn stored_form(rows: &[BlockRow]) -> Stored<'_> {
+fn to_stored(rows: &[BlockRow]) -> StoredBlock<'_> {
     let mut names: Vec<Cow<'_, str>> = vec![Cow::Borrowed("")];
     let mut stored = Vec::with_capacity(rows.len());
     for r in rows {
@@ -200,17 +200,17 @@
                 names.len() - 1
             });
         }
-        let flags = if r.spot { SPOT } else { 0 } | if r.returning { RETURNING } else { 0 };
+        let flags = if r.spot { SPOT_FLAG } else { 0 } | if r.returning { RETURNING_FLAG } else { 0 };
         let [kind, zone, owner] = numbers;
-        stored.push(StoredRow(Cow::Borrowed(&r.machine), kind, zone, owner, r.node, r.token, flags));
+        stored.push(StoredRow(Cow::Borrowed(&r.machine), kind, zone, owner, r.registration, r.token, flags));
     }
     stored.sort_by(|a, b| a.0.cmp(&b.0));
-    Stored { v: VERSION, names, rows: stored }
+    StoredBlock { v: FORMAT_VERSION, names, rows: stored }
 }
 
 /// The value to store for these rows.
 pub fn encode(rows: &[BlockRow]) -> serde_json::Result<Value> {
-    serde_json::to_value(stored_form(rows))
+    serde_json::to_value(to_stored(rows))
 }
 
 #[cfg(test)]
@@ -222,7 +222,7 @@
 
     /// The rows that a stored value holds.
     fn decode(value: Value) -> Result<Vec<BlockRow>, BlockError> {
-        Block::default().update(&value.to_string()).map(|changes| changes.rows)
+        Block::default().update(&value.to_string()).map(|changes| changes.changed)
     }
 
     fn random_rows(rng: &mut StdRng) -> Vec<BlockRow> {
@@ -234,7 +234,7 @@
             zone: ["east", "west\u{e4}"][rng.random_range(0..2)].to_owned(),
             spot: rng.random_bool(0.5),
             owner: owners[rng.random_range(0..3)].to_owned(),
-            node: rng.random_range(0..1 << 39),
+            registration: rng.random_range(0..1 << 39),
             returning: rng.random_bool(0.1),
             token: rng.random_range(0..1 << 39),
         };
@@ -251,8 +251,8 @@
             let value = encode(&rows).unwrap();
             let names: std::collections::BTreeSet<&String> =
                 rows.iter().flat_map(|r| [&r.kind, &r.zone, &r.owner]).collect();
-            let most = rows.iter().map(|r| row_bytes(&r.machine)).sum::<usize>()
-                + names.into_iter().map(|n| name_bytes(n)).sum::<usize>();
+            let most = rows.iter().map(|r| max_row_bytes(&r.machine)).sum::<usize>()
+                + names.into_iter().map(|n| max_name_bytes(n)).sum::<usize>();
             assert!(value.to_string().len() <= most + FRAME_BYTES, "seed {seed}");
             assert_eq!(decode(value).unwrap(), rows, "seed {seed}");
             assert_eq!(decode(serde_json::to_value(&rows).unwrap()).unwrap(), rows, "the first form");
@@ -275,18 +275,21 @@
                     encode(&rows).unwrap()
                 };
                 let changes = block.update(&value.to_string()).unwrap();
-                for gone in changes.gone {
-                    assert!(known.remove(&gone).is_some(), "seed {seed}: {gone} was not there");
+                for removed in changes.removed {
+                    assert!(known.remove(&removed).is_some(), "seed {seed}: {removed} was not there");
                 }
-                for row in changes.rows {
-                    let before = known.insert(row.machine.clone(), row.clone());
-                    assert_ne!(before.as_ref(), Some(&row), "seed {seed}: nothing has changed");
+                for row in changes.changed {
+                    let old_index = known.insert(row.machine.clone(), row.clone());
+                    assert_ne!(old_index.as_ref(), Some(&row), "seed {seed}: nothing has changed");
                 }
                 assert!(known.values().eq(&rows), "seed {seed}");
                 assert!(block.machines().eq(rows.iter().map(|r| r.machine.as_str())));
-                assert_eq!(block.bytes(), rows.iter().map(|r| row_bytes(&r.machine)).sum::<usize>());
                 assert_eq!(
-                    block.update("{\"v\": 2}").map_err(|e| matches!(e, BlockError::Form(_))),
+                    block.max_rows_bytes(),
+                    rows.iter().map(|r| max_row_bytes(&r.machine)).sum::<usize>()
+                );
+                assert_eq!(
+                    block.update("{\"v\": 2}").map_err(|e| matches!(e, BlockError::Malformed(_))),
                     Err(true)
                 );
                 let fresh = random_rows(&mut rng);
@@ -299,19 +302,19 @@
                     }
                 }
             }
-            let gone = block.clear().gone;
-            assert!(gone.iter().eq(known.keys()) && block.is_empty());
+            let removed = block.clear().removed;
+            assert!(removed.iter().eq(known.keys()) && block.is_empty());
         }
     }
 
     #[test]
     fn what_is_not_understood_is_refused_with_the_reason() {
-        assert_eq!(decode(json!({"v": 3, "names": [], "rows": []})), Err(BlockError::Version(3)));
+        assert_eq!(decode(json!({"v": 3, "names": [], "rows": []})), Err(BlockError::UnknownVersion(3)));
         assert_eq!(
             decode(json!({"v": 2, "names": [""], "rows": [["m-1", 0, 4, 0, 0, 0, 0]]})),
-            Err(BlockError::Name)
+            Err(BlockError::UndefinedName)
         );
-        assert!(matches!(decode(json!({"v": 2, "names": [""]})), Err(BlockError::Form(_))));
-        assert!(matches!(decode(json!("rows")), Err(BlockError::Form(_))));
+        assert!(matches!(decode(json!({"v": 2, "names": [""]})), Err(BlockError::Malformed(_))));
+        assert!(matches!(decode(json!("rows")), Err(BlockError::Malformed(_))));
     }
 }
--- a/src/bookkeeping/cache.rs
+++ b/src/bookkeeping/cache.rs
@@ -5,20 +5,24 @@
 use crate::protocol::job::Final;
 
 #[derive(Debug)]
-pub struct FinalCache {
-    most: usize,
+pub struct FinalStateCache {
+    capacity: usize,
     states: HashMap<String, (Final, u32)>,
-    order: VecDeque<String>,
+    insertion_order: VecDeque<String>,
 }
 
-impl FinalCache {
-    pub fn new(most: usize) -> Self {
-        FinalCache { most: most.max(1), states: HashMap::new(), order: VecDeque::new() }
+impl FinalStateCache {
+    pub fn new(capacity: usize) -> Self {
+        FinalStateCache {
+            capacity: capacity.max(1),
+            states: HashMap::new(),
+            insertion_order: VecDeque::new(),
+        }
     }
 
     /// For one more the oldest would have to go.
-    pub fn full(&self) -> bool {
-        self.states.len() >= self.most
+    pub fn is_full(&self) -> bool {
+        self.states.len() >= self.capacity
     }
 
     pub fn get(&self, job: &str) -> Option<(Final, u32)> {
@@ -27,9 +31,9 @@
 
     pub fn insert(&mut self, job: &str, state: Final, tasks: u32) {
         if self.states.insert(job.to_owned(), (state, tasks)).is_none() {
-            self.order.push_back(job.to_owned());
-            if self.order.len() > self.most
-                && let Some(oldest) = self.order.pop_front()
+            self.insertion_order.push_back(job.to_owned());
+            if self.insertion_order.len() > self.capacity
+                && let Some(oldest) = self.insertion_order.pop_front()
             {
                 self.states.remove(&oldest);
             }
@@ -43,12 +47,12 @@
 
     #[test]
     fn the_cache_is_bounded_and_drops_the_oldest() {
-        let mut cache = FinalCache::new(3);
+        let mut cache = FinalStateCache::new(3);
         for i in 0..10 {
             cache.insert(&format!("j-{i}"), Final::Done, 1);
         }
         assert_eq!(cache.get("j-6"), None);
         assert_eq!(cache.get("j-7"), Some((Final::Done, 1)));
-        assert_eq!(cache.states.len(), cache.order.len());
+        assert_eq!(cache.states.len(), cache.insertion_order.len());
     }
 }
--- a/src/bookkeeping/client.rs
+++ b/src/bookkeeping/client.rs
@@ -8,41 +8,44 @@
 use crate::transport::client::{HttpClient, HttpReply};
 
 /// How long an ordinary call may take; the service answers in milliseconds, now and then in hundreds.
-const PATIENCE: Micros = Micros::from_millis(1_500);
+const CALL_TIMEOUT: Micros = Micros::from_millis(1_500);
 
 #[derive(Deserialize)]
-struct Revision {
+struct CommitResponse {
     #[serde(rename = "Epoch")]
     revision: u64,
 }
 
 #[derive(Deserialize)]
-struct Lease {
+struct LeaseResponse {
     #[serde(rename = "Permit")]
     lease: u64,
 }
 
 #[derive(Deserialize)]
-struct Failed {
+struct ConflictResponse {
     failed: Vec<String>,
 }
 
 #[derive(Deserialize)]
-struct Found {
+struct GetResponse {
     #[serde(rename = "Value")]
     value: Value,
     #[serde(rename = "Stamp")]
     stamp: u64,
 }
 
-fn decode<T: for<'a> Deserialize<'a>>(reply: &HttpReply, into: impl FnOnce(T) -> StoreReply) -> StoreReply {
-    serde_json::from_slice(&reply.body).map(into).unwrap_or(StoreReply::Unclear)
+fn decode<T: for<'a> Deserialize<'a>>(
+    reply: &HttpReply,
+    convert: impl FnOnce(T) -> StoreReply,
+) -> StoreReply {
+    serde_json::from_slice(&reply.body).map(convert).unwrap_or(StoreReply::Unclear)
 }
 
 /// Makes one call and says what came of it.
 pub async fn call(http: &HttpClient, call: StoreCall) -> StoreReply {
     let follow = matches!(call, StoreCall::Follow { .. });
-    let mut patience = PATIENCE;
+    let mut timeout = CALL_TIMEOUT;
     let (method, path, body) = match &call {
         StoreCall::Get { key } => ("GET", format!("/keys/{key}"), None),
         StoreCall::List { prefix, after } => {
@@ -58,26 +61,28 @@
         StoreCall::Renew { lease } => ("POST", format!("/leases/{lease}/renew"), Some("{}".to_owned())),
         StoreCall::Release { lease } => ("DELETE", format!("/leases/{lease}"), None),
         StoreCall::Follow { prefix, after, hold_ms } => {
-            patience = Micros::from_millis(hold_ms + 1_500);
+            timeout = Micros::from_millis(hold_ms + 1_500);
             ("GET", format!("/follow?Starts={prefix}&After={after}&HoldMs={hold_ms}"), None)
         }
     };
-    let Ok(reply) = http.request(method, &path, body, patience).await else {
+    let Ok(reply) = http.request(method, &path, body, timeout).await else {
         return StoreReply::Unclear;
     };
     match (reply.status, &call) {
         (200, StoreCall::Get { .. }) => {
-            decode(&reply, |f: Found| StoreReply::Found { value: f.value, stamp: f.stamp })
+            decode(&reply, |f: GetResponse| StoreReply::Found { value: f.value, stamp: f.stamp })
         }
         (200, StoreCall::List { .. }) => decode(&reply, StoreReply::Page),
         (200, StoreCall::Commit(_)) => {
-            decode(&reply, |r: Revision| StoreReply::Committed { revision: r.revision })
+            decode(&reply, |r: CommitResponse| StoreReply::Committed { revision: r.revision })
+        }
+        (200, StoreCall::Lease { .. }) => {
+            decode(&reply, |l: LeaseResponse| StoreReply::Leased { lease: l.lease })
         }
-        (200, StoreCall::Lease { .. }) => decode(&reply, |l: Lease| StoreReply::Leased { lease: l.lease }),
         (200 | 204, StoreCall::Renew { .. } | StoreCall::Release { .. }) => StoreReply::Renewed,
         (200, StoreCall::Follow { .. }) => decode(&reply, StoreReply::News),
         (404, _) => StoreReply::Missing,
-        (409, _) => decode(&reply, |f: Failed| StoreReply::Conflict { failed: f.failed }),
+        (409, _) => decode(&reply, |f: ConflictResponse| StoreReply::Conflict { failed: f.failed }),
         (410, _) if follow => StoreReply::TooOld,
         (400, StoreCall::Commit(_)) if contains(&reply.body, b"no such lease") => StoreReply::NoLease,
         (400, _) => {
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -9,63 +9,64 @@
 use crate::protocol::job::Final;
 
 /// Prefix of everything that controllers follow.
-pub const FOLLOWED: &str = "c/";
-pub const LEADER: &str = "c/leader";
-pub const VIEW: &str = "c/view";
-pub const COUNTER: &str = "c/helm";
-pub const QUOTA: &str = "c/quota";
-pub const LIVE: &str = "c/live/";
-pub const DONE: &str = "c/done/";
-pub const NODE: &str = "c/node/";
-pub const EVICTED: &str = "c/evicted/";
-pub const BLOCKS: &str = "c/blocks/";
-pub const RENTAL: &str = "c/rental/";
+pub const WATCHED_PREFIX: &str = "c/";
+pub const LEADER_KEY: &str = "c/leader";
+pub const VIEW_KEY: &str = "c/view";
+pub const TOKEN_COUNTER_KEY: &str = "c/helm";
+pub const QUOTA_KEY: &str = "c/quota";
+pub const LIVE_JOBS_PREFIX: &str = "c/live/";
+pub const COMPLETIONS_PREFIX: &str = "c/done/";
+pub const REGISTRATIONS_PREFIX: &str = "c/node/";
+pub const EVICTIONS_PREFIX: &str = "c/evicted/";
+pub const BLOCKS_PREFIX: &str = "c/blocks/";
+pub const RENTALS_PREFIX: &str = "c/rental/";
 /// Prefix of final states, which nobody follows.
-pub const FINISHED: &str = "final/";
-pub const UNINFORMED: &str = "c/uninformed/";
+pub const FINAL_STATES_PREFIX: &str = "final/";
+pub const UNINFORMED_PREFIX: &str = "c/uninformed/";
 
-pub fn live(job: &str) -> String {
-    format!("{LIVE}{job}")
+pub fn live_job_key(job: &str) -> String {
+    format!("{LIVE_JOBS_PREFIX}{job}")
 }
 
-pub fn finished(job: &str) -> String {
-    format!("{FINISHED}{job}")
+pub fn final_state_key(job: &str) -> String {
+    format!("{FINAL_STATES_PREFIX}{job}")
 }
 
-pub fn done_chunk(job: &str, chunk: usize) -> String {
-    format!("{DONE}{job}/{chunk}")
+pub fn completions_key(job: &str, chunk: usize) -> String {
+    format!("{COMPLETIONS_PREFIX}{job}/{chunk}")
 }
 
-pub fn node(member: &str) -> String {
-    format!("{NODE}{member}")
+pub fn registration_key(member: &str) -> String {
+    format!("{REGISTRATIONS_PREFIX}{member}")
 }
 
-pub fn evicted(member: &str) -> String {
-    format!("{EVICTED}{member}")
+pub fn eviction_key(member: &str) -> String {
+    format!("{EVICTIONS_PREFIX}{member}")
 }
 
-pub fn blocks(shard: usize) -> String {
-    format!("{BLOCKS}{shard:04}")
+pub fn block_key(shard: usize) -> String {
+    format!("{BLOCKS_PREFIX}{shard:04}")
 }
 
-pub fn rental(request: &str) -> String {
-    format!("{RENTAL}{request}")
+pub fn rental_key(request: &str) -> String {
+    format!("{RENTALS_PREFIX}{request}")
 }
 
-pub fn uninformed(member: &str) -> String {
-    format!("{UNINFORMED}{member}")
+pub fn uninformed_key(member: &str) -> String {
+    format!("{UNINFORMED_PREFIX}{member}")
 }
 
 /// Controllers that a registration does not wait for before it orders what it has announced.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UninformedRecord {
-    pub node: u64,
+    #[serde(rename = "node")]
+    pub registration: u64,
     pub peers: Vec<(String, u64)>,
 }
 
 /// A controller's registration. Its stamp names this life of the controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct NodeRecord {
+pub struct RegistrationRecord {
     pub lease: u64,
 }
 
@@ -73,7 +74,8 @@
 pub struct LeaderRecord {
     pub member: String,
     /// The leader's registration.
-    pub node: u64,
+    #[serde(rename = "node")]
+    pub registration: u64,
 }
 
 /// The controllers among which jobs are hashed.
@@ -98,7 +100,7 @@
     #[serde(rename = "o", default, skip_serializing_if = "String::is_empty")]
     pub owner: String,
     #[serde(rename = "n", default)]
-    pub node: u64,
+    pub registration: u64,
     /// To be returned: nothing more is started there.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub returning: bool,
@@ -124,14 +126,15 @@
 pub struct Allotment {
     pub member: String,
     /// The registration the allotment was made to.
-    pub node: u64,
+    #[serde(rename = "node")]
+    pub registration: u64,
     pub team: String,
     pub cpu: u64,
     pub gpu: u64,
 }
 
 /// Tasks whose completion one key records.
-pub const CHUNK: usize = 16_384;
+pub const TASKS_PER_CHUNK: usize = 16_384;
 
 /// A set of task numbers, stored as hexadecimal words by chunk.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -168,8 +171,8 @@
     }
 
     /// The stored form of one chunk: the words from its first to its last that is not zero.
-    pub fn chunk(&self, chunk: usize) -> Value {
-        let per = CHUNK / 64;
+    pub fn encode_chunk(&self, chunk: usize) -> Value {
+        let per = TASKS_PER_CHUNK / 64;
         let words = self.words.iter().skip(chunk * per).take(per);
         let mut text: String = words.map(|w| format!("{w:016x}")).collect();
         while text.ends_with("0000000000000000") {
@@ -179,13 +182,13 @@
     }
 
     /// Adds what a stored chunk holds, for a job of `tasks` tasks.
-    pub fn merge(&mut self, chunk: usize, value: &Value, tasks: u32) {
+    pub fn merge_chunk(&mut self, chunk: usize, value: &Value, tasks: u32) {
         let text = value.get("x").and_then(Value::as_str).unwrap_or("");
         for (n, digits) in text.as_bytes().chunks(16).enumerate() {
             let word = std::str::from_utf8(digits).ok().and_then(|d| u64::from_str_radix(d, 16).ok());
             let mut word = word.unwrap_or(0);
             while word != 0 {
-                let index = (chunk * CHUNK + n * 64) as u64 + u64::from(word.trailing_zeros());
+                let index = (chunk * TASKS_PER_CHUNK + n * 64) as u64 + u64::from(word.trailing_zeros());
                 word &= word - 1;
                 if index < u64::from(tasks) {
                     self.insert(index as u32);
@@ -211,14 +214,14 @@
             for _ in 0..rng.random_range(0..60_000) {
                 set.insert(rng.random_range(0..tasks));
             }
-            let mut back = TaskSet::default();
-            for chunk in 0..(tasks as usize).div_ceil(CHUNK) {
-                let value = set.chunk(chunk);
+            let mut decoded = TaskSet::default();
+            for chunk in 0..(tasks as usize).div_ceil(TASKS_PER_CHUNK) {
+                let value = set.encode_chunk(chunk);
                 assert!(value.to_string().len() <= 8 * 1024);
-                back.merge(chunk, &value, tasks);
+                decoded.merge_chunk(chunk, &value, tasks);
             }
-            assert_eq!(set.len(), back.len());
-            assert!((0..tasks).all(|i| set.contains(i) == back.contains(i)));
+            assert_eq!(set.len(), decoded.len());
+            assert!((0..tasks).all(|i| set.contains(i) == decoded.contains(i)));
         }
     }
 }
--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -53,7 +53,7 @@
     }
 
     fn count(&self) -> f64 {
-        self.settings.everyone().len() as f64
+        self.settings.controller_names().len() as f64
     }
 
     /// What the leader's plans divide: nothing where there is one controller.
@@ -82,7 +82,7 @@
     pub(super) fn capacity(&self) -> Capacity {
         Capacity {
             submissions_per_s: self.calls.writes_per_s() * FOR_SUBMISSIONS,
-            queue_delay: self.calls.delay(Urgency::Acceptance),
+            queue_delay: self.calls.queue_delay(Urgency::Acceptance),
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     fn door_word(&mut self) -> LoadReport {
-        let (calls, changes) = self.calls.wanted(self.now);
+        let (calls, changes) = self.calls.wanted_rates(self.now);
         let beyond = |wanted: f64, own: f64| ((wanted - own).max(0.0) * 1e3) as u64;
         LoadReport {
             registration: self.lease.as_ref().map_or(0, |l| l.stamp),
--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -27,7 +27,7 @@
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
         let gate = StartGate::new(self.settled(), self.permits_in_force(), &self.jobs);
         for (name, m) in &mut self.machines {
-            let mine = m.row.node == stamp && m.row.owner == self.settings.member;
+            let mine = m.row.registration == stamp && m.row.owner == self.settings.member;
             let known = m.session != 0 || !m.resolved;
             if !mine || m.talking || m.addr.is_empty() || !known || now < m.talk_after || m.renew {
                 continue;
--- a/src/coordination/finals.rs
+++ b/src/coordination/finals.rs
@@ -248,12 +248,16 @@
     /// Reads the next page of what was recorded before this controller's time, as long as there is memory for it.
     pub(super) fn read_finals(&mut self) {
         let reading = &self.reading_finals;
-        if reading.over || reading.asked || self.now < reading.next || !self.entitled() || self.finals.full()
+        if reading.over
+            || reading.asked
+            || self.now < reading.next
+            || !self.entitled()
+            || self.finals.is_full()
         {
             return;
         }
         let call = StoreCall::List {
-            prefix: records::FINISHED.to_owned(),
+            prefix: records::FINAL_STATES_PREFIX.to_owned(),
             after: self.reading_finals.after.clone(),
         };
         self.reading_finals.asked = true;
@@ -267,7 +271,7 @@
         let StoreReply::Page(page) = reply else { return };
         self.reading_finals.next = self.now + Micros(EACH.0 * page.entries.len() as u64);
         for entry in &page.entries {
-            if let Some(id) = entry.key.strip_prefix(records::FINISHED)
+            if let Some(id) = entry.key.strip_prefix(records::FINAL_STATES_PREFIX)
                 && let Ok(record) = entry.value.read::<FinalRecord>()
             {
                 self.learned_end(id, record, entry.stamp, Source::Pages);
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -106,7 +106,7 @@
             zone,
             spot,
             owner: String::new(),
-            node: 0,
+            registration: 0,
             returning: false,
             token: 0,
         };
@@ -141,7 +141,7 @@
             lead.fleet.listed_at = Some(now);
             lead.fleet.listed_to.clear();
             lead.fleet.gone.retain(|name| self.machines.contains_key(name));
-            self.cloud(Urgency::Rest, CloudPurpose::List, CloudCall::List { after: String::new() });
+            self.cloud(Urgency::Other, CloudPurpose::List, CloudCall::List { after: String::new() });
         }
         self.repeat_rentals();
         self.record_arrivals();
@@ -165,7 +165,7 @@
         if let Some(request) = lead.fleet.closing.pop_first() {
             let transaction = Transaction {
                 conditions: vec![self.entitlement()],
-                writes: vec![Write::delete(records::rental(&request))],
+                writes: vec![Write::delete(records::rental_key(&request))],
             };
             self.store(
                 Urgency::Completion,
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -30,7 +30,7 @@
 impl Controller {
     /// Whether a read for a user is worth making: it would be answered before the user gives up.
     fn open_for_reads(&self) -> bool {
-        self.entitled() && self.calls.reads_waiting() < MOST_READS
+        self.entitled() && self.calls.waiting_reads() < MOST_READS
     }
 
     /// Nobody can be served, whoever it is: users come back spread over some seconds.
@@ -87,11 +87,11 @@
         }
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::live(&spec.id), 0),
-                Condition::new(records::finished(&spec.id), 0),
+                Condition::new(records::live_job_key(&spec.id), 0),
+                Condition::new(records::final_state_key(&spec.id), 0),
                 self.entitlement(),
             ],
-            writes: vec![Write::put(records::live(&spec.id), value)],
+            writes: vec![Write::put(records::live_job_key(&spec.id), value)],
         };
         let purpose = Purpose::Accept { request, spec };
         self.store(Urgency::Acceptance, purpose, StoreCall::Commit(transaction));
@@ -141,11 +141,11 @@
                 self.answer(request, Answer::Job { created: true, id: spec.id, state, done: 0, running: 0 });
             }
             StoreReply::Conflict { failed } => {
-                let me = records::node(self.me());
-                if failed.contains(&records::finished(&spec.id)) {
+                let me = records::registration_key(self.me());
+                if failed.contains(&records::final_state_key(&spec.id)) {
                     let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
                     self.look_final(question, Missing::Nothing);
-                } else if failed.contains(&records::live(&spec.id)) {
+                } else if failed.contains(&records::live_job_key(&spec.id)) {
                     let question = self.question(request, spec.id, SUBMITTED_PATIENCE);
                     self.look_live(question, Wanted::State);
                 } else {
@@ -211,10 +211,11 @@
             conditions.insert(job, stamp);
             asked += 1;
         }
-        let conditions = conditions.into_iter().map(|(job, stamp)| Condition::new(records::live(job), stamp));
+        let conditions =
+            conditions.into_iter().map(|(job, stamp)| Condition::new(records::live_job_key(job), stamp));
         let transaction = Transaction { conditions: conditions.collect(), writes: Vec::new() };
         let polls = self.polls.drain(..asked).collect();
-        self.store(Urgency::Rest, Purpose::CheckLive { polls }, StoreCall::Commit(transaction));
+        self.store(Urgency::Other, Purpose::CheckLive { polls }, StoreCall::Commit(transaction));
     }
 
     pub(super) fn checked_live(&mut self, polls: Vec<Question>, sent: Micros, reply: StoreReply) {
@@ -224,7 +225,7 @@
                     self.door.query_answered(&question.job);
                     self.answer_live(question, sent, None);
                 }
-                StoreReply::Conflict { failed } if failed.contains(&records::live(&question.job)) => {
+                StoreReply::Conflict { failed } if failed.contains(&records::live_job_key(&question.job)) => {
                     self.look_final(question, Missing::Nothing);
                 }
                 // Nothing was said of the others: they are asked about again.
@@ -242,20 +243,20 @@
         if self.answer_known_end(&question) {
             return;
         }
-        if !self.entitled() || self.calls.waiting(Urgency::Withdrawal) >= MOST_WITHDRAWALS {
+        if !self.entitled() || self.calls.waiting_calls(Urgency::Withdrawal) >= MOST_WITHDRAWALS {
             return self.answer(request, Answer::Later(1));
         }
         self.look_live(question, Wanted::Withdrawal);
     }
 
     fn look_live(&mut self, question: Question, wanted: Wanted) {
-        let key = records::live(&question.job);
-        let urgency = if wanted == Wanted::Withdrawal { Urgency::Withdrawal } else { Urgency::Rest };
+        let key = records::live_job_key(&question.job);
+        let urgency = if wanted == Wanted::Withdrawal { Urgency::Withdrawal } else { Urgency::Other };
         self.store(urgency, Purpose::LookLive { question, wanted }, StoreCall::Get { key });
     }
 
     fn look_final(&mut self, question: Question, missing: Missing) {
-        let key = records::finished(&question.job);
+        let key = records::final_state_key(&question.job);
         self.store(Urgency::Acceptance, Purpose::LookFinal { question, missing }, StoreCall::Get { key });
     }
 
@@ -285,13 +286,13 @@
         };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::live(&question.job), stamp),
-                Condition::new(records::finished(&question.job), 0),
+                Condition::new(records::live_job_key(&question.job), stamp),
+                Condition::new(records::final_state_key(&question.job), 0),
                 self.entitlement(),
             ],
             writes: vec![
-                Write::delete(records::live(&question.job)),
-                Write::put(records::finished(&question.job), value),
+                Write::delete(records::live_job_key(&question.job)),
+                Write::put(records::final_state_key(&question.job), value),
             ],
         };
         self.store(
--- a/src/coordination/knowledge.rs
+++ b/src/coordination/knowledge.rs
@@ -9,7 +9,7 @@
 //! and started tasks of jobs that had been withdrawn a minute ago.
 //!
 //! So nothing is started and no worker's lease renewed by a controller that does not know of a withdrawal a term after
-//! it was confirmed, and a worker's lease later its tasks are gone: `Settings::leave_room` checks the sum.
+//! it was confirmed, and a worker's lease later its tasks are gone: `Settings::check_cancel_deadline` checks the sum.
 
 use crate::coordination::{Controller, DRIFT, Phase, SLACK};
 use crate::protocol::units::Micros;
--- a/src/coordination/lapses.rs
+++ b/src/coordination/lapses.rs
@@ -22,7 +22,7 @@
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
         let mut lapsed = Vec::new();
         for (name, machine) in &mut self.machines {
-            let own = machine.row.node == stamp && machine.row.owner == self.settings.member;
+            let own = machine.row.registration == stamp && machine.row.owner == self.settings.member;
             if !own || machine.resolved && machine.tasks.is_empty() {
                 continue;
             }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -150,7 +150,7 @@
     }
 
     pub(super) fn holds(&self, machine: &Machine) -> bool {
-        self.nodes.get(&machine.row.owner) == Some(&machine.row.node)
+        self.nodes.get(&machine.row.owner) == Some(&machine.row.registration)
     }
 
     /// Names the registered controllers as members and grants them the machines of those that left.
@@ -205,7 +205,7 @@
         let names = self.names_bytes(&added) + blocks::FRAME_BYTES;
         let written = self.shards.iter().filter(|(_, (block, _))| !block.is_empty());
         let mut lengths: BTreeMap<usize, usize> =
-            written.clone().map(|(n, (block, _))| (*n, names + block.bytes())).collect();
+            written.clone().map(|(n, (block, _))| (*n, names + block.max_rows_bytes())).collect();
         let rows_of = |n: usize| -> Vec<BlockRow> {
             let names = self.shards.get(&n).into_iter().flat_map(|s| s.0.machines());
             names.filter_map(|name| self.machines.get(name)).map(|m| m.row.clone()).collect()
@@ -233,7 +233,7 @@
                     token += 1;
                     row.token = token;
                     row.owner = to.clone();
-                    row.node = self.nodes.get(to).copied().unwrap_or(0);
+                    row.registration = self.nodes.get(to).copied().unwrap_or(0);
                 }
             }
         }
@@ -247,7 +247,7 @@
                 token += 1;
                 row.token = token;
             }
-            let text = blocks::row_bytes(&row.machine);
+            let text = blocks::max_row_bytes(&row.machine);
             let open = lengths.iter().find(|(n, used)| {
                 let more = if changed.contains(*n) { text } else { **used + text };
                 **used + text <= value_limit
@@ -255,7 +255,7 @@
                     && (changed.contains(*n) || changed.len() < budget)
             });
             let unused =
-                |n: &usize| !lengths.contains_key(n) && !self.unreadable.contains(&records::blocks(*n));
+                |n: &usize| !lengths.contains_key(n) && !self.unreadable.contains(&records::block_key(*n));
             let n = open.map(|(n, _)| *n).unwrap_or_else(|| (0..).find(unused).unwrap_or(0));
             let used = lengths.entry(n).or_insert(names);
             let more = if changed.contains(&n) { text } else { *used + text };
@@ -269,28 +269,28 @@
             shards.entry(n).or_insert_with(|| rows_of(n)).push(row);
         }
         let mut transaction = Transaction {
-            conditions: vec![Condition::new(records::LEADER, leader_stamp), self.entitlement()],
+            conditions: vec![Condition::new(records::LEADER_KEY, leader_stamp), self.entitlement()],
             writes: Vec::new(),
         };
         for n in changed {
             let stamp = self.shards.get(&n).map_or(0, |s| s.1);
-            transaction.conditions.push(Condition::new(records::blocks(n), stamp));
+            transaction.conditions.push(Condition::new(records::block_key(n), stamp));
             if let Ok(value) = blocks::encode(&shards[&n]) {
-                transaction.writes.push(Write::put(records::blocks(n), value));
+                transaction.writes.push(Write::put(records::block_key(n), value));
             }
         }
         if let Some(view) = view
             && let Ok(value) = serde_json::to_value(view)
         {
-            transaction.conditions.push(Condition::new(records::VIEW, self.view_stamp));
-            transaction.writes.push(Write::put(records::VIEW, value));
+            transaction.conditions.push(Condition::new(records::VIEW_KEY, self.view_stamp));
+            transaction.writes.push(Write::put(records::VIEW_KEY, value));
         }
         if transaction.writes.is_empty() {
             return false;
         }
         if token != self.counter.0 || !new.is_empty() {
-            transaction.conditions.push(Condition::new(records::COUNTER, self.counter.1));
-            transaction.writes.push(Write::put(records::COUNTER, token.into()));
+            transaction.conditions.push(Condition::new(records::TOKEN_COUNTER_KEY, self.counter.1));
+            transaction.writes.push(Write::put(records::TOKEN_COUNTER_KEY, token.into()));
         }
         if let Some(lead) = &mut self.lead {
             lead.granting = true;
@@ -306,7 +306,7 @@
         let rows = self.machines.values().map(|m| &m.row).chain(added);
         let used = rows.flat_map(|r| [r.kind.as_str(), r.zone.as_str()]);
         let names: BTreeSet<&str> = others.chain([self.me(), ""]).chain(used).collect();
-        names.into_iter().map(blocks::name_bytes).sum()
+        names.into_iter().map(blocks::max_name_bytes).sum()
     }
 
     pub(super) fn granted(&mut self, reply: StoreReply) {
@@ -499,12 +499,12 @@
         // At a fixed rate they piled up where more jobs end a second than that.
         let each = CLEANED as f64 / (self.calls.writes_per_s() * CLEANUP_SHARE);
         let spacing = Micros::from_secs_f64(each).min(CLEANUP_SPACING);
-        if self.now.since(lead.cleaned) < spacing || self.calls.waiting(Urgency::Rest) > 4 {
+        if self.now.since(lead.cleaned) < spacing || self.calls.waiting_calls(Urgency::Other) > 4 {
             return;
         }
         let orphans = self.done_keys.iter().filter(|(job, _)| !self.jobs.contains_key(*job));
         let keys: Vec<String> = orphans
-            .flat_map(|(job, chunks)| chunks.keys().map(|c| records::done_chunk(job, *c)))
+            .flat_map(|(job, chunks)| chunks.keys().map(|c| records::completions_key(job, *c)))
             .take(CLEANED)
             .collect();
         if keys.is_empty() {
@@ -515,6 +515,6 @@
             conditions: vec![self.entitlement()],
             writes: keys.into_iter().map(Write::delete).collect(),
         };
-        self.store(Urgency::Rest, Purpose::Cleanup, StoreCall::Commit(transaction));
+        self.store(Urgency::Other, Purpose::Cleanup, StoreCall::Commit(transaction));
     }
 }
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -52,7 +52,7 @@
         if !self.owns(machine) {
             // Sending a worker to a controller that has gone would only send it round in circles.
             let owner = machine.row.owner.clone();
-            let there = owner != self.me() && self.nodes.get(&owner) == Some(&machine.row.node);
+            let there = owner != self.me() && self.nodes.get(&owner) == Some(&machine.row.registration);
             // One that its owner has had for a while knows whose it is.
             let settled = machine.resolved && self.now.since(machine.granted) > SETTLED;
             self.check_report(&report, Evidence::AnotherController);
@@ -353,7 +353,7 @@
     /// Whether the records have a job, readable or not.
     pub(super) fn is_live(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
-            || !self.unreadable.is_empty() && self.unreadable.contains(&records::live(job))
+            || !self.unreadable.is_empty() && self.unreadable.contains(&records::live_job_key(job))
     }
 
     /// An ended task may be forgotten once nothing is left to learn from it.
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::bookkeeping::budget::Urgency;
-use crate::bookkeeping::records::{self, LeaderRecord, NodeRecord};
+use crate::bookkeeping::records::{self, LeaderRecord, RegistrationRecord};
 use crate::coordination::{Controller, Lease, Phase, Purpose, rules};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
@@ -30,7 +30,7 @@
         match self.phase {
             Phase::Outside if self.joining.ready(self.now) => {
                 self.phase = Phase::Registering;
-                let key = records::node(self.me());
+                let key = records::registration_key(self.me());
                 self.store(Urgency::Entitlement, Purpose::FormerLife, StoreCall::Get { key });
             }
             Phase::Active | Phase::Loading => self.renew_when_due(),
@@ -40,7 +40,7 @@
             if self.follow_at.is_some_and(|at| at <= self.now) {
                 self.follow_at = None;
                 let call = StoreCall::Follow {
-                    prefix: records::FOLLOWED.to_owned(),
+                    prefix: records::WATCHED_PREFIX.to_owned(),
                     after: self.applied,
                     hold_ms: HOLD.as_millis(),
                 };
@@ -71,7 +71,8 @@
             return;
         }
         if self.lead_at == Micros::ZERO {
-            let rank = self.settings.everyone().iter().position(|m| m == self.me()).unwrap_or(0) as u64;
+            let rank =
+                self.settings.controller_names().iter().position(|m| m == self.me()).unwrap_or(0) as u64;
             self.lead_at = self.now + Micros::from_millis(120 * rank);
         }
         if self.now < self.lead_at || !self.entitled() {
@@ -79,11 +80,11 @@
         }
         self.lead_at = self.now + Micros::from_secs(2);
         let Some(lease) = &self.lease else { return };
-        let record = LeaderRecord { member: self.me().to_owned(), node: lease.stamp };
+        let record = LeaderRecord { member: self.me().to_owned(), registration: lease.stamp };
         let Ok(value) = serde_json::to_value(record) else { return };
         let transaction = Transaction {
-            conditions: vec![Condition::new(records::LEADER, 0), self.entitlement()],
-            writes: vec![Write::leased(records::LEADER, value, lease.id)],
+            conditions: vec![Condition::new(records::LEADER_KEY, 0), self.entitlement()],
+            writes: vec![Write::leased(records::LEADER_KEY, value, lease.id)],
         };
         self.store(Urgency::Entitlement, Purpose::Lead, StoreCall::Commit(transaction));
     }
@@ -202,19 +203,19 @@
         let (Some(node), Some(lease)) = (self.nodes.get(&member), &self.lease) else { return };
         let mut transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER, leader_stamp),
-                Condition::new(records::node(&member), *node),
+                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::registration_key(&member), *node),
                 self.entitlement(),
             ],
             writes: vec![
-                Write::delete(records::node(&member)),
-                Write::put(records::evicted(&member), (*node).into()),
+                Write::delete(records::registration_key(&member)),
+                Write::put(records::eviction_key(&member), (*node).into()),
             ],
         };
         if takes_over {
-            let record = LeaderRecord { member: me, node: lease.stamp };
+            let record = LeaderRecord { member: me, registration: lease.stamp };
             let Ok(value) = serde_json::to_value(record) else { return };
-            transaction.writes.push(Write::leased(records::LEADER, value, lease.id));
+            transaction.writes.push(Write::leased(records::LEADER_KEY, value, lease.id));
         }
         tracing::warn!(member, "nobody hears it, and its workers have turned away: evicted");
         self.evict_at = self.now + Micros::from_millis(800);
@@ -225,14 +226,14 @@
     pub(super) fn entitlement(&self) -> Condition {
         // No registration has this stamp, so without one every transaction fails.
         let stamp = self.lease.as_ref().map_or(u64::MAX >> 1, |l| l.stamp);
-        Condition::new(records::node(self.me()), stamp)
+        Condition::new(records::registration_key(self.me()), stamp)
     }
 
     pub(super) fn membership_replied(&mut self, purpose: Purpose, sent: Micros, reply: StoreReply) {
         match (purpose, reply) {
             (Purpose::FormerLife, StoreReply::Found { value, .. }) => {
                 // One process per controller: whoever holds this registration is no more.
-                let lease = serde_json::from_value(value).map_or(0, |r: NodeRecord| r.lease);
+                let lease = serde_json::from_value(value).map_or(0, |r: RegistrationRecord| r.lease);
                 self.store(Urgency::Entitlement, Purpose::ReleaseFormer, StoreCall::Release { lease });
             }
             (Purpose::FormerLife, StoreReply::Missing)
@@ -250,8 +251,8 @@
                     renewed: sent,
                     renewing: false,
                 });
-                let key = records::node(self.me());
-                let Ok(value) = serde_json::to_value(NodeRecord { lease }) else { return };
+                let key = records::registration_key(self.me());
+                let Ok(value) = serde_json::to_value(RegistrationRecord { lease }) else { return };
                 let transaction = Transaction {
                     conditions: vec![Condition::new(key.clone(), 0)],
                     writes: vec![Write::leased(key, value, lease)],
@@ -313,7 +314,7 @@
     }
 
     pub(super) fn load(&mut self, after: String) {
-        let prefix = records::FOLLOWED.to_owned();
+        let prefix = records::WATCHED_PREFIX.to_owned();
         self.store(Urgency::Entitlement, Purpose::Load, StoreCall::List { prefix, after });
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -57,8 +57,8 @@
 use rustc_hash::{FxBuildHasher, FxHashMap};
 
 use crate::bookkeeping::blocks::Block;
-use crate::bookkeeping::budget::{Budget, Urgency};
-use crate::bookkeeping::cache::FinalCache;
+use crate::bookkeeping::budget::{RateLimitedQueue, Urgency};
+use crate::bookkeeping::cache::FinalStateCache;
 use crate::bookkeeping::records::{QuotaRecord, UninformedRecord, ViewRecord};
 use crate::protocol::cloud::{CloudCall, MachineType, Rental};
 use crate::protocol::job::JobSpec;
@@ -132,14 +132,14 @@
     pub(crate) effects: Vec<Effect>,
 
     next_call: CallId,
-    pub(crate) calls: Budget<(Purpose, StoreCall)>,
+    pub(crate) calls: RateLimitedQueue<(Purpose, StoreCall)>,
     in_flight: HashMap<CallId, (Purpose, Micros)>,
     /// Calls and changes a second that are this controller's without a plan.
     pub(crate) own_rates: (f64, f64),
     pub(crate) door: SubmissionLimiter,
     pub(crate) held: HeldLease,
     pub(crate) word_at: Micros,
-    pub(crate) cloud_calls: Budget<(CloudPurpose, CloudCall)>,
+    pub(crate) cloud_calls: RateLimitedQueue<(CloudPurpose, CloudCall)>,
     cloud_in_flight: HashMap<CallId, CloudPurpose>,
 
     pub(crate) phase: Phase,
@@ -220,7 +220,7 @@
     /// Users' questions about jobs that are live as far as this controller knows.
     pub(crate) polls: Vec<Question>,
     pub(crate) polls_at: Micros,
-    pub(crate) finals: FinalCache,
+    pub(crate) finals: FinalStateCache,
     pub(crate) reading_finals: finals::Reading,
     /// Ends that not all others are known to know of, by job.
     pub(crate) spreading: IndexMap<String, finals::Spreading>,
@@ -261,12 +261,12 @@
 
 impl Controller {
     pub fn new(settings: Settings, tuning: Tuning, seed: u64) -> Controller {
-        let count = settings.everyone().len() as f64;
+        let count = settings.controller_names().len() as f64;
         let state = settings.params.state;
         let cloud = settings.params.cloud;
         let workers = settings.params.workers;
         Controller {
-            lease_term: settings.lease(&tuning),
+            lease_term: settings.lease_term(&tuning),
             worker_lease: Micros::from_secs_f64(workers.lease_s),
             report_every: Micros::from_secs_f64(workers.report_s),
             now: Micros::ZERO,
@@ -274,13 +274,13 @@
             effects: Vec::new(),
             next_call: 0,
             // Each controller keeps to its part of the limits, so that together they stay within.
-            calls: Budget::new(state.rps * 0.95 / count, state.write_rps * 0.95 / count, 0.9),
+            calls: RateLimitedQueue::new(state.rps * 0.95 / count, state.write_rps * 0.95 / count, 0.9),
             own_rates: (0.0, 0.0),
             door: SubmissionLimiter::default(),
             held: HeldLease::default(),
             word_at: Micros::ZERO,
             in_flight: HashMap::new(),
-            cloud_calls: Budget::new(cloud.rps * 0.8, cloud.rps, 1.0),
+            cloud_calls: RateLimitedQueue::new(cloud.rps * 0.8, cloud.rps, 1.0),
             cloud_in_flight: HashMap::new(),
             phase: Phase::Outside,
             joining: Backoff::default(),
@@ -332,7 +332,7 @@
             unresolved: BTreeSet::new(),
             polls: Vec::new(),
             polls_at: Micros::ZERO,
-            finals: FinalCache::new(tuning.final_cache),
+            finals: FinalStateCache::new(tuning.final_cache),
             reading_finals: Default::default(),
             spreading: IndexMap::new(),
             statuses_heard: BTreeMap::new(),
@@ -422,7 +422,7 @@
         self.notice_standstill();
         self.membership_tick();
         self.note_silence();
-        for (purpose, _) in self.calls.expire(self.now, Micros::from_millis(1_500)) {
+        for (purpose, _) in self.calls.remove_expired(self.now, Micros::from_millis(1_500)) {
             self.store_replied(purpose, self.now, StoreReply::Refused);
         }
         self.admission_tick();
@@ -547,6 +547,6 @@
     }
 
     pub fn waiting_calls(&self) -> usize {
-        self.calls.waiting(Urgency::Rest)
+        self.calls.waiting_calls(Urgency::Other)
     }
 }
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -159,8 +159,8 @@
 
     /// Adds completions that the store holds.
     pub fn merge(&mut self, chunk: usize, value: &serde_json::Value) {
-        self.stored.merge(chunk, value, self.spec.tasks);
-        self.done.merge(chunk, value, self.spec.tasks);
+        self.stored.merge_chunk(chunk, value, self.spec.tasks);
+        self.done.merge_chunk(chunk, value, self.spec.tasks);
         self.placed = self.on.keys().filter(|index| !self.done.contains(**index)).count() as u32;
     }
 
@@ -179,7 +179,7 @@
 
     /// Notes that a task has completed. The tasks of a gang complete together.
     pub fn complete(&mut self, index: u32) -> bool {
-        let chunk = |i: u32| i as usize / crate::bookkeeping::records::CHUNK;
+        let chunk = |i: u32| i as usize / crate::bookkeeping::records::TASKS_PER_CHUNK;
         if index >= self.spec.tasks || self.spec.shape == Shape::Service {
             return false;
         }
@@ -383,7 +383,7 @@
         let mut job = Job::new(spec, 1, Micros::ZERO);
         job.put_on(2, "m");
         job.complete(0);
-        job.merge(0, &job.done.chunk(0));
+        job.merge(0, &job.done.encode_chunk(0));
         (1..4).for_each(|index| assert!(job.complete(index)));
         assert_eq!((job.unfinished(), job.placed()), (0, 0));
         job.forget_unrecorded();
--- a/src/coordination/progress.rs
+++ b/src/coordination/progress.rs
@@ -53,17 +53,17 @@
         for id in mine {
             let entitlement = self.entitlement();
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            let live = Condition::new(records::live(&id), job.stamp);
+            let live = Condition::new(records::live_job_key(&id), job.stamp);
             if job.unfinished() == 0 && job.spec.shape != Shape::Service {
                 job.completing = true;
                 let tasks = job.spec.tasks;
                 let record = FinalRecord { state: Final::Done, tasks };
                 let Ok(value) = serde_json::to_value(record) else { continue };
                 let transaction = Transaction {
-                    conditions: vec![live, Condition::new(records::finished(&id), 0), entitlement],
+                    conditions: vec![live, Condition::new(records::final_state_key(&id), 0), entitlement],
                     writes: vec![
-                        Write::delete(records::live(&id)),
-                        Write::put(records::finished(&id), value),
+                        Write::delete(records::live_job_key(&id)),
+                        Write::put(records::final_state_key(&id), value),
                     ],
                 };
                 self.store(
@@ -74,15 +74,15 @@
             } else if let Some(chunk) = job.dirty.pop_first() {
                 job.writing = true;
                 job.progress_at = now + spacing;
-                let value = job.done.chunk(chunk);
-                let key = records::done_chunk(&id, chunk);
+                let value = job.done.encode_chunk(chunk);
+                let key = records::completions_key(&id, chunk);
                 let known = self.done_keys.get(&id).and_then(|c| c.get(&chunk)).copied().unwrap_or(0);
                 let transaction = Transaction {
                     conditions: vec![live, Condition::new(key.clone(), known), entitlement],
                     writes: vec![Write::put(key, value)],
                 };
                 self.store(
-                    Urgency::Rest,
+                    Urgency::Other,
                     Purpose::Progress { job: id, chunk },
                     StoreCall::Commit(transaction),
                 );
--- a/src/coordination/quota/grants.rs
+++ b/src/coordination/quota/grants.rs
@@ -51,7 +51,7 @@
                 };
                 rows.push(Allotment {
                     member: member.clone(),
-                    node: *node,
+                    registration: *node,
                     team: team.name.clone(),
                     cpu,
                     gpu,
@@ -66,12 +66,12 @@
         let Ok(value) = serde_json::to_value(record) else { return false };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER, leader_stamp),
-                Condition::new(records::QUOTA, self.quota.1),
-                Condition::new(records::VIEW, self.view_stamp),
+                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::QUOTA_KEY, self.quota.1),
+                Condition::new(records::VIEW_KEY, self.view_stamp),
                 self.entitlement(),
             ],
-            writes: vec![Write::put(records::QUOTA, value)],
+            writes: vec![Write::put(records::QUOTA_KEY, value)],
         };
         if let Some(lead) = &mut self.lead {
             lead.granting = true;
@@ -94,7 +94,7 @@
 
     /// What a member may use of a team's limit by the record in force: processors and accelerators.
     pub(super) fn share_of(&self, member: &str, node: u64, team: &Team) -> (u64, u64) {
-        let mine = |r: &&Allotment| r.member == member && r.node == node && r.team == team.name;
+        let mine = |r: &&Allotment| r.member == member && r.registration == node && r.team == team.name;
         self.quota.0.rows.iter().find(mine).map_or((0, 0), |r| (r.cpu, r.gpu))
     }
 
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -109,7 +109,7 @@
     /// This controller's share of a team's limit by the record in force, if there is one for its registration and view.
     pub(super) fn own_share(&self, team: &str) -> Option<(u64, u64)> {
         let (me, registration) = self.life();
-        let mine = |r: &&Allotment| r.team == team && r.member == me && r.node == registration;
+        let mine = |r: &&Allotment| r.team == team && r.member == me && r.registration == registration;
         let rows = self.quota.0.rows.iter().filter(|_| self.quota.0.view == self.view_stamp);
         rows.clone().find(mine).map(|r| (r.cpu, r.gpu))
     }
--- a/src/coordination/reach.rs
+++ b/src/coordination/reach.rs
@@ -54,7 +54,8 @@
             .map(|(member, node)| (member.as_str(), Reach { node: *node, ..Reach::default() }))
             .collect();
         for (name, m) in self.machines.iter().filter(|(_, m)| !m.row.returning) {
-            let Some(of) = reach.get_mut(m.row.owner.as_str()).filter(|r| r.node == m.row.node) else {
+            let Some(of) = reach.get_mut(m.row.owner.as_str()).filter(|r| r.node == m.row.registration)
+            else {
                 continue;
             };
             of.all += 1;
--- a/src/coordination/removal.rs
+++ b/src/coordination/removal.rs
@@ -131,7 +131,7 @@
         }
         *self.removals.entry(ground).or_default() += removed.len() as u64;
         // The line of what the holder said, or of a machine that has left the records, is in its holder's log.
-        let holder_logs = !own && self.nodes.get(&machine.row.owner) == Some(&machine.row.node);
+        let holder_logs = !own && self.nodes.get(&machine.row.owner) == Some(&machine.row.registration);
         let elsewhere = ground == Removal::HolderSaid || ground == Removal::MachineGone && holder_logs;
         for (id, removed) in removed {
             log_removal(name, id, removed, ground, elsewhere);
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -40,11 +40,11 @@
         let Ok(value) = serde_json::to_value(&rental) else { return false };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER, leader_stamp),
-                Condition::new(records::rental(&request), 0),
+                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::rental_key(&request), 0),
                 self.entitlement(),
             ],
-            writes: vec![Write::put(records::rental(&request), value)],
+            writes: vec![Write::put(records::rental_key(&request), value)],
         };
         self.store(Urgency::Completion, Purpose::RentalStored { rental }, StoreCall::Commit(transaction));
         true
@@ -132,7 +132,7 @@
                     zone: rental.zone.clone(),
                     spot: rental.spot,
                     owner: String::new(),
-                    node: 0,
+                    registration: 0,
                     returning: false,
                     token: 0,
                 });
@@ -178,7 +178,7 @@
             .collect();
         lead.fleet.asking.extend(due.iter().map(|r| r.request.clone()));
         for rental in due {
-            self.cloud(Urgency::Rest, CloudPurpose::Rent(rental.clone()), CloudCall::Rent(rental));
+            self.cloud(Urgency::Other, CloudPurpose::Rent(rental.clone()), CloudCall::Rent(rental));
         }
     }
 
@@ -226,7 +226,7 @@
                     zone: m.zone,
                     spot: m.spot,
                     owner: String::new(),
-                    node: 0,
+                    registration: 0,
                     returning: false,
                     token: 0,
                 });
@@ -234,7 +234,7 @@
         }
         match last {
             Some(after) if list.more => {
-                self.cloud(Urgency::Rest, CloudPurpose::List, CloudCall::List { after })
+                self.cloud(Urgency::Other, CloudPurpose::List, CloudCall::List { after })
             }
             _ => lead.fleet.listing = false,
         }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -4,7 +4,7 @@
 
 use marblewalk_recovery::{Announcements, Incarnation, MachineKnowledge};
 
-use crate::bookkeeping::blocks::Changes;
+use crate::bookkeeping::blocks::BlockChanges;
 use crate::bookkeeping::records::{self, LeaderRecord, TaskSet};
 use crate::coordination::model::{Job, Machine, TaskOn};
 use crate::coordination::removal::Removal;
@@ -103,8 +103,9 @@
     pub(super) fn load_all(&mut self, entries: Vec<Entry>) {
         self.ledger.records_loaded(self.applied);
         // Jobs before their completions, blocks before the view.
-        let (last, first): (Vec<_>, Vec<_>) =
-            entries.into_iter().partition(|e| e.key.starts_with(records::DONE) || e.key == records::VIEW);
+        let (last, first): (Vec<_>, Vec<_>) = entries
+            .into_iter()
+            .partition(|e| e.key.starts_with(records::COMPLETIONS_PREFIX) || e.key == records::VIEW_KEY);
         for e in first.into_iter().chain(last) {
             self.put(&e.key, &e.value, e.stamp);
         }
@@ -116,7 +117,8 @@
         if self.phase != Phase::Active {
             return;
         }
-        let each = self.settings.everyone().len() as f64 / (self.settings.params.state.rps * FOLLOW_SHARE);
+        let each =
+            self.settings.controller_names().len() as f64 / (self.settings.params.state.rps * FOLLOW_SHARE);
         self.follow_at = Some(self.now + FOLLOW_SPACING.max(Micros::from_secs_f64(each)));
         match reply {
             StoreReply::News(news) => {
@@ -155,14 +157,14 @@
 
     /// Some machines' records cannot be read, so nothing is certain of machines that are not known.
     pub(super) fn blind(&self) -> bool {
-        self.unreadable.iter().any(|key| key.starts_with(records::BLOCKS))
+        self.unreadable.iter().any(|key| key.starts_with(records::BLOCKS_PREFIX))
     }
 
     fn put(&mut self, key: &str, value: &Json, stamp: u64) {
         if !self.unreadable.is_empty() {
             self.unreadable.remove(key);
         }
-        if let Some(job) = key.strip_prefix(records::LIVE) {
+        if let Some(job) = key.strip_prefix(records::LIVE_JOBS_PREFIX) {
             // A peer's word that it is over may have come before the change that accepted it.
             if !self.jobs.contains_key(job) && self.finals.get(job).is_none() {
                 let spec = match value.read::<JobSpec>() {
@@ -192,14 +194,14 @@
                 self.jobs.insert_sorted(job.to_owned(), job_state);
                 self.soon_round();
             }
-        } else if let Some(rest) = key.strip_prefix(records::DONE) {
+        } else if let Some(rest) = key.strip_prefix(records::COMPLETIONS_PREFIX) {
             let Some((job, chunk)) = rest.rsplit_once('/') else { return };
             let Ok(chunk) = chunk.parse::<usize>() else { return };
             self.done_keys.entry(job.to_owned()).or_default().insert(chunk, stamp);
             if let Some(j) = self.jobs.get_mut(job) {
                 j.merge(chunk, &value.read().unwrap_or_default());
             }
-        } else if let Some(member) = key.strip_prefix(records::NODE) {
+        } else if let Some(member) = key.strip_prefix(records::REGISTRATIONS_PREFIX) {
             // A list's later pages show registrations that the changes read after it lead up to once more.
             if self.nodes.get(member).is_some_and(|known| *known > stamp) {
                 return;
@@ -208,15 +210,15 @@
                 self.ledger.incarnation_ended(&(member.to_owned(), former));
             }
             self.soon_round();
-        } else if let Some(member) = key.strip_prefix(records::EVICTED) {
+        } else if let Some(member) = key.strip_prefix(records::EVICTIONS_PREFIX) {
             // It may not know yet, and may go on answering until its lease runs out.
             self.evicted.insert(member.to_owned(), (self.now, stamp));
-        } else if let Some(shard) = key.strip_prefix(records::BLOCKS) {
+        } else if let Some(shard) = key.strip_prefix(records::BLOCKS_PREFIX) {
             match shard.parse() {
                 Ok(shard) => self.block_put(shard, key, value.text(), stamp),
                 Err(problem) => self.not_understood(key, &problem),
             }
-        } else if let Some(request) = key.strip_prefix(records::RENTAL) {
+        } else if let Some(request) = key.strip_prefix(records::RENTALS_PREFIX) {
             if let Ok(rental) = value.read() {
                 self.rentals.insert(request.to_owned(), (rental, stamp));
             }
@@ -227,22 +229,22 @@
             {
                 lead.fleet.closing.insert(request.to_owned());
             }
-        } else if let Some(member) = key.strip_prefix(records::UNINFORMED) {
+        } else if let Some(member) = key.strip_prefix(records::UNINFORMED_PREFIX) {
             self.uninformed_by(member, value, stamp);
-        } else if key == records::LEADER {
+        } else if key == records::LEADER_KEY {
             if let Ok(l) = value.read::<LeaderRecord>() {
-                self.leader = Some((l.member, l.node, stamp));
+                self.leader = Some((l.member, l.registration, stamp));
                 self.leadership_changed();
             }
-        } else if key == records::VIEW {
+        } else if key == records::VIEW_KEY {
             if let Ok(view) = value.read() {
                 self.view = view;
                 self.view_stamp = stamp;
                 self.view_changed();
             }
-        } else if key == records::COUNTER {
+        } else if key == records::TOKEN_COUNTER_KEY {
             self.counter = (value.read().unwrap_or(0), stamp);
-        } else if key == records::QUOTA
+        } else if key == records::QUOTA_KEY
             && let Ok(quota) = value.read()
         {
             self.quota = (quota, stamp);
@@ -252,11 +254,11 @@
 
     fn delete(&mut self, key: &str, stamp: u64) {
         self.unreadable.remove(key);
-        if let Some(job) = key.strip_prefix(records::LIVE) {
+        if let Some(job) = key.strip_prefix(records::LIVE_JOBS_PREFIX) {
             // A key accepted, removed and seen again cannot be: ids are never accepted twice.
             self.retire(job);
             self.soon_round();
-        } else if let Some(rest) = key.strip_prefix(records::DONE) {
+        } else if let Some(rest) = key.strip_prefix(records::COMPLETIONS_PREFIX) {
             if let Some((job, chunk)) = rest.rsplit_once('/')
                 && let (Some(keys), Ok(chunk)) = (self.done_keys.get_mut(job), chunk.parse::<usize>())
             {
@@ -265,7 +267,7 @@
                     self.done_keys.remove(job);
                 }
             }
-        } else if let Some(member) = key.strip_prefix(records::NODE) {
+        } else if let Some(member) = key.strip_prefix(records::REGISTRATIONS_PREFIX) {
             if let Some(former) = self.nodes.get(member).copied().filter(|s| *s < stamp) {
                 self.nodes.remove(member);
                 self.ledger.incarnation_ended(&(member.to_owned(), former));
@@ -275,7 +277,7 @@
                 }
             }
             self.soon_round();
-        } else if let Some(shard) = key.strip_prefix(records::BLOCKS) {
+        } else if let Some(shard) = key.strip_prefix(records::BLOCKS_PREFIX) {
             if let Ok(shard) = shard.parse()
                 && let Some(block) = self.shards.get_mut(&shard)
             {
@@ -283,9 +285,9 @@
                 let changes = block.0.clear();
                 self.blocks_changed(shard, changes, stamp);
             }
-        } else if let Some(request) = key.strip_prefix(records::RENTAL) {
+        } else if let Some(request) = key.strip_prefix(records::RENTALS_PREFIX) {
             self.rentals.remove(request);
-        } else if key == records::LEADER && self.leader.as_ref().is_some_and(|l| l.2 < stamp) {
+        } else if key == records::LEADER_KEY && self.leader.as_ref().is_some_and(|l| l.2 < stamp) {
             self.leader = None;
             self.leadership_changed();
         }
@@ -306,9 +308,9 @@
         }
     }
 
-    fn blocks_changed(&mut self, shard: usize, changes: Changes, stamp: u64) {
-        let any_gone = !changes.gone.is_empty();
-        for gone in changes.gone {
+    fn blocks_changed(&mut self, shard: usize, changes: BlockChanges, stamp: u64) {
+        let any_gone = !changes.removed.is_empty();
+        for gone in changes.removed {
             // Its row goes only after the cloud has confirmed that the machine is gone.
             self.replace_tasks(&gone, BTreeMap::new(), Removal::MachineGone);
             self.machines.shift_remove(&gone);
@@ -320,10 +322,10 @@
         if any_gone {
             self.check_adoption();
         }
-        for row in changes.rows {
+        for row in changes.changed {
             let supply = self.types.get(&row.kind).map(|t| t.supply()).unwrap_or_default();
             let now = self.now;
-            let holder = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.node));
+            let holder = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.registration));
             if !self.machines.contains_key(&row.machine) {
                 self.learnt_of(&row.machine, holder.clone(), stamp);
             }
@@ -341,8 +343,8 @@
             self.stops_abroad = true;
             // A fresh token for the same holder is no new beginning: a machine that takes none of them would else
             // be waited for as long as it is given new ones.
-            let renewed =
-                (&machine.row.owner, machine.row.node) == (&row.owner, row.node) && !machine.resolved;
+            let renewed = (&machine.row.owner, machine.row.registration) == (&row.owner, row.registration)
+                && !machine.resolved;
             machine.row = row;
             machine.stamp = stamp;
             machine.granted = if renewed { machine.granted } else { now };
@@ -458,7 +460,7 @@
     pub(super) fn owns(&self, machine: &Machine) -> bool {
         let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
         // The stamp alone tells nearly all others apart, and this is asked of every machine all the time.
-        machine.row.node == stamp && machine.row.owner == self.settings.member
+        machine.row.registration == stamp && machine.row.owner == self.settings.member
     }
 
     /// Replaces what is known of the tasks on a machine. `ground`: why those that are missing are taken for gone.
--- a/src/coordination/simulation/evictions.rs
+++ b/src/coordination/simulation/evictions.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn evictions(world: &World) -> usize {
-    world.store.log.iter().filter(|(_, key, _)| key.starts_with(records::EVICTED)).count()
+    world.store.log.iter().filter(|(_, key, _)| key.starts_with(records::EVICTIONS_PREFIX)).count()
 }
 
 /// Guards against the storm in which controllers that a packet filter kept from each other all took
@@ -107,7 +107,7 @@
     world.run(Micros::from_secs(10));
     assert!(world.jobs[&id].told_accepted);
     world.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
-    let key = records::node("n-0");
+    let key = records::registration_key("n-0");
     world.store.keys.remove(&key);
     world.store.revision += 1;
     let (revision, life) = (world.store.revision, world.lives[0]);
--- a/src/coordination/simulation/fleets.rs
+++ b/src/coordination/simulation/fleets.rs
@@ -13,10 +13,10 @@
     let mut granted = BTreeSet::new();
     for second in 1..40 {
         world.run(Micros::from_secs(second));
-        let blocks = world.store.keys.iter().filter(|(key, _)| key.starts_with(records::BLOCKS));
+        let blocks = world.store.keys.iter().filter(|(key, _)| key.starts_with(records::BLOCKS_PREFIX));
         for (_, (value, ..)) in blocks {
             let block = blocks::Block::default().update(&value.to_string()).unwrap();
-            granted.extend(block.rows.into_iter().filter(|r| !r.owner.is_empty()).map(|r| r.machine));
+            granted.extend(block.changed.into_iter().filter(|r| !r.owner.is_empty()).map(|r| r.machine));
         }
     }
     // Idle ones are returned in the meantime, so they are counted as they are granted.
@@ -35,7 +35,7 @@
     world.run(Micros::from_secs(40));
     let keys = world.store.keys.iter();
     let spoilt: Vec<(String, Value)> = keys
-        .filter(|(k, _)| k.starts_with(records::BLOCKS) || k.ends_with("j-000002"))
+        .filter(|(k, _)| k.starts_with(records::BLOCKS_PREFIX) || k.ends_with("j-000002"))
         .map(|(k, v)| (k.clone(), v.0.clone()))
         .collect();
     assert!(spoilt.len() >= 2);
--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_lives.rs
@@ -102,7 +102,7 @@
 
 /// New views are late, so that a controller that has joined again still reads its former registration's grants.
 fn late_views(t: &Transaction) -> Option<Fate> {
-    let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::VIEW));
+    let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::VIEW_KEY));
     written.then_some(Fate::Late(Micros::from_secs(3)))
 }
 
@@ -116,7 +116,7 @@
         let rejoins = (leader + 1) % 3;
         let former = world.controllers[rejoins].as_ref().unwrap().life();
         world.fate_of = Some(late_views);
-        let removed = vec![Write::delete(records::node(&former.0))];
+        let removed = vec![Write::delete(records::registration_key(&former.0))];
         world.store.commit(Transaction { conditions: Vec::new(), writes: removed });
         let again = |w: &World| {
             let c = w.controllers[rejoins].as_ref().unwrap();
@@ -124,7 +124,8 @@
         };
         assert!(until(&mut world, Micros::from_secs(5), again), "seed {seed}: has not joined again");
         let c = world.controllers[rejoins].as_ref().unwrap();
-        let held = c.machines.iter().find(|(_, m)| (&m.row.owner, m.row.node) == (&former.0, former.1));
+        let held =
+            c.machines.iter().find(|(_, m)| (&m.row.owner, m.row.registration) == (&former.0, former.1));
         let (machine, token) =
             held.map(|(name, m)| (name.clone(), m.row.token)).expect("its machines are granted anew already");
         let mut report = world.workers[&machine].report(&machine, world.now);
--- a/src/coordination/simulation/looks.rs
+++ b/src/coordination/simulation/looks.rs
@@ -66,8 +66,9 @@
     /// An answer about a job that nobody has submitted: there is none, and none comes of having been asked about.
     pub(super) fn heard_of_unknown(&mut self, id: &str, answer: Answer) {
         assert!(!matches!(answer, Answer::Job { .. }), "invented: {id} was never submitted: {answer:?}");
-        let kept =
-            [records::live(id), records::finished(id)].into_iter().find(|k| self.store.keys.contains_key(k));
+        let kept = [records::live_job_key(id), records::final_state_key(id)]
+            .into_iter()
+            .find(|k| self.store.keys.contains_key(k));
         assert_eq!(kept, None, "invented: {id} was never submitted");
         self.met.unknown_denied += u32::from(answer == Answer::NotFound);
     }
--- a/src/coordination/simulation/meetings.rs
+++ b/src/coordination/simulation/meetings.rs
@@ -107,9 +107,9 @@
     let (after, mine) = (c.applied, c.life().1);
     let spec = array(&mut world, 77, 4);
     let changes = vec![
-        Change::Delete { key: records::node(&me), stamp: after + 1 },
+        Change::Delete { key: records::registration_key(&me), stamp: after + 1 },
         Change::Put {
-            key: records::live(&spec.id),
+            key: records::live_job_key(&spec.id),
             value: (&serde_json::to_value(&spec).unwrap()).into(),
             stamp: after + 2,
         },
@@ -202,9 +202,11 @@
         let trouble = Trouble { late_writes: 0.3, crash: 0.03, withdrawn: 0.4, ..Default::default() };
         let world = super::troubles::play(seed, trouble);
         late += world.met.late_commits;
-        let open: Vec<_> = world.store.keys.keys().filter(|key| key.starts_with(records::RENTAL)).collect();
+        let open: Vec<_> =
+            world.store.keys.keys().filter(|key| key.starts_with(records::RENTALS_PREFIX)).collect();
         assert!(open.is_empty(), "seed {seed}: rentals that nobody closes: {open:?}");
-        let orphans = world.store.keys.keys().filter(|key| key.starts_with(records::DONE)).count();
+        let orphans =
+            world.store.keys.keys().filter(|key| key.starts_with(records::COMPLETIONS_PREFIX)).count();
         assert_eq!(orphans, 0, "seed {seed}: completions of jobs that are over");
     }
     assert!(late > 100, "only {late} transactions were carried out after newer ones");
--- a/src/coordination/simulation/meetings_handover.rs
+++ b/src/coordination/simulation/meetings_handover.rs
@@ -49,21 +49,21 @@
 
 /// The revision in which a job's end was recorded.
 fn recorded(world: &World, id: &str) -> Option<u64> {
-    let key = records::finished(id);
+    let key = records::final_state_key(id);
     world.store.log.iter().find(|(_, k, _)| *k == key).map(|(revision, ..)| *revision)
 }
 
 /// The revision of the newest view.
 fn viewed(world: &World) -> u64 {
-    world.store.keys.get(records::VIEW).map_or(0, |(_, stamp, _)| *stamp)
+    world.store.keys.get(records::VIEW_KEY).map_or(0, |(_, stamp, _)| *stamp)
 }
 
 /// The others take a controller for ended that goes on and does not know. The revision of that.
 fn evict(world: &mut World, node: usize) -> u64 {
     let member = world.settings[node].member.clone();
-    let key = records::node(&member);
+    let key = records::registration_key(&member);
     let stamp = world.store.keys[&key].1;
-    let writes = vec![Write::delete(key.clone()), Write::put(records::evicted(&member), stamp.into())];
+    let writes = vec![Write::delete(key.clone()), Write::put(records::eviction_key(&member), stamp.into())];
     let done = world.store.commit(Transaction { conditions: vec![Condition::new(key, stamp)], writes });
     assert!(matches!(done, StoreReply::Committed { .. }));
     world.store.revision
@@ -71,7 +71,7 @@
 
 /// Grants with a new view are late, so that there is time between an eviction and the grant that follows it.
 fn late_views(t: &Transaction) -> Option<Fate> {
-    let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::VIEW));
+    let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::VIEW_KEY));
     written.then_some(Fate::Late(Micros::from_millis(700)))
 }
 
--- a/src/coordination/simulation/meetings_jobs.rs
+++ b/src/coordination/simulation/meetings_jobs.rs
@@ -60,10 +60,10 @@
         most("requests open", open.count());
     }
     let under = |prefix: &str| world.store.keys.keys().filter(|key| key.starts_with(prefix)).count();
-    most("live records", under(records::LIVE));
-    most("chunks of progress", under(records::DONE));
-    most("records of rentals", under(records::RENTAL));
-    most("records followed", under(records::FOLLOWED));
+    most("live records", under(records::LIVE_JOBS_PREFIX));
+    most("chunks of progress", under(records::COMPLETIONS_PREFIX));
+    most("records of rentals", under(records::RENTALS_PREFIX));
+    most("records followed", under(records::WATCHED_PREFIX));
     kept
 }
 
@@ -135,7 +135,7 @@
         assert_eq!(left.get(name).copied().unwrap_or(0), 0, "{name} are left: {left:?}");
     }
     let over = world.jobs.values().filter(|w| w.told_final.is_some()).count();
-    let finals = world.store.keys.keys().filter(|key| key.starts_with(records::FINISHED)).count();
+    let finals = world.store.keys.keys().filter(|key| key.starts_with(records::FINAL_STATES_PREFIX)).count();
     assert_eq!(finals, over, "one final state a job");
     let withdrawn = world.jobs.values().filter(|w| w.told_final.is_some_and(|f| f.0 == Final::Withdrawn));
     let withdrawn = withdrawn.count();
@@ -184,8 +184,13 @@
     }
     let of = Stream { size: 3, far_apart: true, per_s: 10, machines: 30, minutes: 3 };
     let world = nothing_piles_up(world, of, 16);
-    let chunks: BTreeSet<&String> =
-        world.store.log.iter().map(|l| &l.1).filter(|key| key.starts_with(records::DONE)).collect();
+    let chunks: BTreeSet<&String> = world
+        .store
+        .log
+        .iter()
+        .map(|l| &l.1)
+        .filter(|key| key.starts_with(records::COMPLETIONS_PREFIX))
+        .collect();
     assert!(chunks.len() > 600, "only {} records of progress were written", chunks.len());
 }
 
@@ -261,7 +266,7 @@
         world.run(world.now + Micros::from_secs(6));
         ask_everywhere(&mut world);
         for (id, wish) in &world.jobs {
-            let recorded = world.store.log.iter().filter(|l| l.1 == records::finished(id)).count();
+            let recorded = world.store.log.iter().filter(|l| l.1 == records::final_state_key(id)).count();
             assert_eq!(recorded, 1, "seed {seed}: {id} has {recorded} records of its end");
             let tasks = wish.spec.as_ref().unwrap().tasks as usize;
             match wish.told_final.unwrap().0 {
@@ -291,7 +296,7 @@
 
 fn ends(t: &Transaction, state: Final) -> bool {
     let record = |w: &Write| match w {
-        Write::Put { key, value, .. } if key.starts_with(records::FINISHED) => {
+        Write::Put { key, value, .. } if key.starts_with(records::FINAL_STATES_PREFIX) => {
             serde_json::from_value::<records::FinalRecord>(value.clone()).ok()
         }
         _ => None,
@@ -303,20 +308,20 @@
 
 /// Every kind of transaction, told by what it writes.
 const KINDS: [Kind; 14] = [
-    ("acceptance", |t| puts(t, records::LIVE)),
+    ("acceptance", |t| puts(t, records::LIVE_JOBS_PREFIX)),
     ("withdrawal", |t| ends(t, Final::Withdrawn)),
     ("completion", |t| ends(t, Final::Done)),
-    ("progress", |t| puts(t, records::DONE)),
-    ("grant", |t| puts(t, records::BLOCKS) && !puts(t, records::VIEW)),
-    ("view", |t| puts(t, records::VIEW)),
-    ("leadership", |t| puts(t, records::LEADER) && !puts(t, records::EVICTED)),
-    ("eviction", |t| puts(t, records::EVICTED)),
-    ("allotment", |t| puts(t, records::QUOTA)),
-    ("registration", |t| puts(t, records::NODE)),
-    ("uninformed", |t| puts(t, records::UNINFORMED)),
-    ("rental", |t| puts(t, records::RENTAL)),
-    ("rental closed", |t| removes(t, records::RENTAL)),
-    ("progress removed", |t| removes(t, records::DONE)),
+    ("progress", |t| puts(t, records::COMPLETIONS_PREFIX)),
+    ("grant", |t| puts(t, records::BLOCKS_PREFIX) && !puts(t, records::VIEW_KEY)),
+    ("view", |t| puts(t, records::VIEW_KEY)),
+    ("leadership", |t| puts(t, records::LEADER_KEY) && !puts(t, records::EVICTIONS_PREFIX)),
+    ("eviction", |t| puts(t, records::EVICTIONS_PREFIX)),
+    ("allotment", |t| puts(t, records::QUOTA_KEY)),
+    ("registration", |t| puts(t, records::REGISTRATIONS_PREFIX)),
+    ("uninformed", |t| puts(t, records::UNINFORMED_PREFIX)),
+    ("rental", |t| puts(t, records::RENTALS_PREFIX)),
+    ("rental closed", |t| removes(t, records::RENTALS_PREFIX)),
+    ("progress removed", |t| removes(t, records::COMPLETIONS_PREFIX)),
 ];
 
 /// The answers to two of three transactions of one kind are lost, by what is in them.
@@ -391,7 +396,7 @@
     }
     world.fate_of = None;
     world.all_over(400, &format!("{} {seed}", KINDS[kind].0));
-    for prefix in [records::RENTAL, records::DONE, records::LIVE] {
+    for prefix in [records::RENTALS_PREFIX, records::COMPLETIONS_PREFIX, records::LIVE_JOBS_PREFIX] {
         let left = world.store.keys.keys().filter(|key| key.starts_with(prefix)).count();
         assert_eq!(left, 0, "{} {seed}: {left} records under {prefix}", KINDS[kind].0);
     }
--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -118,7 +118,7 @@
 
 /// From the record chosen on all are carried out late, by so much that what was true then no longer is.
 fn late_allotments(t: &Transaction) -> Option<Fate> {
-    let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::QUOTA));
+    let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::QUOTA_KEY));
     let from = LATE.get().filter(|_| written)?;
     CAME.set(CAME.get() + 1);
     (CAME.get() >= from).then_some(Fate::Late(Micros::from_secs(15)))
@@ -126,7 +126,7 @@
 
 /// Records of allotments that the store holds by now.
 fn allotted(world: &World) -> usize {
-    world.store.log.iter().filter(|(_, key, _)| key == records::QUOTA).count()
+    world.store.log.iter().filter(|(_, key, _)| key == records::QUOTA_KEY).count()
 }
 
 /// Guards a team's limit against a division that is carried out late: meanwhile the team is within its limit, so that
@@ -403,7 +403,7 @@
 /// How many leaders have begun since this revision.
 pub(super) fn leaders_since(world: &World, revision: u64) -> usize {
     let begun = |(r, key, value): &&(u64, String, Option<Value>)| {
-        *r > revision && key == records::LEADER && value.is_some()
+        *r > revision && key == records::LEADER_KEY && value.is_some()
     };
     world.store.log.iter().filter(begun).count()
 }
--- a/src/coordination/simulation/meetings_looks.rs
+++ b/src/coordination/simulation/meetings_looks.rs
@@ -77,7 +77,8 @@
     let (mut world, id) = with_one_job(7);
     // The first answer is lost, and two controllers follow nothing while the third finds the record.
     world.fate_of = Some(|t| {
-        let ends = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::FINISHED));
+        let ends =
+            |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::FINAL_STATES_PREFIX));
         t.writes.iter().any(ends).then_some(Fate::AnswerLost)
     });
     (0..3).for_each(|n| world.befalls(Spell::WatchHangs(n), world.now + Micros::from_secs(1)));
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -15,7 +15,8 @@
     let keys = t.writes.iter().map(|w| match w {
         Write::Put { key, .. } | Write::Delete { key } => key,
     });
-    let lags = |key: &&String| key.starts_with(records::BLOCKS) || key.starts_with(records::RENTAL);
+    let lags =
+        |key: &&String| key.starts_with(records::BLOCKS_PREFIX) || key.starts_with(records::RENTALS_PREFIX);
     let bytes = |key: &String| key.bytes().map(u64::from).sum::<u64>();
     let named: Vec<u64> = keys.filter(lags).map(bytes).collect();
     if named.is_empty() {
@@ -31,7 +32,7 @@
 
 /// All machines that blocks name, as the store has them.
 fn recorded(world: &World) -> Vec<String> {
-    let blocks = world.store.keys.iter().filter(|(key, _)| key.starts_with(records::BLOCKS));
+    let blocks = world.store.keys.iter().filter(|(key, _)| key.starts_with(records::BLOCKS_PREFIX));
     let names = blocks.flat_map(|(_, (value, ..))| {
         let mut block = Block::default();
         block.update(&value.to_string()).unwrap();
@@ -67,7 +68,7 @@
             let early = world.workers.values().filter(|w| young(w) && !w.tasks.is_empty()).count();
             let known: BTreeSet<String> = recorded(&world).into_iter().collect();
             let strange = world.workers.iter().filter(|(n, w)| w.tally > 0 && !known.contains(*n)).count();
-            let open = |name: &&String| world.store.keys.contains_key(&records::rental(name));
+            let open = |name: &&String| world.store.keys.contains_key(&records::rental_key(name));
             let open = world.charters.keys().filter(open).count();
             let pause = Micros::from_secs([9, 25][usize::from([early, strange, open][ends % 3] == 0)]);
             if early + strange + open == 0 || ends == 6 || world.now.since(last) < pause {
@@ -87,7 +88,8 @@
         world.run(world.now + Micros::from_secs(60));
         let left: Vec<_> = world.workers.keys().collect();
         assert!(left.is_empty(), "seed {seed}: rented for ever: {left:?}");
-        let open: Vec<_> = world.store.keys.keys().filter(|key| key.starts_with(records::RENTAL)).collect();
+        let open: Vec<_> =
+            world.store.keys.keys().filter(|key| key.starts_with(records::RENTALS_PREFIX)).collect();
         assert!(open.is_empty(), "seed {seed}: rentals that nobody closes: {open:?}");
         assert_eq!(world.met.begun_again, 0, "seed {seed}");
     }
@@ -127,7 +129,7 @@
     let row = BlockRow {
         machine: "m-900001".into(),
         owner: String::new(),
-        node: 0,
+        registration: 0,
         token: 0,
         ..c.machines[&moved].row.clone()
     };
@@ -148,7 +150,7 @@
     let (first, again) = (grant([(moved, to)].into()), grant(BTreeMap::new()));
     let blocks = |t: &Transaction| -> Vec<String> {
         let keys = t.conditions.iter().map(|c| c.key.clone());
-        keys.filter(|key| key.starts_with(records::BLOCKS)).collect()
+        keys.filter(|key| key.starts_with(records::BLOCKS_PREFIX)).collect()
     };
     assert_ne!(blocks(&first), blocks(&again), "both went to the same block");
     assert!(matches!(world.store.commit(again), StoreReply::Committed { .. }));
@@ -479,15 +481,18 @@
     let (n, (name, row)) = found(&world).expect("nothing is known in full");
     let c = world.controllers[n].as_mut().unwrap();
     let me = c.life();
-    let (member, stamp) = (row.owner, row.node);
+    let (member, stamp) = (row.owner, row.registration);
     let life = (member.clone(), stamp);
     let put = |stamp| Change::Put {
-        key: records::node(&member),
+        key: records::registration_key(&member),
         value: (&serde_json::json!({"lease": 1})).into(),
         stamp,
     };
-    let changes =
-        vec![put(stamp - 2), Change::Delete { key: records::node(&member), stamp: stamp - 1 }, put(stamp)];
+    let changes = vec![
+        put(stamp - 2),
+        Change::Delete { key: records::registration_key(&member), stamp: stamp - 1 },
+        put(stamp),
+    ];
     c.followed(c.now, StoreReply::News(News { revision: c.applied + 1, changes }));
     assert_eq!(c.nodes.get(&member), Some(&stamp));
     c.ledger.message_received(&life, u64::MAX - 1, false, c.applied);
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -128,7 +128,8 @@
 
 /// Records of progress come late.
 fn late_progress(t: &Transaction) -> Option<Fate> {
-    let progress = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::DONE));
+    let progress =
+        |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::COMPLETIONS_PREFIX));
     t.writes.iter().any(progress).then_some(Fate::Late(Micros::from_secs(12)))
 }
 
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -65,7 +65,7 @@
 /// reaches the heir. The judge of the rules sees each start.
 fn ends_unwitnessed(world: &mut World, owner: usize, heir: usize) {
     world.crash_for(owner, Micros::from_secs(60));
-    let node = records::node(&world.settings[owner].member);
+    let node = records::registration_key(&world.settings[owner].member);
     world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
     let testimony = |what: &Happening| {
         let Happening::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
@@ -94,7 +94,7 @@
         world.crash_for(newcomer, Micros::from_millis(200));
         let load = |what: &Happening| {
             matches!(what, Happening::StoreCall { node, call: StoreCall::List { prefix, .. }, .. }
-                if *node == newcomer && prefix == records::FOLLOWED)
+                if *node == newcomer && prefix == records::WATCHED_PREFIX)
         };
         let mut held_up = Vec::new();
         let end = world.now + Micros::from_secs(5);
@@ -103,7 +103,7 @@
             world.run(world.now + Micros::from_millis(1));
             held_up = take_out(&mut world, load);
         }
-        let registration = world.store.keys[&records::node(&world.settings[newcomer].member)].1;
+        let registration = world.store.keys[&records::registration_key(&world.settings[newcomer].member)].1;
         let in_view = |w: &World, by: usize| {
             let c = w.controllers[by].as_ref().unwrap();
             c.view.members.contains(&(w.settings[newcomer].member.clone(), registration))
@@ -115,7 +115,7 @@
         grant_to(&mut world, &machine, newcomer);
         let given = |w: &World| {
             let c = w.controllers[leader].as_ref().unwrap();
-            c.machines[&machine].row.node == registration
+            c.machines[&machine].row.registration == registration
         };
         assert!(until(&mut world, Micros::from_secs(2), given), "seed {seed}: not granted");
         for call in held_up {
@@ -150,7 +150,7 @@
 fn is_away(world: &mut World, away: usize) {
     world.controllers[away] = None;
     world.lives[away] += 1;
-    let node = records::node(&world.settings[away].member);
+    let node = records::registration_key(&world.settings[away].member);
     world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
     let gone = |w: &World| w.controllers.iter().flatten().all(|c| c.view.members.len() == 2);
     assert!(until(world, Micros::from_secs(4), gone), "it is still in the view");
--- a/src/coordination/simulation/odd.rs
+++ b/src/coordination/simulation/odd.rs
@@ -57,7 +57,10 @@
     pub(super) fn odd_ones_refused(&self) {
         for (id, wish) in self.jobs.iter().filter(|(id, _)| id.starts_with(UNFIT)) {
             assert!(wish.refused && !wish.told_accepted, "accepted, and can never run: {:?}", wish.spec);
-            assert!(!self.store.keys.contains_key(&records::live(id)), "{id} is kept, and can never run");
+            assert!(
+                !self.store.keys.contains_key(&records::live_job_key(id)),
+                "{id} is kept, and can never run"
+            );
         }
     }
 }
--- a/src/coordination/simulation/quota_guard.rs
+++ b/src/coordination/simulation/quota_guard.rs
@@ -26,14 +26,14 @@
 
 /// The division in the records.
 fn division(world: &World) -> QuotaRecord {
-    serde_json::from_value(world.store.keys[records::QUOTA].0.clone()).unwrap()
+    serde_json::from_value(world.store.keys[records::QUOTA_KEY].0.clone()).unwrap()
 }
 
 fn write_division(world: &mut World, record: QuotaRecord) {
-    let stamp = world.store.keys[records::QUOTA].1;
+    let stamp = world.store.keys[records::QUOTA_KEY].1;
     let written = world.store.commit(Transaction {
-        conditions: vec![crate::protocol::store::Condition::new(records::QUOTA, stamp)],
-        writes: vec![Write::put(records::QUOTA, serde_json::to_value(record).unwrap())],
+        conditions: vec![crate::protocol::store::Condition::new(records::QUOTA_KEY, stamp)],
+        writes: vec![Write::put(records::QUOTA_KEY, serde_json::to_value(record).unwrap())],
     });
     assert!(matches!(written, StoreReply::Committed { .. }));
 }
@@ -81,7 +81,7 @@
 
 /// What the leader writes of divisions comes late.
 fn late_divisions(t: &Transaction) -> Option<Fate> {
-    let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::QUOTA));
+    let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::QUOTA_KEY));
     written.then_some(Fate::Late(Micros::from_secs(60)))
 }
 
@@ -115,7 +115,7 @@
 
 /// What controllers record of those that they do not wait for comes late.
 fn late_records_of_the_uninformed(t: &Transaction) -> Option<Fate> {
-    let key = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::UNINFORMED));
+    let key = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::UNINFORMED_PREFIX));
     t.writes.iter().any(key).then_some(Fate::Late(Micros::from_secs(30)))
 }
 
--- a/src/coordination/simulation/rules.rs
+++ b/src/coordination/simulation/rules.rs
@@ -11,7 +11,10 @@
     /// How long after a withdrawal was recorded, and after it was confirmed, the last task may be there: not
     /// `cancel_s`, but the sums by which the design keeps within it.
     pub(super) fn withdrawn_within(&self) -> (Micros, Micros) {
-        (self.settings[0].withdrawn_within(&Tuning::default()), self.settings[0].confirmed_within())
+        (
+            self.settings[0].max_stop_time_after_commit(&Tuning::default()),
+            self.settings[0].max_stop_time_after_confirmation(),
+        )
     }
 
     /// A task has its image: the moment at which the rules are judged.
--- a/src/coordination/simulation/spells.rs
+++ b/src/coordination/simulation/spells.rs
@@ -148,7 +148,8 @@
 
     /// A new leader has appeared: copies of reports that were kept for it come to every controller.
     fn give_kept(&mut self) {
-        let leader = self.store.keys.get(records::LEADER).map_or(self.last_leader, |(_, stamp, _)| *stamp);
+        let leader =
+            self.store.keys.get(records::LEADER_KEY).map_or(self.last_leader, |(_, stamp, _)| *stamp);
         if self.last_leader == leader {
             return;
         }
--- a/src/coordination/simulation/start_orders.rs
+++ b/src/coordination/simulation/start_orders.rs
@@ -159,7 +159,7 @@
 /// The owner and its registration end, and the heir, which has read no changes, reads them all once there is a new view.
 /// The judge of the rules sees each start.
 pub(super) fn ends_unread(world: &mut World, owner: usize, heir: usize) {
-    let node = records::node(&world.settings[owner].member);
+    let node = records::registration_key(&world.settings[owner].member);
     world.crash_for(owner, Micros::from_secs(60));
     world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
     let away = |w: &World| w.controllers[w.leader().unwrap()].as_ref().unwrap().view.members.len() == 2;
--- a/src/coordination/simulation/store.rs
+++ b/src/coordination/simulation/store.rs
@@ -58,7 +58,7 @@
                 Write::Put { key, value, lease } => {
                     assert!(value.to_string().len() <= self.value_limit, "{key} is too large");
                     self.log.push((self.revision, key.clone(), Some(value.clone())));
-                    if let Some(job) = key.strip_prefix(records::FINISHED)
+                    if let Some(job) = key.strip_prefix(records::FINAL_STATES_PREFIX)
                         && value["state"] == "withdrawn"
                     {
                         self.withdrawn.insert(job.to_owned(), self.now);
--- a/src/coordination/simulation/takeovers.rs
+++ b/src/coordination/simulation/takeovers.rs
@@ -55,7 +55,7 @@
     let mut broken = 0;
     for seed in 0..10 {
         let world = an_end_nobody_was_told_of(seed, false);
-        let recorded = world.store.log.iter().any(|(_, key, _)| key == &records::uninformed("n-0"));
+        let recorded = world.store.log.iter().any(|(_, key, _)| key == &records::uninformed_key("n-0"));
         assert!(recorded, "seed {seed}: nobody was recorded as uninformed");
         if let Err(panic) = std::panic::catch_unwind(|| an_end_nobody_was_told_of(seed, true)) {
             let text = panic.downcast_ref::<String>().cloned().unwrap_or_default();
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -221,7 +221,7 @@
             self.uninformed = (record, stamp);
         } else {
             let named = record.peers.contains(&self.life());
-            self.ledger.set_uninformed(&(member.to_owned(), record.node), named);
+            self.ledger.set_uninformed(&(member.to_owned(), record.registration), named);
         }
     }
 
@@ -236,7 +236,7 @@
         }
         let (me, node) = self.life();
         let stored: BTreeSet<Incarnation> = match &self.uninformed.0 {
-            record if record.node == node => record.peers.iter().cloned().collect(),
+            record if record.registration == node => record.peers.iter().cloned().collect(),
             _ => BTreeSet::new(),
         };
         let wanted = self.announcements.desired_record(self.now, PATIENCE);
@@ -244,8 +244,8 @@
         let unsure = || (stored != self.announcements.uninformed()).then(|| self.announcements.uninformed());
         let Some(record) = wanted.or_else(unsure) else { return };
         let peers = record.iter().cloned().collect();
-        let Ok(value) = serde_json::to_value(UninformedRecord { node, peers }) else { return };
-        let key = records::uninformed(&me);
+        let Ok(value) = serde_json::to_value(UninformedRecord { registration: node, peers }) else { return };
+        let key = records::uninformed_key(&me);
         let transaction = Transaction {
             conditions: vec![Condition::new(key.clone(), self.uninformed.1), self.entitlement()],
             writes: vec![Write::put(key, value)],
@@ -261,7 +261,7 @@
         if let StoreReply::Committed { revision } = reply {
             let (node, peers) = (self.life().1, record.iter().cloned().collect());
             if self.uninformed.1 < revision {
-                self.uninformed = (UninformedRecord { node, peers }, revision);
+                self.uninformed = (UninformedRecord { registration: node, peers }, revision);
             }
             self.announcements.record_committed(self.now, &record);
             self.speak();
--- a/src/coordination/words.rs
+++ b/src/coordination/words.rs
@@ -110,7 +110,8 @@
     fn mark_announced(&mut self) -> bool {
         let (me, node) = self.life();
         let mut any = false;
-        for machine in self.machines.values_mut().filter(|m| m.row.node == node && m.row.owner == me) {
+        for machine in self.machines.values_mut().filter(|m| m.row.registration == node && m.row.owner == me)
+        {
             for t in machine.tasks.values_mut() {
                 if t.planned() && t.announced == 0 {
                     t.announced = self.status_sequence;
@@ -310,12 +311,12 @@
 
     /// The revision as of which a machine's owner has spoken of it under its present grant.
     pub(super) fn spoken(&self, machine: &Machine) -> u64 {
-        let holder = (machine.row.owner.clone(), machine.row.node);
+        let holder = (machine.row.owner.clone(), machine.row.registration);
         let Some(peer) = self.peers.get(&holder.0).filter(|_| self.ledger.is_contiguous(&holder)) else {
             return 0;
         };
         let word = peer.words.get(&machine.row.machine).filter(|w| w.token == machine.row.token);
-        let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.node && word.is_some());
+        let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.registration && word.is_some());
         status.map_or(0, |s| s.applied)
     }
 
@@ -331,7 +332,10 @@
     fn machine_told(&mut self, from: &str, told: &MachineStatus) {
         let Some(machine) = self.machines.get(&told.machine) else { return };
         let node = self.nodes.get(from).copied();
-        if machine.row.token != told.token || machine.row.owner != from || Some(machine.row.node) != node {
+        if machine.row.token != told.token
+            || machine.row.owner != from
+            || Some(machine.row.registration) != node
+        {
             return self.told_too_late(told);
         }
         let evidence = if told.resolved { Evidence::Holder } else { Evidence::UnresolvedHolder };
--- a/src/main.rs
+++ b/src/main.rs
@@ -27,7 +27,7 @@
 fn load(cli: &Cli) -> Result<(Settings, Tuning), SettingsError> {
     let settings = Settings::load(&cli.config)?;
     let tuning = cli.tuning.as_deref().map(Tuning::load).transpose()?.unwrap_or_default();
-    settings.leave_room(&tuning)?;
+    settings.check_cancel_deadline(&tuning)?;
     Ok((settings, tuning))
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -19,7 +19,7 @@
         "params.workers.cancel_s: {cancel_s} s leave no room: block_lease_s of {block_lease_s:.3} s, \
          params.workers.lease_s of {lease_s} s and {margin_s:.3} s of margins make {sum_s:.3} s"
     )]
-    NoRoom { cancel_s: f64, block_lease_s: f64, lease_s: f64, margin_s: f64, sum_s: f64 },
+    CancelDeadlineTooShort { cancel_s: f64, block_lease_s: f64, lease_s: f64, margin_s: f64, sum_s: f64 },
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -145,7 +145,7 @@
     }
 }
 
-fn read<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T, SettingsError> {
+fn read_toml<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T, SettingsError> {
     let name = path.display().to_string();
     let text =
         std::fs::read_to_string(path).map_err(|source| SettingsError::Read { path: name.clone(), source })?;
@@ -159,22 +159,22 @@
 
 impl Tuning {
     pub fn load(path: &Path) -> Result<Tuning, SettingsError> {
-        let tuning: Tuning = read(path)?;
-        for (field, value, least) in [
+        let tuning: Tuning = read_toml(path)?;
+        for (field, value, min) in [
             ("round_s", tuning.round_s, 0.1),
             ("surplus_wait_s", tuning.surplus_wait_s, 0.0),
             ("idle_return_s", tuning.idle_return_s, 0.0),
             ("block_lease_s", tuning.block_lease_s, 0.0),
             ("longest_wait_s", tuning.longest_wait_s, 1.0),
         ] {
-            in_range(field, value, least, 86_400.0)?;
+            check_range(field, value, min, 86_400.0)?;
         }
         Ok(tuning)
     }
 }
 
-fn in_range(field: &str, value: f64, least: f64, most: f64) -> Result<(), SettingsError> {
-    if value.is_finite() && (least..=most).contains(&value) {
+fn check_range(field: &str, value: f64, min: f64, max: f64) -> Result<(), SettingsError> {
+    if value.is_finite() && (min..=max).contains(&value) {
         Ok(())
     } else {
         Err(SettingsError::Value { field: field.to_owned(), problem: "out of range" })
@@ -183,13 +183,13 @@
 
 impl Settings {
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
-        let settings: Settings = read(path)?;
+        let settings: Settings = read_toml(path)?;
         settings.check()?;
         Ok(settings)
     }
 
     pub fn check(&self) -> Result<(), SettingsError> {
-        let bad = |field: &str, problem| Err(SettingsError::Value { field: field.to_owned(), problem });
+        let invalid = |field: &str, problem| Err(SettingsError::Value { field: field.to_owned(), problem });
         let mut addrs = vec![
             ("api_addr".to_owned(), &self.api_addr),
             ("internal_addr".to_owned(), &self.internal_addr),
@@ -201,11 +201,11 @@
         }
         for (field, addr) in addrs {
             if addr.parse::<std::net::SocketAddr>().is_err() {
-                return bad(&field, "not an IP address and port");
+                return invalid(&field, "not an IP address and port");
             }
         }
         if self.member.is_empty() || self.member.contains(char::is_whitespace) {
-            return bad("member", "empty or with spaces");
+            return invalid("member", "empty or with spaces");
         }
         let w = &self.params.workers;
         for (field, value) in [
@@ -219,27 +219,27 @@
             ("params.state.write_rps", self.params.state.write_rps),
             ("params.state.value_kb", self.params.state.value_kb),
         ] {
-            in_range(field, value, 0.01, 1e6)?;
+            check_range(field, value, 0.01, 1e6)?;
         }
-        in_range("params.cloud.list_lag_s", self.params.cloud.list_lag_s, 0.0, 1e6)?;
+        check_range("params.cloud.list_lag_s", self.params.cloud.list_lag_s, 0.0, 1e6)?;
         if self.params.state.txn_ops < 6 {
-            return bad("params.state.txn_ops", "fewer than the 6 changes that a grant may need");
+            return invalid("params.state.txn_ops", "fewer than the 6 changes that a grant may need");
         }
         if self.params.machine_limits.sockets < 32 {
-            return bad("params.machine_limits.sockets", "fewer than 32");
+            return invalid("params.machine_limits.sockets", "fewer than 32");
         }
         for t in &self.params.teams {
             for (field, value) in
                 [("cpus", t.cpus), ("cpus_max", t.cpus_max), ("gpus", t.gpus), ("gpus_max", t.gpus_max)]
             {
-                in_range(&format!("params.teams.{}.{field}", t.name), value, 0.0, 1e9)?;
+                check_range(&format!("params.teams.{}.{field}", t.name), value, 0.0, 1e9)?;
             }
         }
         Ok(())
     }
 
     /// All controllers, this one included, in a fixed order.
-    pub fn everyone(&self) -> Vec<String> {
+    pub fn controller_names(&self) -> Vec<String> {
         let mut all: Vec<String> = self.members.iter().map(|m| m.member.clone()).collect();
         all.push(self.member.clone());
         all.sort();
@@ -249,7 +249,7 @@
 
     /// How long a controller's lease lasts: a cut-off controller must have fallen silent, and its
     /// workers' leases run out, well before a cancellation is due.
-    pub fn lease(&self, tuning: &Tuning) -> Micros {
+    pub fn lease_term(&self, tuning: &Tuning) -> Micros {
         let w = &self.params.workers;
         if tuning.block_lease_s > 0.0 {
             return Micros::from_secs_f64(tuning.block_lease_s);
@@ -264,36 +264,36 @@
     /// it knew; the one renews a worker's lease as of when the report was sent, the other renews nothing and is of no
     /// effect in another session. So however long an answer or a command is held up on its way, a worker's lease later
     /// the task is gone. The margins are for the drift of the clocks and for timers that fire late.
-    pub fn withdrawn_within(&self, tuning: &Tuning) -> Micros {
-        self.lease(tuning) + self.confirmed_within()
+    pub fn max_stop_time_after_commit(&self, tuning: &Tuning) -> Micros {
+        self.lease_term(tuning) + self.max_stop_time_after_confirmation()
     }
 
     /// How long after a withdrawal was *confirmed* its job's last task is gone at the latest, in the order of events of
     /// the rules: confirmed only when every controller knows of it or is silent, it has a worker's lease left.
-    pub fn confirmed_within(&self) -> Micros {
+    pub fn max_stop_time_after_confirmation(&self) -> Micros {
         let lease = Micros::from_secs_f64(self.params.workers.lease_s);
-        lease + Self::margin(lease)
+        lease + Self::timing_margin(lease)
     }
 
-    fn margin(worker_lease: Micros) -> Micros {
+    fn timing_margin(worker_lease: Micros) -> Micros {
         worker_lease.mul_f64(DRIFT) + SLACK + SLACK
     }
 
     /// Checks that a withdrawal holds in time, whatever fails.
     ///
     /// # Errors
-    /// [`SettingsError::NoRoom`] where the leases and margins are not shorter than `cancel_s`.
-    pub fn leave_room(&self, tuning: &Tuning) -> Result<(), SettingsError> {
-        let (w, sum) = (&self.params.workers, self.withdrawn_within(tuning));
-        if sum < Micros::from_secs_f64(w.cancel_s) {
+    /// [`SettingsError::CancelDeadlineTooShort`] where the leases and margins are not shorter than `cancel_s`.
+    pub fn check_cancel_deadline(&self, tuning: &Tuning) -> Result<(), SettingsError> {
+        let (workers, stop_time) = (&self.params.workers, self.max_stop_time_after_commit(tuning));
+        if stop_time < Micros::from_secs_f64(workers.cancel_s) {
             return Ok(());
         }
-        Err(SettingsError::NoRoom {
-            cancel_s: w.cancel_s,
-            block_lease_s: self.lease(tuning).as_secs_f64(),
-            lease_s: w.lease_s,
-            margin_s: Self::margin(Micros::from_secs_f64(w.lease_s)).as_secs_f64(),
-            sum_s: sum.as_secs_f64(),
+        Err(SettingsError::CancelDeadlineTooShort {
+            cancel_s: workers.cancel_s,
+            block_lease_s: self.lease_term(tuning).as_secs_f64(),
+            lease_s: workers.lease_s,
+            margin_s: Self::timing_margin(Micros::from_secs_f64(workers.lease_s)).as_secs_f64(),
+            sum_s: stop_time.as_secs_f64(),
         })
     }
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -49,7 +49,7 @@
 fn the_platforms_file_may_grow_but_not_lie() {
     let good: Settings = toml::from_str(SAMPLE).unwrap();
     good.check().unwrap();
-    assert_eq!(good.everyone(), ["n-0", "n-1", "n-2"]);
+    assert_eq!(good.controller_names(), ["n-0", "n-1", "n-2"]);
     for (from, to, field) in [
         ("rps = 120.0", "rps = -1.0", "params.state.rps"),
         ("lease_s = 14.0", "lease_s = nan", "params.workers.lease_s"),
@@ -75,13 +75,13 @@
 #[test]
 fn leases_that_outlast_a_withdrawal_are_refused_with_their_sum() {
     let good: Settings = toml::from_str(SAMPLE).unwrap();
-    good.leave_room(&Tuning::default()).unwrap();
+    good.check_cancel_deadline(&Tuning::default()).unwrap();
     let long = Tuning { block_lease_s: 19.5, ..Tuning::default() };
-    let message = good.leave_room(&long).unwrap_err().to_string();
+    let message = good.check_cancel_deadline(&long).unwrap_err().to_string();
     for part in ["cancel_s: 34 s", "block_lease_s of 19.500 s", "lease_s of 14 s", "make 34.114 s"] {
         assert!(message.contains(part), "{message}");
     }
     assert!(!message.contains('\n'), "{message}");
     let short: Settings = toml::from_str(&SAMPLE.replace("cancel_s = 34.0", "cancel_s = 18.0")).unwrap();
-    short.leave_room(&Tuning::default()).unwrap_err();
+    short.check_cancel_deadline(&Tuning::default()).unwrap_err();
 }
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -44,7 +44,7 @@
     // Room is left for the links and for the calls to the store and the cloud.
     let most = settings.params.machine_limits.sockets.saturating_sub(24).max(8);
     tokio::spawn(server::serve(api, server::router(shared.clone()), most, stop.clone()));
-    tokio::spawn(links::listen(internal, settings.everyone(), inputs.clone(), stop.clone()));
+    tokio::spawn(links::listen(internal, settings.controller_names(), inputs.clone(), stop.clone()));
     let links = Links::start(&settings, &inputs, &stop);
     let state = HttpClient::new(&settings.external.state);
     let cloud = HttpClient::new(&settings.external.cloud);
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -103,7 +103,7 @@
 
 /// Whoever leads, by the records.
 fn leader(rig: &Rig) -> Option<usize> {
-    let value = rig.store.lock().unwrap().value(records::LEADER).cloned()?;
+    let value = rig.store.lock().unwrap().value(records::LEADER_KEY).cloned()?;
     let record: LeaderRecord = serde_json::from_value(value).ok()?;
     record.member.strip_prefix("n-")?.parse().ok()
 }
@@ -163,7 +163,7 @@
     processes.kill_all();
     let mut history = rig.history.lock().unwrap().clone();
     history.over_at = rig.now();
-    let leaders = rig.store.lock().unwrap().written(records::LEADER);
+    let leaders = rig.store.lock().unwrap().written(records::LEADER_KEY);
     let (broken, figures) = (history.judge(), history.figures());
     let ports_taken = processes.ports_taken();
     Ok(Outcome { seed, broken, figures, leaders, late_ms: rig.latest(), ports_taken, schedule, logs: folder })
