--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -1,27 +1,38 @@
-//! What the state service holds for marblewalk, and where.
+//! Records that marblewalk keeps in the state service, and their keys.
 //!
-//! Everything a controller follows lies under one prefix, so that one listing and one watch suffice.
-//! Final states lie elsewhere: there are many, and they are read one at a time.
+//! All records that controllers watch share one prefix, so that one listing and one watch suffice.
+//! Final states have a prefix of their own: there are many, and they are read one at a time.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
 use crate::protocol::job::Final;
 
-/// Prefix of everything that controllers follow.
+/// Prefix of all keys that controllers watch.
 pub const WATCHED_PREFIX: &str = "c/";
+/// Key of the [`LeaderRecord`]; it is attached to the leader's lease.
 pub const LEADER_KEY: &str = "c/leader";
+/// Key of the [`ViewRecord`].
 pub const VIEW_KEY: &str = "c/view";
+/// Key of the last fencing token that was issued for a machine.
 pub const TOKEN_COUNTER_KEY: &str = "c/helm";
+/// Key of the [`QuotaRecord`].
 pub const QUOTA_KEY: &str = "c/quota";
+/// Prefix of the specifications of live jobs, by job id.
 pub const LIVE_JOBS_PREFIX: &str = "c/live/";
+/// Prefix of the completed tasks of live jobs, by job id and chunk (see [`TaskSet`]).
 pub const COMPLETIONS_PREFIX: &str = "c/done/";
+/// Prefix of [`RegistrationRecord`]s, by controller name; they are attached to the controllers' leases.
 pub const REGISTRATIONS_PREFIX: &str = "c/node/";
+/// Prefix of each controller's registration that was evicted last, by controller name.
 pub const EVICTIONS_PREFIX: &str = "c/evicted/";
+/// Prefix of blocks of machines, by shard number.
 pub const BLOCKS_PREFIX: &str = "c/blocks/";
+/// Prefix of rental requests to the cloud that are not finished, by the name of the request.
 pub const RENTALS_PREFIX: &str = "c/rental/";
-/// Prefix of final states, which nobody follows.
+/// Prefix of [`FinalRecord`]s, by job id. Controllers do not watch them.
 pub const FINAL_STATES_PREFIX: &str = "final/";
+/// Prefix of [`UninformedRecord`]s, by the name of the controller that wrote them.
 pub const UNINFORMED_PREFIX: &str = "c/uninformed/";
 
 pub fn live_job_key(job: &str) -> String {
@@ -56,20 +67,27 @@
     format!("{UNINFORMED_PREFIX}{member}")
 }
 
-/// Controllers that a registration does not wait for before it orders what it has announced.
+/// The controllers that a controller records as uninformed: it sends announced starts to workers without waiting for
+/// their confirmations.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UninformedRecord {
+    /// The registration of the controller that wrote the record.
     #[serde(rename = "node")]
     pub registration: u64,
+    /// Names and registrations of the uninformed controllers.
     pub peers: Vec<(String, u64)>,
 }
 
-/// A controller's registration. Its stamp names this life of the controller.
+/// Registration record of a controller.
+///
+/// The revision at which it was written identifies the registration, that is, one incarnation of the controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RegistrationRecord {
+    /// The lease that the record is attached to.
     pub lease: u64,
 }
 
+/// The controller that is the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaderRecord {
     pub member: String,
@@ -78,54 +96,61 @@
     pub registration: u64,
 }
 
-/// The controllers among which jobs are hashed.
+/// The controllers among which jobs are distributed by hash.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ViewRecord {
+    /// Names and registrations of the controllers.
     pub members: Vec<(String, u64)>,
 }
 
-/// A machine in a block: to whom it is leased, and under which token.
+/// A machine in a block: the controller that it is granted to, and the fencing token of the grant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BlockRow {
     #[serde(rename = "m")]
     pub machine: String,
+    /// Machine type.
     #[serde(rename = "t")]
     pub kind: String,
     #[serde(rename = "z")]
     pub zone: String,
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub spot: bool,
-    /// The controller that holds it, and the registration it was granted to. Empty: nobody has held
-    /// it yet, so nothing can have been started there.
+    /// The controller that the machine is granted to. Empty if it was never granted: no task can have been started
+    /// on it.
     #[serde(rename = "o", default, skip_serializing_if = "String::is_empty")]
     pub owner: String,
+    /// The registration that the machine is granted to.
     #[serde(rename = "n", default)]
     pub registration: u64,
-    /// To be returned: nothing more is started there.
+    /// The machine is to be returned to the cloud: no more tasks are started on it.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub returning: bool,
     #[serde(rename = "h")]
     pub token: u64,
 }
 
+/// The final state of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
     pub state: Final,
+    /// Number of tasks of the job.
     pub tasks: u32,
 }
 
-/// What each controller's jobs may use at most of a limited team's share.
+/// Division of the teams' limits among the controllers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRecord {
-    /// The view it was made for. A view that follows voids it: jobs have moved with their tasks.
+    /// Revision of the view that the division was made for. A later view invalidates it, because jobs have moved to
+    /// other controllers together with their tasks.
     pub view: u64,
     pub rows: Vec<Allotment>,
 }
 
+/// Upper limit on the resources that one controller's jobs of a team may use, in thousandths of a unit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Allotment {
     pub member: String,
-    /// The registration the allotment was made to.
+    /// The registration of `member` that the allotment is for.
     #[serde(rename = "node")]
     pub registration: u64,
     pub team: String,
@@ -133,10 +158,10 @@
     pub gpu: u64,
 }
 
-/// Tasks whose completion one key records.
+/// Number of tasks whose completion is recorded under one key.
 pub const TASKS_PER_CHUNK: usize = 16_384;
 
-/// A set of task numbers, stored as hexadecimal words by chunk.
+/// A set of task indices, stored in chunks as hexadecimal 64-bit words.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TaskSet {
     words: Vec<u64>,
@@ -149,6 +174,7 @@
         self.words.get(i / 64).is_some_and(|w| w >> (i % 64) & 1 == 1)
     }
 
+    /// Adds a task and returns whether it was not in the set before.
     pub fn insert(&mut self, index: u32) -> bool {
         if self.contains(index) {
             return false;
@@ -170,7 +196,7 @@
         self.count == 0
     }
 
-    /// The stored form of one chunk: the words from its first to its last that is not zero.
+    /// Encodes one chunk for storage: its words up to the last that is not zero.
     pub fn encode_chunk(&self, chunk: usize) -> Value {
         let per = TASKS_PER_CHUNK / 64;
         let words = self.words.iter().skip(chunk * per).take(per);
@@ -181,7 +207,7 @@
         json!({ "x": text })
     }
 
-    /// Adds what a stored chunk holds, for a job of `tasks` tasks.
+    /// Adds the tasks of a stored chunk. Indices that a job of `tasks` tasks does not have are ignored.
     pub fn merge_chunk(&mut self, chunk: usize, value: &Value, tasks: u32) {
         let text = value.get("x").and_then(Value::as_str).unwrap_or("");
         for (n, digits) in text.as_bytes().chunks(16).enumerate() {
@@ -204,9 +230,9 @@
 
     use super::*;
 
-    /// Guards the largest jobs against the smaller deployment's 8 KiB values.
+    /// Each chunk of a job of up to 100,000 tasks must fit into the 8 KiB values of the smaller deployment.
     #[test]
-    fn completions_of_the_largest_job_survive_the_store() {
+    fn task_sets_of_the_largest_jobs_round_trip_within_the_value_limit() {
         for seed in 0..20 {
             let mut rng = StdRng::seed_from_u64(seed);
             let tasks = rng.random_range(1..=100_000);
