--- a/src/bookkeeping/blocks.rs
+++ b/src/bookkeeping/blocks.rs
@@ -1,7 +1,7 @@
-//! The stored form of a block of machines: names once, rows by number.
+//! Stored form of a block of machines: a table of names, and rows that refer to them by index.
 //!
-//! Every controller reads every grant, so what a row takes counts as often as there are controllers. A
-//! value also bounds how many machines one transaction can move.
+//! Rows are compact because every controller reads every grant, so that each byte of a row is transferred once per
+//! controller. The size limit of a value also bounds how many machines one transaction can reassign.
 
 use std::borrow::Cow;
 use std::cmp::Ordering;
@@ -11,34 +11,40 @@
 
 use super::records::BlockRow;
 
-/// The form that is written. The first, a plain list of rows, is still read.
+/// Version of the format that is written. Version 1, a plain list of rows, can still be read.
 const FORMAT_VERSION: u32 = 2;
+/// Flag of a row: the machine is a spot machine.
 const SPOT_FLAG: u8 = 1;
+/// Flag of a row: the machine is to be returned to the cloud.
 const RETURNING_FLAG: u8 = 2;
-/// The longest that numbers in a row may become: two indices of names, a registration, a token.
+/// Upper bound of the encoded size of the numbers in a row: three name indices of up to 4 digits, a registration and a
+/// token of up to 12 digits, each with a comma, and the flags.
 const MAX_NUMBERS_BYTES: usize = 3 * 5 + 2 * 13 + 1;
 
+/// Why a stored block can't be read.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum BlockError {
-    #[error("version {0} is not known")]
+    #[error("unknown format version {0}")]
     UnknownVersion(u64),
-    #[error("a row names what is not there")]
+    #[error("a row refers to a name index that is not in the table of names")]
     UndefinedName,
-    #[error("{0}")]
+    #[error("malformed block: {0}")]
     Malformed(String),
 }
 
+/// A block as it is stored.
 #[derive(Serialize, Deserialize)]
 struct StoredBlock<'a> {
+    /// [`FORMAT_VERSION`].
     v: u32,
-    /// Types, zones and owners; the first is nobody.
+    /// Machine types, zones and owners. The first is the empty string, which stands for no owner.
     #[serde(borrow)]
     names: Vec<Cow<'a, str>>,
     #[serde(borrow)]
     rows: Vec<StoredRow<'a>>,
 }
 
-/// Machine, type, zone, owner, registration, token, flags.
+/// A row as it is stored: machine, name indices of its type, zone and owner, registration, token, flags.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredRow<'a>(#[serde(borrow)] Cow<'a, str>, usize, usize, usize, u64, u64, u8);
 
@@ -62,21 +68,23 @@
     }
 }
 
-/// What a name takes in a value, at most, with its comma.
+/// Upper bound of the encoded size of a name, with its quotes and a comma.
 pub fn max_name_bytes(name: &str) -> usize {
     let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '\\';
     name.chars().map(|c| if plain(c) { 1 } else { 6 }).sum::<usize>() + 3
 }
 
-/// What a machine's row may come to take of a value, whatever becomes of it; its names apart.
+/// Upper bound of the encoded size that a machine's row can ever reach, without the names it refers to.
 pub fn max_row_bytes(machine: &str) -> usize {
     max_name_bytes(machine) + MAX_NUMBERS_BYTES + 4
 }
 
-/// What a value takes beside rows and names.
+/// Upper bound of the encoded size of a block without rows and names.
 pub const FRAME_BYTES: usize = 40;
 
-/// A block as it was last read, by machine: a grant writes whole blocks, and few of their rows change.
+/// A block as it was last read, ordered by machine.
+///
+/// It is kept to find the rows that change: a grant writes whole blocks, and few of their rows change.
 #[derive(Debug, Default)]
 pub struct Block {
     names: Vec<Cow<'static, str>>,
@@ -84,11 +92,12 @@
     max_rows_bytes: usize,
 }
 
-/// What differs between two readings of a block.
+/// Differences between two successive values of a block.
 #[derive(Debug, Default, PartialEq)]
 pub struct BlockChanges {
+    /// Machines whose rows were removed.
     pub removed: Vec<String>,
-    /// Rows that are new, or other than old_index.
+    /// Rows that are new or differ from the previous value.
     pub changed: Vec<BlockRow>,
 }
 
@@ -101,12 +110,15 @@
         self.rows.iter().map(|r| r.0.as_ref())
     }
 
-    /// What its rows may come to take of a value, their names apart.
+    /// Sum of [`max_row_bytes`] of all rows.
     pub fn max_rows_bytes(&self) -> usize {
         self.max_rows_bytes
     }
 
-    /// Takes what has been written, and says what is new in it. One that is not understood changes nothing.
+    /// Replaces the contents by a stored value and returns the differences.
+    ///
+    /// # Errors
+    /// If the value can't be read. The block is unchanged then.
     pub fn update(&mut self, text: &str) -> Result<BlockChanges, BlockError> {
         let old: Vec<BlockRow>;
         let mut stored = match text.trim_start().starts_with('[') {
@@ -123,7 +135,7 @@
         if !stored.rows.is_sorted_by(|a, b| a.0 < b.0) {
             stored.rows.sort_by(|a, b| a.0.cmp(&b.0));
         }
-        // Names by their numbers of old_index, so that rows compare without them.
+        // Maps each new name index to the old one, so that rows are compared without comparing names.
         let old_index = |name: &Cow<'_, str>| self.names.iter().position(|n| n == name);
         let old_index: Vec<Option<usize>> = stored.names.iter().map(old_index).collect();
         let is_unchanged = |old: &StoredRow<'_>, new: &StoredRow<'_>| {
@@ -143,7 +155,7 @@
             }
         }
         changes.removed.extend(old_rows.map(|old| old.0.clone().into_owned()));
-        // Most names and machines stay: their text is reusable rather than copied again.
+        // Most machines stay the same: their names are moved from the old rows rather than copied.
         let mut reusable = std::mem::take(&mut self.rows).into_iter().peekable();
         self.rows = Vec::with_capacity(stored.rows.len());
         for row in stored.rows {
@@ -164,7 +176,7 @@
         Ok(changes)
     }
 
-    /// Its key has been removed, and with it all its rows.
+    /// Removes all rows, after the key of the block was deleted.
     pub fn clear(&mut self) -> BlockChanges {
         let all = std::mem::take(self).rows;
         BlockChanges { removed: all.into_iter().map(|r| r.0.into_owned()).collect(), changed: Vec::new() }
@@ -182,9 +194,9 @@
     }
     match serde_json::from_str::<StoredBlock<'_>>(text) {
         Ok(stored) if stored.v == FORMAT_VERSION => Ok(stored),
-        error => match serde_json::from_str::<Versioned>(text) {
+        result => match serde_json::from_str::<Versioned>(text) {
             Ok(other) if other.v != u64::from(FORMAT_VERSION) => Err(BlockError::UnknownVersion(other.v)),
-            _ => Err(error.err().map_or(BlockError::UndefinedName, malformed)),
+            _ => Err(result.err().map_or(BlockError::UndefinedName, malformed)),
         },
     }
 }
@@ -193,22 +205,22 @@
     let mut names: Vec<Cow<'_, str>> = vec![Cow::Borrowed("")];
     let mut stored = Vec::with_capacity(rows.len());
     for r in rows {
-        let mut numbers = [0; 3];
-        for (number, name) in numbers.iter_mut().zip([&r.kind, &r.zone, &r.owner]) {
-            *number = names.iter().position(|n| *n == name.as_str()).unwrap_or_else(|| {
+        let mut indices = [0; 3];
+        for (index, name) in indices.iter_mut().zip([&r.kind, &r.zone, &r.owner]) {
+            *index = names.iter().position(|n| *n == name.as_str()).unwrap_or_else(|| {
                 names.push(Cow::Borrowed(name));
                 names.len() - 1
             });
         }
         let flags = if r.spot { SPOT_FLAG } else { 0 } | if r.returning { RETURNING_FLAG } else { 0 };
-        let [kind, zone, owner] = numbers;
+        let [kind, zone, owner] = indices;
         stored.push(StoredRow(Cow::Borrowed(&r.machine), kind, zone, owner, r.registration, r.token, flags));
     }
     stored.sort_by(|a, b| a.0.cmp(&b.0));
     StoredBlock { v: FORMAT_VERSION, names, rows: stored }
 }
 
-/// The value to store for these rows.
+/// Encodes rows as the value to store.
 pub fn encode(rows: &[BlockRow]) -> serde_json::Result<Value> {
     serde_json::to_value(to_stored(rows))
 }
@@ -220,7 +232,7 @@
 
     use super::*;
 
-    /// The rows that a stored value holds.
+    /// Decodes the rows of a stored value.
     fn decode(value: Value) -> Result<Vec<BlockRow>, BlockError> {
         Block::default().update(&value.to_string()).map(|changes| changes.changed)
     }
@@ -241,10 +253,10 @@
         (0..rng.random_range(0..300)).map(|n| row(n, rng)).collect()
     }
 
-    /// Guards against a value that outgrows the store's limit as its machines are granted, and against
-    /// rows that come back other than they were written.
+    /// Guards against a value that outgrows the store's size limit when its machines are granted, and against rows
+    /// that are decoded differently from how they were encoded.
     #[test]
-    fn rows_come_back_and_keep_within_what_is_counted_for_them() {
+    fn rows_round_trip_within_their_size_bounds() {
         for seed in 0..200 {
             let mut rng = StdRng::seed_from_u64(seed);
             let rows = random_rows(&mut rng);
@@ -255,14 +267,18 @@
                 + names.into_iter().map(|n| max_name_bytes(n)).sum::<usize>();
             assert!(value.to_string().len() <= most + FRAME_BYTES, "seed {seed}");
             assert_eq!(decode(value).unwrap(), rows, "seed {seed}");
-            assert_eq!(decode(serde_json::to_value(&rows).unwrap()).unwrap(), rows, "the first form");
+            assert_eq!(
+                decode(serde_json::to_value(&rows).unwrap()).unwrap(),
+                rows,
+                "format version 1, seed {seed}"
+            );
         }
     }
 
-    /// Guards the books against rows that are read as unchanged and are not, or the other way round: what
-    /// follows from one reading after the other must be what the last alone says.
+    /// Guards against changed rows that are taken for unchanged, and the reverse: applying the changes of successive
+    /// values must give the rows of the last value. A value that can't be read must change nothing.
     #[test]
-    fn changes_from_reading_to_reading_add_up_to_the_rows() {
+    fn successive_changes_add_up_to_the_rows() {
         for seed in 0..100 {
             let mut rng = StdRng::seed_from_u64(seed);
             let mut block = Block::default();
@@ -276,11 +292,15 @@
                 };
                 let changes = block.update(&value.to_string()).unwrap();
                 for removed in changes.removed {
-                    assert!(known.remove(&removed).is_some(), "seed {seed}: {removed} was not there");
+                    assert!(known.remove(&removed).is_some(), "seed {seed}: {removed} was not known");
                 }
                 for row in changes.changed {
                     let old_index = known.insert(row.machine.clone(), row.clone());
-                    assert_ne!(old_index.as_ref(), Some(&row), "seed {seed}: nothing has changed");
+                    assert_ne!(
+                        old_index.as_ref(),
+                        Some(&row),
+                        "seed {seed}: row reported as changed is the same"
+                    );
                 }
                 assert!(known.values().eq(&rows), "seed {seed}");
                 assert!(block.machines().eq(rows.iter().map(|r| r.machine.as_str())));
@@ -308,7 +328,7 @@
     }
 
     #[test]
-    fn what_is_not_understood_is_refused_with_the_reason() {
+    fn unreadable_blocks_are_rejected_with_the_reason() {
         assert_eq!(decode(json!({"v": 3, "names": [], "rows": []})), Err(BlockError::UnknownVersion(3)));
         assert_eq!(
             decode(json!({"v": 2, "names": [""], "rows": [["m-1", 0, 4, 0, 0, 0, 0]]})),
