--- a/src/bookkeeping/budget.rs
+++ b/src/bookkeeping/budget.rs
@@ -1,4 +1,4 @@
-//! One queue for all calls to an outside system, within its limits.
+//! Queue for all calls to an external service, which keeps them within the service's rate limits.
 
 use std::collections::VecDeque;
 
@@ -6,24 +6,32 @@
 
 use crate::protocol::units::Micros;
 
-/// Which calls go first.
+/// Priority class of a call, the most urgent first.
+///
+/// Classes are named after their main use. Other calls of the same urgency use them, too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Leases, leadership and grants.
+    /// Leases, leadership, grants, and the watch.
     Entitlement,
+    /// Withdrawals of jobs.
     Withdrawal,
+    /// Acceptance of submitted jobs.
     Acceptance,
+    /// Records of completed jobs.
     Completion,
-    /// Everything else.
+    /// All other calls.
     Other,
 }
 
+/// Number of variants of [`Urgency`].
 const URGENCY_CLASSES: usize = 5;
 
-/// Allowance that refills at a steady rate, in thousandths of a call.
+/// Token bucket that refills at a constant rate. One token allows one call or one write.
 #[derive(Debug)]
 struct TokenBucket {
+    /// Tokens per second.
     rate: f64,
+    /// The capacity in seconds of refill.
     burst_s: f64,
     capacity: f64,
     available: f64,
@@ -42,25 +50,27 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Whether `cost` may be spent. More than the bucket ever holds goes out when it is full.
+    /// Whether `cost` tokens may be taken. A cost above the capacity is allowed when the bucket is full.
     fn allows(&self, cost: f64) -> bool {
         self.available >= cost.min(self.capacity) - 1e-9
     }
 }
 
-/// A queue by urgency under a limit of calls and a limit of changes.
+/// Priority queue of calls, limited in calls per second and in writes per second.
 #[derive(Debug)]
 pub struct RateLimitedQueue<T> {
     call_tokens: TokenBucket,
     write_tokens: TokenBucket,
+    /// Waiting calls of each urgency: time added, number of writes, call.
     queues: [VecDeque<(Micros, u32, T)>; URGENCY_CLASSES],
-    /// Waiting calls that change nothing.
+    /// Number of waiting calls without writes.
     waiting_reads: usize,
-    /// Calls and changes asked for lately, a second.
+    /// Average rates of calls and of writes that were added lately.
     requested: (DecayingRate, DecayingRate),
 }
 
 impl<T> RateLimitedQueue<T> {
+    /// Creates an empty queue. Unused calls and writes accumulate for up to `burst_s` seconds.
     pub fn new(calls_per_s: f64, writes_per_s: f64, burst_s: f64) -> Self {
         RateLimitedQueue {
             call_tokens: TokenBucket::new(calls_per_s, burst_s),
@@ -71,6 +81,7 @@
         }
     }
 
+    /// Adds a call that makes this number of writes.
     pub fn push(&mut self, now: Micros, urgency: Urgency, writes: u32, call: T) {
         self.waiting_reads += usize::from(writes == 0);
         self.requested.0.add(now, 1.0);
@@ -78,7 +89,8 @@
         self.queues[urgency as usize].push_back((now, writes, call));
     }
 
-    /// Changes the rates, when this controller's parts of the limits change.
+    /// Sets the rates when this controller's shares of the limits change. Tokens that remain are kept, up to the
+    /// new capacity.
     pub fn set_rates(&mut self, now: Micros, calls_per_s: f64, writes_per_s: f64) {
         for (bucket, rate) in [(&mut self.call_tokens, calls_per_s), (&mut self.write_tokens, writes_per_s)] {
             if bucket.rate != rate {
@@ -91,7 +103,8 @@
         }
     }
 
-    /// Calls and changes a second that have lately been asked for, with what waits done within a second.
+    /// Calls and writes per second that this queue needs: the rates of those added lately, plus the rates that would
+    /// send all waiting ones within a second.
     pub fn wanted_rates(&self, now: Micros) -> (f64, f64) {
         let waiting = |amount: fn(u32) -> f64| -> f64 {
             self.queues.iter().flatten().map(|(_, writes, _)| amount(*writes)).sum()
@@ -102,7 +115,7 @@
         )
     }
 
-    /// How long a change of this urgency would wait for those before it.
+    /// How long a call of this urgency would wait for the calls that go before it.
     pub fn queue_delay(&self, urgency: Urgency) -> Micros {
         let (mut calls, mut writes) = (0.0, 0.0);
         for (_, cost, _) in self.queues[..=urgency as usize].iter().flatten() {
@@ -118,8 +131,10 @@
         self.write_tokens.rate
     }
 
-    /// The next call that may go out now. A change that must wait holds back all less urgent changes,
-    /// but not the reads: users' questions must not wait for the record of completions.
+    /// Removes and returns the next call that may be sent now.
+    ///
+    /// A write that has to wait holds back all less urgent writes, but no reads: users' queries must not wait for
+    /// records of completions.
     pub fn pop(&mut self, now: Micros) -> Option<T> {
         self.call_tokens.refill(now);
         self.write_tokens.refill(now);
@@ -142,7 +157,7 @@
         None
     }
 
-    /// Takes out the calls that have waited longer than `timeout`.
+    /// Removes and returns the calls that have waited longer than `timeout`.
     pub fn remove_expired(&mut self, now: Micros, timeout: Micros) -> Vec<T> {
         let mut expired = Vec::new();
         for queue in &mut self.queues {
@@ -155,16 +170,17 @@
         expired
     }
 
-    /// How many calls at least this urgent wait.
+    /// Number of waiting calls of this urgency or a higher one.
     pub fn waiting_calls(&self, urgency: Urgency) -> usize {
         self.queues[..=urgency as usize].iter().map(VecDeque::len).sum()
     }
 
-    /// How many calls wait that change nothing.
+    /// Number of waiting calls without writes.
     pub fn waiting_reads(&self) -> usize {
         self.waiting_reads
     }
 
+    /// Removes and returns all waiting calls.
     pub fn clear(&mut self) -> Vec<T> {
         self.waiting_reads = 0;
         self.queues.iter_mut().flat_map(|q| q.drain(..)).map(|(_, _, call)| call).collect()
@@ -175,7 +191,7 @@
 mod tests {
     use super::*;
 
-    /// Guards against overrunning the state service, which would refuse lease renewals too.
+    /// Guards against exceeding the state service's limits: it would then reject lease renewals, too.
     #[test]
     fn calls_stay_within_both_limits_and_urgent_ones_go_first() {
         let mut queue = RateLimitedQueue::new(10.0, 4.0, 1.0);
@@ -195,15 +211,15 @@
         assert_eq!(queue.remove_expired(Micros::from_secs(20), Micros::from_secs(5)).len(), 200 - out.len());
     }
 
-    /// Guards users' questions against a queue of changes that waits for its turn.
+    /// Guards against users' queries that are delayed by writes waiting for the write limit.
     #[test]
-    fn reads_pass_changes_that_must_wait() {
+    fn reads_overtake_waiting_writes() {
         let mut queue = RateLimitedQueue::new(100.0, 1.0, 1.0);
         (0..5).for_each(|i| queue.push(Micros::ZERO, Urgency::Completion, 1, i));
         queue.push(Micros::ZERO, Urgency::Other, 1, 10);
         queue.push(Micros::ZERO, Urgency::Other, 0, 11);
         let out: Vec<i32> = std::iter::from_fn(|| queue.pop(Micros::ZERO)).collect();
-        assert_eq!(out, [0], "a change went out before a more urgent one");
+        assert_eq!(out, [0], "a write was sent before a more urgent one");
         queue.clear();
         queue.push(Micros::ZERO, Urgency::Completion, 1, 1);
         queue.push(Micros::ZERO, Urgency::Other, 0, 2);
@@ -211,9 +227,10 @@
         assert_eq!(out, [2]);
     }
 
-    /// A controller's part of the changes falls and rises with the leadership.
+    /// A controller's share of the write limit falls and rises when the leadership changes. A new rate must neither
+    /// refill the bucket nor change for how many seconds tokens accumulate.
     #[test]
-    fn a_changed_rate_of_writes_keeps_its_burst() {
+    fn a_changed_write_rate_keeps_the_burst() {
         let mut queue = RateLimitedQueue::new(1e3, 8.0, 1.0);
         queue.set_rates(Micros::ZERO, 1e3, 0.5);
         queue.set_rates(Micros::ZERO, 1e3, 8.0);
