--- a/src/bookkeeping/cache.rs
+++ b/src/bookkeeping/cache.rs
@@ -1,9 +1,10 @@
-//! Final states, bounded in memory. They never change, so any copy is right.
+//! Cache of jobs' final states, bounded in size. Final states never change, so a cached copy never becomes stale.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::protocol::job::Final;
 
+/// Final states and numbers of tasks by job id. When it is full, the oldest entry is dropped.
 #[derive(Debug)]
 pub struct FinalStateCache {
     capacity: usize,
@@ -20,7 +21,7 @@
         }
     }
 
-    /// For one more the oldest would have to go.
+    /// Whether adding an entry would drop the oldest one.
     pub fn is_full(&self) -> bool {
         self.states.len() >= self.capacity
     }
