--- a/src/bookkeeping/client.rs
+++ b/src/bookkeeping/client.rs
@@ -1,4 +1,4 @@
-//! The state service over HTTP.
+//! HTTP client of the state service.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -7,7 +7,8 @@
 use crate::protocol::units::Micros;
 use crate::transport::client::{HttpClient, HttpReply};
 
-/// How long an ordinary call may take; the service answers in milliseconds, now and then in hundreds.
+/// Timeout of all calls but [`StoreCall::Follow`]. The service usually replies in milliseconds, at times in hundreds of
+/// milliseconds.
 const CALL_TIMEOUT: Micros = Micros::from_millis(1_500);
 
 #[derive(Deserialize)]
@@ -24,6 +25,7 @@
 
 #[derive(Deserialize)]
 struct ConflictResponse {
+    /// Keys of the conditions that did not hold.
     failed: Vec<String>,
 }
 
@@ -35,6 +37,7 @@
     stamp: u64,
 }
 
+/// Converts the body of a reply, or returns [`StoreReply::Unclear`] if it can't be read.
 fn decode<T: for<'a> Deserialize<'a>>(
     reply: &HttpReply,
     convert: impl FnOnce(T) -> StoreReply,
@@ -42,7 +45,7 @@
     serde_json::from_slice(&reply.body).map(convert).unwrap_or(StoreReply::Unclear)
 }
 
-/// Makes one call and says what came of it.
+/// Sends one call to the state service and returns its outcome.
 pub async fn call(http: &HttpClient, call: StoreCall) -> StoreReply {
     let follow = matches!(call, StoreCall::Follow { .. });
     let mut timeout = CALL_TIMEOUT;
@@ -86,7 +89,11 @@
         (410, _) if follow => StoreReply::TooOld,
         (400, StoreCall::Commit(_)) if contains(&reply.body, b"no such lease") => StoreReply::NoLease,
         (400, _) => {
-            tracing::error!(?call, body = %String::from_utf8_lossy(&reply.body), "the state service finds a call malformed");
+            tracing::error!(
+                ?call,
+                body = %String::from_utf8_lossy(&reply.body),
+                "state service rejected a call as malformed"
+            );
             StoreReply::Refused
         }
         (429 | 503, _) => StoreReply::Refused,
