--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,4 +1,4 @@
-//! Records in the state service, and the budgets of calls to it and to the cloud.
+//! Records in the state service, the client for it, and the rate-limited queue of calls to it and to the cloud.
 
 pub mod blocks;
 pub mod budget;
