--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file, and the operators' own.
+//! The settings file that the platform provides, and the operators' tuning file.
 
 use std::path::Path;
 
@@ -7,6 +7,7 @@
 use crate::coordination::{DRIFT, SLACK};
 use crate::protocol::units::Micros;
 
+/// Why a settings file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     #[error("{path}: {source}")]
@@ -16,38 +17,47 @@
     #[error("{field}: {problem}")]
     Value { field: String, problem: &'static str },
     #[error(
-        "params.workers.cancel_s: {cancel_s} s leave no room: block_lease_s of {block_lease_s:.3} s, \
+        "params.workers.cancel_s: {cancel_s} s is too short: block_lease_s of {block_lease_s:.3} s, \
          params.workers.lease_s of {lease_s} s and {margin_s:.3} s of margins make {sum_s:.3} s"
     )]
     CancelDeadlineTooShort { cancel_s: f64, block_lease_s: f64, lease_s: f64, margin_s: f64, sum_s: f64 },
 }
 
+/// Settings of a controller and of its cluster, provided by the platform. Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
+    /// Name of this controller.
     pub member: String,
     pub zone: String,
+    /// Address at which workers and users are served.
     pub api_addr: String,
+    /// Address at which other controllers connect.
     pub internal_addr: String,
+    /// The other controllers.
     #[serde(default)]
     pub members: Vec<Member>,
     pub external: External,
     pub params: Params,
 }
 
+/// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Member {
     pub member: String,
     #[serde(default)]
     pub zone: String,
+    /// Its `internal_addr`.
     pub addr: String,
 }
 
+/// Addresses of the external services: the cloud and the state service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct External {
     pub cloud: String,
     pub state: String,
 }
 
+/// Parameters that all controllers of the cluster share.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Params {
     #[serde(default)]
@@ -62,6 +72,7 @@
     pub machine_limits: MachineLimits,
 }
 
+/// A team's capacity guarantees (`cpus`, `gpus`) and limits (`cpus_max`, `gpus_max`); 0 stands for none.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
     pub name: String,
@@ -75,60 +86,79 @@
     pub gpus_max: f64,
 }
 
+/// A service level objective for the jobs of a class.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
+    /// `wait`: the time until a job starts; `finished`: the time until it is done. Other kinds have no effect.
     pub kind: String,
     #[serde(default)]
     pub class: Option<String>,
+    /// Target time in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// Fraction of the jobs that should meet the target time.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
+/// Timing of workers, in seconds.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Workers {
+    /// Interval between a worker's reports.
     pub report_s: f64,
+    /// Term of a worker's lease.
     pub lease_s: f64,
     pub gang_wait_s: f64,
     pub gang_peer_s: f64,
+    /// Time after a withdrawal by which the job's tasks must have stopped.
     pub cancel_s: f64,
 }
 
+/// Limits of the state service.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct StateLimits {
+    /// Calls per second.
     pub rps: f64,
+    /// Writes per second.
     pub write_rps: f64,
+    /// Largest size of a value.
     pub value_kb: f64,
+    /// Most writes in a transaction.
     pub txn_ops: usize,
 }
 
+/// Limits of the cloud.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct CloudLimits {
+    /// Calls per second.
     pub rps: f64,
+    /// Time in seconds by which the list of rented machines may be out of date.
     pub list_lag_s: f64,
 }
 
+/// Limits of the machine that the controller runs on.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct MachineLimits {
+    /// Most open sockets.
     pub sockets: usize,
 }
 
-/// What operators may set for themselves. Every value has a default.
+/// Tuning parameters that operators may set. Every parameter has a default.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
-    /// Seconds between the leader's regular rounds.
+    /// Seconds between the leader's regular planning rounds.
     pub round_s: f64,
-    /// Seconds a job sits below its volume before a surplus task elsewhere is stopped.
+    /// Seconds that a job is short of its volume, the number of tasks planned for it, before a surplus task of another
+    /// job is stopped.
     pub surplus_wait_s: f64,
-    /// Seconds a machine may stay idle before it is returned.
+    /// Seconds that a machine may be idle before it is returned to the cloud; more where teams are guaranteed capacity.
     pub idle_return_s: f64,
-    /// Seconds a block lease lasts; 0: what `cancel_s` and `lease_s` leave room for.
+    /// Term of a controller's lease in seconds. 0: derived from `cancel_s` and `lease_s`.
     pub block_lease_s: f64,
-    /// Seconds after which a waiting gang comes first of its rank, and room is held for it.
+    /// Seconds of waiting after which a gang is placed first within its rank and machines are reserved for it.
     pub longest_wait_s: f64,
-    /// Final states kept in memory.
+    /// Number of final states kept in memory.
     pub final_cache: usize,
 }
 
@@ -150,7 +180,7 @@
     let text =
         std::fs::read_to_string(path).map_err(|source| SettingsError::Read { path: name.clone(), source })?;
     toml::from_str(&text).map_err(|e| {
-        // The message names the field; the excerpt that follows it would span lines.
+        // Only the message is used, which names the field: the source excerpt after it spans several lines.
         let line = e.span().map(|s| text[..s.start].lines().count().max(1)).unwrap_or(1);
         let message = format!("line {line}: {}", e.message().replace('\n', " "));
         SettingsError::Parse { path: name, message }
@@ -201,11 +231,11 @@
         }
         for (field, addr) in addrs {
             if addr.parse::<std::net::SocketAddr>().is_err() {
-                return invalid(&field, "not an IP address and port");
+                return invalid(&field, "must be an IP address and port");
             }
         }
         if self.member.is_empty() || self.member.contains(char::is_whitespace) {
-            return invalid("member", "empty or with spaces");
+            return invalid("member", "must not be empty or contain whitespace");
         }
         let w = &self.params.workers;
         for (field, value) in [
@@ -223,10 +253,10 @@
         }
         check_range("params.cloud.list_lag_s", self.params.cloud.list_lag_s, 0.0, 1e6)?;
         if self.params.state.txn_ops < 6 {
-            return invalid("params.state.txn_ops", "fewer than the 6 changes that a grant may need");
+            return invalid("params.state.txn_ops", "must be at least 6, the writes that a grant may need");
         }
         if self.params.machine_limits.sockets < 32 {
-            return invalid("params.machine_limits.sockets", "fewer than 32");
+            return invalid("params.machine_limits.sockets", "must be at least 32");
         }
         for t in &self.params.teams {
             for (field, value) in
@@ -238,7 +268,7 @@
         Ok(())
     }
 
-    /// All controllers, this one included, in a fixed order.
+    /// Names of all controllers, including this one, in ascending order.
     pub fn controller_names(&self) -> Vec<String> {
         let mut all: Vec<String> = self.members.iter().map(|m| m.member.clone()).collect();
         all.push(self.member.clone());
@@ -247,8 +277,10 @@
         all
     }
 
-    /// How long a controller's lease lasts: a cut-off controller must have fallen silent, and its
-    /// workers' leases run out, well before a cancellation is due.
+    /// Term of a controller's lease.
+    ///
+    /// It is short enough that a controller that is cut off has become inactive, and the leases of its workers have
+    /// expired, well before the tasks of a withdrawn job must have stopped.
     pub fn lease_term(&self, tuning: &Tuning) -> Micros {
         let w = &self.params.workers;
         if tuning.block_lease_s > 0.0 {
@@ -257,32 +289,36 @@
         Micros::from_secs_f64(((w.cancel_s - w.lease_s) * 0.75).clamp(4.0, 15.0))
     }
 
-    /// How long after a withdrawal was confirmed the last of its job's tasks is certainly gone.
+    /// Maximum time from the commit of a withdrawal until the last task of the job has stopped.
     ///
-    /// Whoever does not know of it falls silent a lease after what it last learned from the state service, and that
-    /// is older than the confirmation. Until then it may have answered a report, or sent a start into a session that
-    /// it knew; the one renews a worker's lease as of when the report was sent, the other renews nothing and is of no
-    /// effect in another session. So however long an answer or a command is held up on its way, a worker's lease later
-    /// the task is gone. The margins are for the drift of the clocks and for timers that fire late.
+    /// A controller that does not know of the withdrawal becomes inactive one lease term after it last read from the
+    /// state service, and that read was before the commit. Until then it may still answer a report, or send a start
+    /// into a worker session that it knows. The answer renews the worker's lease only as of the time at which the
+    /// report was sent; the start renews no lease and has no effect in another session. So the task has stopped one
+    /// worker lease later, however long the answer or the start is delayed on its way. The margins allow for clock drift
+    /// and for timers that fire late.
     pub fn max_stop_time_after_commit(&self, tuning: &Tuning) -> Micros {
         self.lease_term(tuning) + self.max_stop_time_after_confirmation()
     }
 
-    /// How long after a withdrawal was *confirmed* its job's last task is gone at the latest, in the order of events of
-    /// the rules: confirmed only when every controller knows of it or is silent, it has a worker's lease left.
+    /// Maximum time from the confirmation of a withdrawal to the user until the last task of the job has stopped.
+    ///
+    /// A withdrawal is confirmed only when every controller knows of it or is inactive. From then on a task can run for
+    /// one more worker lease, plus the margins.
     pub fn max_stop_time_after_confirmation(&self) -> Micros {
         let lease = Micros::from_secs_f64(self.params.workers.lease_s);
         lease + Self::timing_margin(lease)
     }
 
+    /// Margin for clock drift during a worker lease and for late timers.
     fn timing_margin(worker_lease: Micros) -> Micros {
         worker_lease.mul_f64(DRIFT) + SLACK + SLACK
     }
 
-    /// Checks that a withdrawal holds in time, whatever fails.
+    /// Checks that the tasks of a withdrawn job stop within `cancel_s`, whichever controllers or connections fail.
     ///
     /// # Errors
-    /// [`SettingsError::CancelDeadlineTooShort`] where the leases and margins are not shorter than `cancel_s`.
+    /// [`SettingsError::CancelDeadlineTooShort`] if the leases and margins do not add up to less than `cancel_s`.
     pub fn check_cancel_deadline(&self, tuning: &Tuning) -> Result<(), SettingsError> {
         let (workers, stop_time) = (&self.params.workers, self.max_stop_time_after_commit(tuning));
         if stop_time < Micros::from_secs_f64(workers.cancel_s) {
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,4 @@
-//! What the settings must and must not accept.
+//! Tests of which settings are accepted and which are rejected.
 
 use super::*;
 
@@ -46,7 +46,7 @@
 "#;
 
 #[test]
-fn the_platforms_file_may_grow_but_not_lie() {
+fn platform_settings_may_have_unknown_fields_but_no_invalid_values() {
     let good: Settings = toml::from_str(SAMPLE).unwrap();
     good.check().unwrap();
     assert_eq!(good.controller_names(), ["n-0", "n-1", "n-2"]);
@@ -65,15 +65,16 @@
 }
 
 #[test]
-fn operators_settings_reject_what_they_do_not_know() {
+fn tuning_parameters_reject_unknown_fields() {
     let tuning: Tuning = toml::from_str("round_s = 1.0").unwrap();
     assert_eq!((tuning.round_s, tuning.surplus_wait_s), (1.0, 20.0));
     assert!(toml::from_str::<Tuning>("rounds = 1.0").is_err());
 }
 
-/// Guards withdrawals: what the leases add up to must leave room within `cancel_s`, and is said where it does not.
+/// Guards against leases that allow tasks of a withdrawn job to run beyond `cancel_s`: such settings are rejected, and
+/// the message shows the terms and their sum.
 #[test]
-fn leases_that_outlast_a_withdrawal_are_refused_with_their_sum() {
+fn leases_too_long_for_the_cancel_deadline_are_rejected_with_their_sum() {
     let good: Settings = toml::from_str(SAMPLE).unwrap();
     good.check_cancel_deadline(&Tuning::default()).unwrap();
     let long = Tuning { block_lease_s: 19.5, ..Tuning::default() };
