--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 
@@ -8,15 +8,15 @@
 #[derive(Debug, Parser)]
 #[command(name = "marblewalk", version, about)]
 pub struct Cli {
-    /// The platform's settings file
+    /// Settings file provided by the platform
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
 
-    /// The operators' own settings; without it every value has its default
+    /// File with the operators' tuning parameters; without it, all have their defaults
     #[arg(long, value_name = "FILE")]
     pub tuning: Option<PathBuf>,
 
-    /// Check the settings and end without starting
+    /// Check the settings and exit
     #[arg(long)]
     pub check: bool,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! marblewalk: a scheduler for a cluster of rented machines, run by a few small controllers.
+//! marblewalk: a scheduler for a cluster of machines that are rented from a cloud, run by a few small controllers.
 //!
-//! `protocol` says what is exchanged, `coordination` decides (without I/O or clock), `bookkeeping`
-//! keeps records within the state service's limits, and `transport` carries messages.
+//! `protocol` defines the messages, `coordination` makes all decisions (without I/O and without reading a clock),
+//! `bookkeeping` keeps records in the state service within its rate limits, and `transport` carries messages over the
+//! network. `settings` reads the settings files, and `cli` the command line.
 
 pub mod bookkeeping;
 pub mod cli;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,3 +1,5 @@
+//! The controller's executable.
+
 use std::process::ExitCode;
 
 use clap::Parser;
@@ -8,7 +10,7 @@
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::prelude::*;
 
-/// Logs as much as `LOG_LEVEL` says, to standard error.
+/// Starts logging to standard error, at the level that the environment variable `LOG_LEVEL` sets (default: info).
 fn start_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => tracing::Level::ERROR,
@@ -17,14 +19,15 @@
         Ok("trace") => tracing::Level::TRACE,
         _ => tracing::Level::INFO,
     };
-    // The libraries' own words only when something is wrong.
-    let levels =
+    // Dependencies log warnings and errors only.
+    let filter =
         Targets::new().with_default(tracing::Level::WARN.min(level)).with_target("marblewalk", level);
-    let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false).without_time();
-    tracing_subscriber::registry().with(lines.with_filter(levels)).init();
+    let layer = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false).without_time();
+    tracing_subscriber::registry().with(layer.with_filter(filter)).init();
 }
 
-fn load(cli: &Cli) -> Result<(Settings, Tuning), SettingsError> {
+/// Reads and checks the settings and the tuning parameters.
+fn load_settings(cli: &Cli) -> Result<(Settings, Tuning), SettingsError> {
     let settings = Settings::load(&cli.config)?;
     let tuning = cli.tuning.as_deref().map(Tuning::load).transpose()?.unwrap_or_default();
     settings.check_cancel_deadline(&tuning)?;
@@ -33,7 +36,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let (settings, tuning) = match load(&cli) {
+    let (settings, tuning) = match load_settings(&cli) {
         Ok(loaded) => loaded,
         Err(e) => {
             eprintln!("marblewalk: {e}");
@@ -46,8 +49,8 @@
     }
     start_logging();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let ended = runtime.and_then(|r| r.block_on(runtime::run(settings, tuning, CancellationToken::new())));
-    match ended {
+    let result = runtime.and_then(|r| r.block_on(runtime::run(settings, tuning, CancellationToken::new())));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("marblewalk: {e}");
