--- a/src/settings.rs
+++ b/src/settings.rs
@@ -295,8 +295,8 @@
     /// state service, and that read was before the commit. Until then it may still answer a report, or send a start
     /// into a worker session that it knows. The answer renews the worker's lease only as of the time at which the
     /// report was sent; the start renews no lease and has no effect in another session. So the task has stopped one
-    /// worker lease later, however long the answer or the start is delayed on its way. The margins allow for clock drift
-    /// and for timers that fire late.
+    /// worker lease later, however long the answer or the start is delayed on its way. The margins allow for clock
+    /// drift and for timers that fire late.
     pub fn max_stop_time_after_commit(&self, tuning: &Tuning) -> Micros {
         self.lease_term(tuning) + self.max_stop_time_after_confirmation()
     }
