--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -59,7 +59,7 @@
     }
 
     fn controller_count(&self) -> f64 {
-        self.settings.everyone().len() as f64
+        self.settings.controller_names().len() as f64
     }
 
     /// The rates that the leader's plans divide; zero if there is only one controller.
@@ -89,7 +89,7 @@
     pub(super) fn capacity(&self) -> Capacity {
         Capacity {
             submissions_per_s: self.store_calls.writes_per_s() * SUBMISSION_WRITE_SHARE,
-            queue_delay: self.store_calls.delay(Urgency::Acceptance),
+            queue_delay: self.store_calls.queue_delay(Urgency::Acceptance),
         }
     }
 
@@ -112,7 +112,7 @@
     }
 
     fn build_load_report(&mut self) -> LoadReport {
-        let (calls, changes) = self.store_calls.wanted(self.now);
+        let (calls, changes) = self.store_calls.wanted_rates(self.now);
         let beyond = |wanted: f64, own: f64| ((wanted - own).max(0.0) * 1e3) as u64;
         LoadReport {
             registration: self.lease.as_ref().map_or(0, |l| l.registration),
--- a/src/coordination/final_states.rs
+++ b/src/coordination/final_states.rs
@@ -278,12 +278,12 @@
             || reading.in_flight
             || self.now < reading.next_read_at
             || !self.entitled()
-            || self.final_states.full()
+            || self.final_states.is_full()
         {
             return;
         }
         let call = StoreCall::List {
-            prefix: records::FINISHED.to_owned(),
+            prefix: records::FINAL_STATES_PREFIX.to_owned(),
             after: self.final_states_scan.cursor.clone(),
         };
         self.final_states_scan.in_flight = true;
@@ -298,7 +298,7 @@
         self.final_states_scan.next_read_at =
             self.now + Micros(SCAN_DELAY_PER_ENTRY.0 * page.entries.len() as u64);
         for entry in &page.entries {
-            if let Some(id) = entry.key.strip_prefix(records::FINISHED)
+            if let Some(id) = entry.key.strip_prefix(records::FINAL_STATES_PREFIX)
                 && let Ok(record) = entry.value.read::<FinalRecord>()
             {
                 self.record_end(id, record, entry.stamp, EndSource::Scan);
--- a/src/coordination/fleet_scaling.rs
+++ b/src/coordination/fleet_scaling.rs
@@ -121,7 +121,7 @@
             zone,
             spot,
             owner: String::new(),
-            node: 0,
+            registration: 0,
             returning: false,
             token: 0,
         };
@@ -160,7 +160,7 @@
             lead.fleet.list_cursor.clear();
             lead.fleet.unlisted.retain(|name| self.machines.contains_key(name));
             self.enqueue_cloud_call(
-                Urgency::Rest,
+                Urgency::Other,
                 CloudPurpose::List,
                 CloudCall::List { after: String::new() },
             );
@@ -187,7 +187,7 @@
         if let Some(request) = lead.fleet.rentals_to_delete.pop_first() {
             let transaction = Transaction {
                 conditions: vec![self.registration_condition()],
-                writes: vec![Write::delete(records::rental(&request))],
+                writes: vec![Write::delete(records::rental_key(&request))],
             };
             self.enqueue_store_call(
                 Urgency::Completion,
--- a/src/coordination/knowledge.rs
+++ b/src/coordination/knowledge.rs
@@ -12,7 +12,7 @@
 //!
 //! With this bound, a controller that does not know of a withdrawal starts nothing and renews no worker's lease once a
 //! lease term has passed since the withdrawal was confirmed. One worker lease later the job's tasks are gone.
-//! `Settings::leave_room` checks the sum of these times.
+//! `Settings::check_cancel_deadline` checks the sum of these times.
 
 use crate::coordination::{CLOCK_DRIFT, Controller, LEASE_SLACK, Phase};
 use crate::protocol::units::Micros;
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -170,7 +170,7 @@
 
     /// Whether the registration that a machine was granted to still exists.
     pub(super) fn owner_is_registered(&self, machine: &Machine) -> bool {
-        self.registrations.get(&machine.row.owner) == Some(&machine.row.node)
+        self.registrations.get(&machine.row.owner) == Some(&machine.row.registration)
     }
 
     /// Makes the registered controllers the members of the view, and grants them the machines of those that left.
@@ -230,7 +230,7 @@
         let names_bytes = self.max_names_bytes(&added) + blocks::FRAME_BYTES;
         let written = self.shards.iter().filter(|(_, (block, _))| !block.is_empty());
         let mut block_bytes: BTreeMap<usize, usize> =
-            written.clone().map(|(n, (block, _))| (*n, names_bytes + block.bytes())).collect();
+            written.clone().map(|(n, (block, _))| (*n, names_bytes + block.max_rows_bytes())).collect();
         let rows_of = |n: usize| -> Vec<BlockRow> {
             let names = self.shards.get(&n).into_iter().flat_map(|s| s.0.machines());
             names.filter_map(|name| self.machines.get(name)).map(|m| m.row.clone()).collect()
@@ -258,7 +258,7 @@
                     token += 1;
                     row.token = token;
                     row.owner = to.clone();
-                    row.node = self.registrations.get(to).copied().unwrap_or(0);
+                    row.registration = self.registrations.get(to).copied().unwrap_or(0);
                 }
             }
         }
@@ -273,7 +273,7 @@
                 token += 1;
                 row.token = token;
             }
-            let row_bytes = blocks::row_bytes(&row.machine);
+            let row_bytes = blocks::max_row_bytes(&row.machine);
             let open = block_bytes.iter().find(|(n, used)| {
                 let extra = if changed.contains(*n) { row_bytes } else { **used + row_bytes };
                 **used + row_bytes <= value_limit
@@ -281,7 +281,7 @@
                     && (changed.contains(*n) || changed.len() < max_blocks)
             });
             let is_free = |n: &usize| {
-                !block_bytes.contains_key(n) && !self.unreadable_keys.contains(&records::blocks(*n))
+                !block_bytes.contains_key(n) && !self.unreadable_keys.contains(&records::block_key(*n))
             };
             let n = open.map(|(n, _)| *n).unwrap_or_else(|| (0..).find(is_free).unwrap_or(0));
             let used = block_bytes.entry(n).or_insert(names_bytes);
@@ -296,28 +296,31 @@
             shards.entry(n).or_insert_with(|| rows_of(n)).push(row);
         }
         let mut transaction = Transaction {
-            conditions: vec![Condition::new(records::LEADER, leader_stamp), self.registration_condition()],
+            conditions: vec![
+                Condition::new(records::LEADER_KEY, leader_stamp),
+                self.registration_condition(),
+            ],
             writes: Vec::new(),
         };
         for n in changed {
             let stamp = self.shards.get(&n).map_or(0, |s| s.1);
-            transaction.conditions.push(Condition::new(records::blocks(n), stamp));
+            transaction.conditions.push(Condition::new(records::block_key(n), stamp));
             if let Ok(value) = blocks::encode(&shards[&n]) {
-                transaction.writes.push(Write::put(records::blocks(n), value));
+                transaction.writes.push(Write::put(records::block_key(n), value));
             }
         }
         if let Some(view) = view
             && let Ok(value) = serde_json::to_value(view)
         {
-            transaction.conditions.push(Condition::new(records::VIEW, self.view_revision));
-            transaction.writes.push(Write::put(records::VIEW, value));
+            transaction.conditions.push(Condition::new(records::VIEW_KEY, self.view_revision));
+            transaction.writes.push(Write::put(records::VIEW_KEY, value));
         }
         if transaction.writes.is_empty() {
             return false;
         }
         if token != self.token_counter.0 || !new.is_empty() {
-            transaction.conditions.push(Condition::new(records::COUNTER, self.token_counter.1));
-            transaction.writes.push(Write::put(records::COUNTER, token.into()));
+            transaction.conditions.push(Condition::new(records::TOKEN_COUNTER_KEY, self.token_counter.1));
+            transaction.writes.push(Write::put(records::TOKEN_COUNTER_KEY, token.into()));
         }
         if let Some(lead) = &mut self.leader_state {
             lead.grant_in_flight = true;
@@ -333,7 +336,7 @@
         let rows = self.machines.values().map(|m| &m.row).chain(added);
         let used = rows.flat_map(|r| [r.kind.as_str(), r.zone.as_str()]);
         let names: BTreeSet<&str> = others.chain([self.own_name(), ""]).chain(used).collect();
-        names.into_iter().map(blocks::name_bytes).sum()
+        names.into_iter().map(blocks::max_name_bytes).sum()
     }
 
     /// Handles the reply to a grant or to a write of the quota record.
@@ -537,12 +540,13 @@
         // With a fixed interval the records accumulated when jobs ended faster than they were deleted.
         let batch_s = CLEANUP_BATCH as f64 / (self.store_calls.writes_per_s() * CLEANUP_WRITE_SHARE);
         let spacing = Micros::from_secs_f64(batch_s).min(MAX_CLEANUP_INTERVAL);
-        if self.now.since(lead.cleaned_up_at) < spacing || self.store_calls.waiting(Urgency::Rest) > 4 {
+        if self.now.since(lead.cleaned_up_at) < spacing || self.store_calls.waiting_calls(Urgency::Other) > 4
+        {
             return;
         }
         let orphans = self.done_keys.iter().filter(|(job, _)| !self.jobs.contains_key(*job));
         let keys: Vec<String> = orphans
-            .flat_map(|(job, chunks)| chunks.keys().map(|c| records::done_chunk(job, *c)))
+            .flat_map(|(job, chunks)| chunks.keys().map(|c| records::completions_key(job, *c)))
             .take(CLEANUP_BATCH)
             .collect();
         if keys.is_empty() {
@@ -553,6 +557,6 @@
             conditions: vec![self.registration_condition()],
             writes: keys.into_iter().map(Write::delete).collect(),
         };
-        self.enqueue_store_call(Urgency::Rest, Purpose::Cleanup, StoreCall::Commit(transaction));
+        self.enqueue_store_call(Urgency::Other, Purpose::Cleanup, StoreCall::Commit(transaction));
     }
 }
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use crate::bookkeeping::budget::Urgency;
-use crate::bookkeeping::records::{self, LeaderRecord, NodeRecord};
+use crate::bookkeeping::records::{self, LeaderRecord, RegistrationRecord};
 use crate::coordination::{Controller, Lease, Phase, Purpose, backoff_policies};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
@@ -34,7 +34,7 @@
         match self.phase {
             Phase::Unregistered if self.join_backoff.ready(self.now) => {
                 self.phase = Phase::Registering;
-                let key = records::node(self.own_name());
+                let key = records::registration_key(self.own_name());
                 self.enqueue_store_call(
                     Urgency::Entitlement,
                     Purpose::FindFormerRegistration,
@@ -48,7 +48,7 @@
             if self.next_follow_at.is_some_and(|at| at <= self.now) {
                 self.next_follow_at = None;
                 let call = StoreCall::Follow {
-                    prefix: records::FOLLOWED.to_owned(),
+                    prefix: records::WATCHED_PREFIX.to_owned(),
                     after: self.applied_revision,
                     hold_ms: WATCH_HOLD.as_millis(),
                 };
@@ -80,7 +80,8 @@
             return;
         }
         if self.next_leader_attempt_at == Micros::ZERO {
-            let rank = self.settings.everyone().iter().position(|m| m == self.own_name()).unwrap_or(0) as u64;
+            let rank = self.settings.controller_names().iter().position(|m| m == self.own_name()).unwrap_or(0)
+                as u64;
             self.next_leader_attempt_at = self.now + Micros::from_millis(120 * rank);
         }
         if self.now < self.next_leader_attempt_at || !self.entitled() {
@@ -88,11 +89,11 @@
         }
         self.next_leader_attempt_at = self.now + Micros::from_secs(2);
         let Some(lease) = &self.lease else { return };
-        let record = LeaderRecord { member: self.own_name().to_owned(), node: lease.registration };
+        let record = LeaderRecord { member: self.own_name().to_owned(), registration: lease.registration };
         let Ok(value) = serde_json::to_value(record) else { return };
         let transaction = Transaction {
-            conditions: vec![Condition::new(records::LEADER, 0), self.registration_condition()],
-            writes: vec![Write::leased(records::LEADER, value, lease.id)],
+            conditions: vec![Condition::new(records::LEADER_KEY, 0), self.registration_condition()],
+            writes: vec![Write::leased(records::LEADER_KEY, value, lease.id)],
         };
         self.enqueue_store_call(
             Urgency::Entitlement,
@@ -232,19 +233,19 @@
         let (Some(node), Some(lease)) = (self.registrations.get(&member), &self.lease) else { return };
         let mut transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER, leader_stamp),
-                Condition::new(records::node(&member), *node),
+                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::registration_key(&member), *node),
                 self.registration_condition(),
             ],
             writes: vec![
-                Write::delete(records::node(&member)),
-                Write::put(records::evicted(&member), (*node).into()),
+                Write::delete(records::registration_key(&member)),
+                Write::put(records::eviction_key(&member), (*node).into()),
             ],
         };
         if takes_over {
-            let record = LeaderRecord { member: me, node: lease.registration };
+            let record = LeaderRecord { member: me, registration: lease.registration };
             let Ok(value) = serde_json::to_value(record) else { return };
-            transaction.writes.push(Write::leased(records::LEADER, value, lease.id));
+            transaction.writes.push(Write::leased(records::LEADER_KEY, value, lease.id));
         }
         tracing::warn!(member, "evicting controller: it is silent and its workers have failed over");
         self.next_eviction_at = self.now + Micros::from_millis(800);
@@ -255,7 +256,7 @@
     pub(super) fn registration_condition(&self) -> Condition {
         // No registration has this stamp. Without a registration every transaction fails.
         let stamp = self.lease.as_ref().map_or(u64::MAX >> 1, |l| l.registration);
-        Condition::new(records::node(self.own_name()), stamp)
+        Condition::new(records::registration_key(self.own_name()), stamp)
     }
 
     /// Handles replies to the calls of registration, loading, renewal, election and eviction.
@@ -263,7 +264,7 @@
         match (purpose, reply) {
             (Purpose::FindFormerRegistration, StoreReply::Found { value, .. }) => {
                 // There is one process per controller, so the one that made this registration has ended.
-                let lease = serde_json::from_value(value).map_or(0, |r: NodeRecord| r.lease);
+                let lease = serde_json::from_value(value).map_or(0, |r: RegistrationRecord| r.lease);
                 self.enqueue_store_call(
                     Urgency::Entitlement,
                     Purpose::ReleaseFormerLease,
@@ -285,8 +286,8 @@
                     renewed_at: sent,
                     renewal_in_flight: false,
                 });
-                let key = records::node(self.own_name());
-                let Ok(value) = serde_json::to_value(NodeRecord { lease }) else { return };
+                let key = records::registration_key(self.own_name());
+                let Ok(value) = serde_json::to_value(RegistrationRecord { lease }) else { return };
                 let transaction = Transaction {
                     conditions: vec![Condition::new(key.clone(), 0)],
                     writes: vec![Write::leased(key, value, lease)],
@@ -358,7 +359,7 @@
 
     /// Requests the page of followed records that begins after this key.
     pub(super) fn load_page(&mut self, after: String) {
-        let prefix = records::FOLLOWED.to_owned();
+        let prefix = records::WATCHED_PREFIX.to_owned();
         self.enqueue_store_call(Urgency::Entitlement, Purpose::Load, StoreCall::List { prefix, after });
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -57,8 +57,8 @@
 use rustc_hash::{FxBuildHasher, FxHashMap};
 
 use crate::bookkeeping::blocks::Block;
-use crate::bookkeeping::budget::{Budget, Urgency};
-use crate::bookkeeping::cache::FinalCache;
+use crate::bookkeeping::budget::{RateLimitedQueue, Urgency};
+use crate::bookkeeping::cache::FinalStateCache;
 use crate::bookkeeping::records::{QuotaRecord, UninformedRecord, ViewRecord};
 use crate::protocol::cloud::{CloudCall, MachineType, Rental};
 use crate::protocol::job::JobSpec;
@@ -147,7 +147,7 @@
     pub(crate) effects: Vec<Effect>,
 
     next_call: CallId,
-    pub(crate) store_calls: Budget<(Purpose, StoreCall)>,
+    pub(crate) store_calls: RateLimitedQueue<(Purpose, StoreCall)>,
     store_calls_in_flight: HashMap<CallId, (Purpose, Micros)>,
     /// Calls and writes per second that this controller may make without a rate lease.
     pub(crate) base_rates: (f64, f64),
@@ -155,7 +155,7 @@
     /// The part of the state service's limits that this controller holds by a plan of the leader.
     pub(crate) held_rate_lease: HeldLease,
     pub(crate) next_load_report_at: Micros,
-    pub(crate) cloud_calls: Budget<(CloudPurpose, CloudCall)>,
+    pub(crate) cloud_calls: RateLimitedQueue<(CloudPurpose, CloudCall)>,
     cloud_calls_in_flight: HashMap<CallId, CloudPurpose>,
 
     pub(crate) phase: Phase,
@@ -253,7 +253,7 @@
     pub(crate) pending_polls: Vec<JobQuery>,
     pub(crate) next_poll_check_at: Micros,
     /// Final states of ended jobs.
-    pub(crate) final_states: FinalCache,
+    pub(crate) final_states: FinalStateCache,
     pub(crate) final_states_scan: final_states::FinalStatesScan,
     /// Ends of jobs that some other controllers may not know of, by job.
     pub(crate) unsettled_ends: IndexMap<String, final_states::UnsettledEnd>,
@@ -303,12 +303,12 @@
 
 impl Controller {
     pub fn new(settings: Settings, tuning: Tuning, seed: u64) -> Controller {
-        let count = settings.everyone().len() as f64;
+        let count = settings.controller_names().len() as f64;
         let state = settings.params.state;
         let cloud = settings.params.cloud;
         let workers = settings.params.workers;
         Controller {
-            lease_term: settings.lease(&tuning),
+            lease_term: settings.lease_term(&tuning),
             worker_lease: Micros::from_secs_f64(workers.lease_s),
             report_every: Micros::from_secs_f64(workers.report_s),
             now: Micros::ZERO,
@@ -316,13 +316,13 @@
             effects: Vec::new(),
             next_call: 0,
             // Each controller uses at most its part of the limits, so that the sum stays within them.
-            store_calls: Budget::new(state.rps * 0.95 / count, state.write_rps * 0.95 / count, 0.9),
+            store_calls: RateLimitedQueue::new(state.rps * 0.95 / count, state.write_rps * 0.95 / count, 0.9),
             base_rates: (0.0, 0.0),
             submission_limiter: SubmissionLimiter::default(),
             held_rate_lease: HeldLease::default(),
             next_load_report_at: Micros::ZERO,
             store_calls_in_flight: HashMap::new(),
-            cloud_calls: Budget::new(cloud.rps * 0.8, cloud.rps, 1.0),
+            cloud_calls: RateLimitedQueue::new(cloud.rps * 0.8, cloud.rps, 1.0),
             cloud_calls_in_flight: HashMap::new(),
             phase: Phase::Unregistered,
             join_backoff: Backoff::default(),
@@ -374,7 +374,7 @@
             unresolved_machines: BTreeSet::new(),
             pending_polls: Vec::new(),
             next_poll_check_at: Micros::ZERO,
-            final_states: FinalCache::new(tuning.final_cache),
+            final_states: FinalStateCache::new(tuning.final_cache),
             final_states_scan: Default::default(),
             unsettled_ends: IndexMap::new(),
             status_acks: BTreeMap::new(),
@@ -468,7 +468,7 @@
         self.detect_process_pause();
         self.membership_tick();
         self.log_inactivity_change();
-        for (purpose, _) in self.store_calls.expire(self.now, Micros::from_millis(1_500)) {
+        for (purpose, _) in self.store_calls.remove_expired(self.now, Micros::from_millis(1_500)) {
             self.handle_store_reply(purpose, self.now, StoreReply::Refused);
         }
         self.admission_tick();
@@ -604,6 +604,6 @@
 
     /// Number of calls to the state service that are queued.
     pub fn waiting_store_calls(&self) -> usize {
-        self.store_calls.waiting(Urgency::Rest)
+        self.store_calls.waiting_calls(Urgency::Other)
     }
 }
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -174,8 +174,8 @@
 
     /// Adds the completions in a recorded chunk.
     pub fn merge_recorded(&mut self, chunk: usize, value: &serde_json::Value) {
-        self.recorded_done.merge(chunk, value, self.spec.tasks);
-        self.done.merge(chunk, value, self.spec.tasks);
+        self.recorded_done.merge_chunk(chunk, value, self.spec.tasks);
+        self.done.merge_chunk(chunk, value, self.spec.tasks);
         self.placed = self.placements.keys().filter(|index| !self.done.contains(**index)).count() as u32;
     }
 
@@ -196,7 +196,7 @@
 
     /// Marks a task as completed, or all tasks if the job is a gang. Returns whether any of them was not done before.
     pub fn mark_completed(&mut self, index: u32) -> bool {
-        let chunk = |i: u32| i as usize / crate::bookkeeping::records::CHUNK;
+        let chunk = |i: u32| i as usize / crate::bookkeeping::records::TASKS_PER_CHUNK;
         if index >= self.spec.tasks || self.spec.shape == Shape::Service {
             return false;
         }
@@ -434,7 +434,7 @@
         let mut job = Job::new(spec, 1, Micros::ZERO);
         job.add_placement(2, "m");
         job.mark_completed(0);
-        job.merge_recorded(0, &job.done.chunk(0));
+        job.merge_recorded(0, &job.done.encode_chunk(0));
         (1..4).for_each(|index| assert!(job.mark_completed(index)));
         assert_eq!((job.unfinished(), job.placed()), (0, 0));
         job.discard_unrecorded();
--- a/src/coordination/peer_statuses.rs
+++ b/src/coordination/peer_statuses.rs
@@ -120,7 +120,8 @@
     fn mark_starts_announced(&mut self) -> bool {
         let (me, node) = self.incarnation();
         let mut any = false;
-        for machine in self.machines.values_mut().filter(|m| m.row.node == node && m.row.owner == me) {
+        for machine in self.machines.values_mut().filter(|m| m.row.registration == node && m.row.owner == me)
+        {
             for t in machine.tasks.values_mut() {
                 if t.planned() && t.announced_in_status == 0 {
                     t.announced_in_status = self.status_sequence;
@@ -331,13 +332,13 @@
     /// The revision up to which a machine's owner had applied the records as of its last status; 0 unless its statuses
     /// include the machine under the current grant and none of them was missed.
     pub(super) fn reported_revision(&self, machine: &Machine) -> u64 {
-        let holder = (machine.row.owner.clone(), machine.row.node);
+        let holder = (machine.row.owner.clone(), machine.row.registration);
         let Some(peer) = self.peers.get(&holder.0).filter(|_| self.machine_knowledge.is_contiguous(&holder))
         else {
             return 0;
         };
         let told = peer.machine_statuses.get(&machine.row.machine).filter(|m| m.token == machine.row.token);
-        let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.node && told.is_some());
+        let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.registration && told.is_some());
         status.map_or(0, |s| s.applied)
     }
 
@@ -354,7 +355,10 @@
     fn apply_machine_status(&mut self, from: &str, told: &MachineStatus) {
         let Some(machine) = self.machines.get(&told.machine) else { return };
         let node = self.registrations.get(from).copied();
-        if machine.row.token != told.token || machine.row.owner != from || Some(machine.row.node) != node {
+        if machine.row.token != told.token
+            || machine.row.owner != from
+            || Some(machine.row.registration) != node
+        {
             return self.apply_status_of_other_grant(told);
         }
         let evidence = if told.resolved { Evidence::HolderStatus } else { Evidence::UnresolvedHolderStatus };
--- a/src/coordination/progress.rs
+++ b/src/coordination/progress.rs
@@ -61,17 +61,17 @@
         for id in due {
             let registration = self.registration_condition();
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            let live = Condition::new(records::live(&id), job.accepted_revision);
+            let live = Condition::new(records::live_job_key(&id), job.accepted_revision);
             if job.unfinished() == 0 && job.spec.shape != Shape::Service {
                 job.completion_in_flight = true;
                 let tasks = job.spec.tasks;
                 let record = FinalRecord { state: Final::Done, tasks };
                 let Ok(value) = serde_json::to_value(record) else { continue };
                 let transaction = Transaction {
-                    conditions: vec![live, Condition::new(records::finished(&id), 0), registration],
+                    conditions: vec![live, Condition::new(records::final_state_key(&id), 0), registration],
                     writes: vec![
-                        Write::delete(records::live(&id)),
-                        Write::put(records::finished(&id), value),
+                        Write::delete(records::live_job_key(&id)),
+                        Write::put(records::final_state_key(&id), value),
                     ],
                 };
                 self.enqueue_store_call(
@@ -82,15 +82,15 @@
             } else if let Some(chunk) = job.dirty_chunks.pop_first() {
                 job.progress_write_in_flight = true;
                 job.next_progress_write_at = now + spacing;
-                let value = job.done.chunk(chunk);
-                let key = records::done_chunk(&id, chunk);
+                let value = job.done.encode_chunk(chunk);
+                let key = records::completions_key(&id, chunk);
                 let recorded = self.done_keys.get(&id).and_then(|c| c.get(&chunk)).copied().unwrap_or(0);
                 let transaction = Transaction {
                     conditions: vec![live, Condition::new(key.clone(), recorded), registration],
                     writes: vec![Write::put(key, value)],
                 };
                 self.enqueue_store_call(
-                    Urgency::Rest,
+                    Urgency::Other,
                     Purpose::Progress { job: id, chunk },
                     StoreCall::Commit(transaction),
                 );
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -113,7 +113,7 @@
     /// registration and view.
     pub(super) fn own_share(&self, team: &str) -> Option<(u64, u64)> {
         let (me, registration) = self.incarnation();
-        let mine = |r: &&Allotment| r.team == team && r.member == me && r.node == registration;
+        let mine = |r: &&Allotment| r.team == team && r.member == me && r.registration == registration;
         let rows = self.quota_record.0.rows.iter().filter(|_| self.quota_record.0.view == self.view_revision);
         rows.clone().find(mine).map(|r| (r.cpu, r.gpu))
     }
--- a/src/coordination/quota/shares.rs
+++ b/src/coordination/quota/shares.rs
@@ -53,7 +53,7 @@
                 };
                 rows.push(Allotment {
                     member: member.clone(),
-                    node: *registration,
+                    registration: *registration,
                     team: team.name.clone(),
                     cpu,
                     gpu,
@@ -68,12 +68,12 @@
         let Ok(value) = serde_json::to_value(record) else { return false };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER, leader_stamp),
-                Condition::new(records::QUOTA, self.quota_record.1),
-                Condition::new(records::VIEW, self.view_revision),
+                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::QUOTA_KEY, self.quota_record.1),
+                Condition::new(records::VIEW_KEY, self.view_revision),
                 self.registration_condition(),
             ],
-            writes: vec![Write::put(records::QUOTA, value)],
+            writes: vec![Write::put(records::QUOTA_KEY, value)],
         };
         if let Some(lead) = &mut self.leader_state {
             lead.grant_in_flight = true;
@@ -97,7 +97,8 @@
 
     /// A member's share of a team's limit in the record in force: processors and accelerators.
     pub(super) fn share_of(&self, member: &str, registration: u64, team: &Team) -> (u64, u64) {
-        let mine = |r: &&Allotment| r.member == member && r.node == registration && r.team == team.name;
+        let mine =
+            |r: &&Allotment| r.member == member && r.registration == registration && r.team == team.name;
         self.quota_record.0.rows.iter().find(mine).map_or((0, 0), |r| (r.cpu, r.gpu))
     }
 
--- a/src/coordination/removal.rs
+++ b/src/coordination/removal.rs
@@ -138,7 +138,8 @@
         }
         *self.removal_counts.entry(ground).or_default() += removed.len() as u64;
         // If the conclusion is the holder's, or the machine's record was removed, the holder logs it at level info.
-        let holder_logs = !own && self.registrations.get(&machine.row.owner) == Some(&machine.row.node);
+        let holder_logs =
+            !own && self.registrations.get(&machine.row.owner) == Some(&machine.row.registration);
         let logged_by_holder = ground == RemovalGround::NotReportedByHolder
             || ground == RemovalGround::MachineGone && holder_logs;
         for (id, removed) in removed {
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -47,11 +47,11 @@
         let Ok(value) = serde_json::to_value(&rental) else { return false };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER, leader_stamp),
-                Condition::new(records::rental(&request), 0),
+                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::rental_key(&request), 0),
                 self.registration_condition(),
             ],
-            writes: vec![Write::put(records::rental(&request), value)],
+            writes: vec![Write::put(records::rental_key(&request), value)],
         };
         self.enqueue_store_call(
             Urgency::Completion,
@@ -147,7 +147,7 @@
                     zone: rental.zone.clone(),
                     spot: rental.spot,
                     owner: String::new(),
-                    node: 0,
+                    registration: 0,
                     returning: false,
                     token: 0,
                 });
@@ -196,7 +196,7 @@
         lead.fleet.retries_in_flight.extend(due.iter().map(|r| r.request.clone()));
         for rental in due {
             self.enqueue_cloud_call(
-                Urgency::Rest,
+                Urgency::Other,
                 CloudPurpose::Rent(rental.clone()),
                 CloudCall::Rent(rental),
             );
@@ -259,7 +259,7 @@
                     zone: m.zone,
                     spot: m.spot,
                     owner: String::new(),
-                    node: 0,
+                    registration: 0,
                     returning: false,
                     token: 0,
                 });
@@ -267,7 +267,7 @@
         }
         match last {
             Some(after) if list.more => {
-                self.enqueue_cloud_call(Urgency::Rest, CloudPurpose::List, CloudCall::List { after })
+                self.enqueue_cloud_call(Urgency::Other, CloudPurpose::List, CloudCall::List { after })
             }
             _ => lead.fleet.list_in_flight = false,
         }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -4,7 +4,7 @@
 
 use marblewalk_recovery::{Announcements, Incarnation, MachineKnowledge};
 
-use crate::bookkeeping::blocks::Changes;
+use crate::bookkeeping::blocks::BlockChanges;
 use crate::bookkeeping::records::{self, LeaderRecord, TaskSet};
 use crate::coordination::model::{Job, Machine, PlacedTask};
 use crate::coordination::removal::RemovalGround;
@@ -107,8 +107,9 @@
     pub(super) fn apply_loaded_records(&mut self, entries: Vec<Entry>) {
         self.machine_knowledge.records_loaded(self.applied_revision);
         // Jobs are applied before their completions, and blocks before the view.
-        let (last, first): (Vec<_>, Vec<_>) =
-            entries.into_iter().partition(|e| e.key.starts_with(records::DONE) || e.key == records::VIEW);
+        let (last, first): (Vec<_>, Vec<_>) = entries
+            .into_iter()
+            .partition(|e| e.key.starts_with(records::COMPLETIONS_PREFIX) || e.key == records::VIEW_KEY);
         for e in first.into_iter().chain(last) {
             self.apply_put(&e.key, &e.value, e.stamp);
         }
@@ -121,8 +122,8 @@
         if self.phase != Phase::Active {
             return;
         }
-        let each =
-            self.settings.everyone().len() as f64 / (self.settings.params.state.rps * FOLLOW_RATE_SHARE);
+        let each = self.settings.controller_names().len() as f64
+            / (self.settings.params.state.rps * FOLLOW_RATE_SHARE);
         self.next_follow_at = Some(self.now + MIN_FOLLOW_INTERVAL.max(Micros::from_secs_f64(each)));
         match reply {
             StoreReply::News(news) => {
@@ -165,7 +166,7 @@
 
     /// Whether some block cannot be read, so that a machine without a known record may still have one.
     pub(super) fn has_unreadable_blocks(&self) -> bool {
-        self.unreadable_keys.iter().any(|key| key.starts_with(records::BLOCKS))
+        self.unreadable_keys.iter().any(|key| key.starts_with(records::BLOCKS_PREFIX))
     }
 
     /// Applies a record that was loaded or changed.
@@ -173,7 +174,7 @@
         if !self.unreadable_keys.is_empty() {
             self.unreadable_keys.remove(key);
         }
-        if let Some(job) = key.strip_prefix(records::LIVE) {
+        if let Some(job) = key.strip_prefix(records::LIVE_JOBS_PREFIX) {
             // A peer's message that the job has ended may have arrived before the change that accepted it.
             if !self.jobs.contains_key(job) && self.final_states.get(job).is_none() {
                 let spec = match value.read::<JobSpec>() {
@@ -203,14 +204,14 @@
                 self.jobs.insert_sorted(job.to_owned(), job_state);
                 self.schedule_round();
             }
-        } else if let Some(rest) = key.strip_prefix(records::DONE) {
+        } else if let Some(rest) = key.strip_prefix(records::COMPLETIONS_PREFIX) {
             let Some((job, chunk)) = rest.rsplit_once('/') else { return };
             let Ok(chunk) = chunk.parse::<usize>() else { return };
             self.done_keys.entry(job.to_owned()).or_default().insert(chunk, stamp);
             if let Some(j) = self.jobs.get_mut(job) {
                 j.merge_recorded(chunk, &value.read().unwrap_or_default());
             }
-        } else if let Some(member) = key.strip_prefix(records::NODE) {
+        } else if let Some(member) = key.strip_prefix(records::REGISTRATIONS_PREFIX) {
             // Changes are followed from the revision of the list's first page, so they may replay a registration that
             // is older than the one that a later page showed.
             if self.registrations.get(member).is_some_and(|known| *known > stamp) {
@@ -221,15 +222,15 @@
                 self.machine_knowledge.incarnation_ended(&(member.to_owned(), former));
             }
             self.schedule_round();
-        } else if let Some(member) = key.strip_prefix(records::EVICTED) {
+        } else if let Some(member) = key.strip_prefix(records::EVICTIONS_PREFIX) {
             // The evicted controller may not know yet, and may go on answering workers until its lease expires.
             self.evictions.insert(member.to_owned(), (self.now, stamp));
-        } else if let Some(shard) = key.strip_prefix(records::BLOCKS) {
+        } else if let Some(shard) = key.strip_prefix(records::BLOCKS_PREFIX) {
             match shard.parse() {
                 Ok(shard) => self.apply_block(shard, key, value.text(), stamp),
                 Err(problem) => self.mark_unreadable(key, &problem),
             }
-        } else if let Some(request) = key.strip_prefix(records::RENTAL) {
+        } else if let Some(request) = key.strip_prefix(records::RENTALS_PREFIX) {
             if let Ok(rental) = value.read() {
                 self.rentals.insert(request.to_owned(), (rental, stamp));
             }
@@ -240,22 +241,22 @@
             {
                 lead.fleet.rentals_to_delete.insert(request.to_owned());
             }
-        } else if let Some(member) = key.strip_prefix(records::UNINFORMED) {
+        } else if let Some(member) = key.strip_prefix(records::UNINFORMED_PREFIX) {
             self.apply_uninformed_record(member, value, stamp);
-        } else if key == records::LEADER {
+        } else if key == records::LEADER_KEY {
             if let Ok(l) = value.read::<LeaderRecord>() {
-                self.leader = Some((l.member, l.node, stamp));
+                self.leader = Some((l.member, l.registration, stamp));
                 self.leadership_changed();
             }
-        } else if key == records::VIEW {
+        } else if key == records::VIEW_KEY {
             if let Ok(view) = value.read() {
                 self.view = view;
                 self.view_revision = stamp;
                 self.view_changed();
             }
-        } else if key == records::COUNTER {
+        } else if key == records::TOKEN_COUNTER_KEY {
             self.token_counter = (value.read().unwrap_or(0), stamp);
-        } else if key == records::QUOTA
+        } else if key == records::QUOTA_KEY
             && let Ok(quota) = value.read()
         {
             self.quota_record = (quota, stamp);
@@ -266,11 +267,11 @@
     /// Applies the deletion of a record.
     fn apply_delete(&mut self, key: &str, stamp: u64) {
         self.unreadable_keys.remove(key);
-        if let Some(job) = key.strip_prefix(records::LIVE) {
+        if let Some(job) = key.strip_prefix(records::LIVE_JOBS_PREFIX) {
             // A deleted live record never comes back, since job ids are never accepted twice.
             self.retire(job);
             self.schedule_round();
-        } else if let Some(rest) = key.strip_prefix(records::DONE) {
+        } else if let Some(rest) = key.strip_prefix(records::COMPLETIONS_PREFIX) {
             if let Some((job, chunk)) = rest.rsplit_once('/')
                 && let (Some(keys), Ok(chunk)) = (self.done_keys.get_mut(job), chunk.parse::<usize>())
             {
@@ -279,7 +280,7 @@
                     self.done_keys.remove(job);
                 }
             }
-        } else if let Some(member) = key.strip_prefix(records::NODE) {
+        } else if let Some(member) = key.strip_prefix(records::REGISTRATIONS_PREFIX) {
             if let Some(former) = self.registrations.get(member).copied().filter(|s| *s < stamp) {
                 self.registrations.remove(member);
                 self.machine_knowledge.incarnation_ended(&(member.to_owned(), former));
@@ -289,7 +290,7 @@
                 }
             }
             self.schedule_round();
-        } else if let Some(shard) = key.strip_prefix(records::BLOCKS) {
+        } else if let Some(shard) = key.strip_prefix(records::BLOCKS_PREFIX) {
             if let Ok(shard) = shard.parse()
                 && let Some(block) = self.shards.get_mut(&shard)
             {
@@ -297,9 +298,9 @@
                 let changes = block.0.clear();
                 self.apply_block_changes(shard, changes, stamp);
             }
-        } else if let Some(request) = key.strip_prefix(records::RENTAL) {
+        } else if let Some(request) = key.strip_prefix(records::RENTALS_PREFIX) {
             self.rentals.remove(request);
-        } else if key == records::LEADER && self.leader.as_ref().is_some_and(|l| l.2 < stamp) {
+        } else if key == records::LEADER_KEY && self.leader.as_ref().is_some_and(|l| l.2 < stamp) {
             self.leader = None;
             self.leadership_changed();
         }
@@ -321,9 +322,9 @@
     }
 
     /// Applies the rows of a block that are new, changed or gone.
-    fn apply_block_changes(&mut self, shard: usize, changes: Changes, stamp: u64) {
-        let any_gone = !changes.gone.is_empty();
-        for gone in changes.gone {
+    fn apply_block_changes(&mut self, shard: usize, changes: BlockChanges, stamp: u64) {
+        let any_gone = !changes.removed.is_empty();
+        for gone in changes.removed {
             // A row is removed only after the cloud has confirmed that the machine is gone.
             self.replace_tasks(&gone, BTreeMap::new(), RemovalGround::MachineGone);
             self.machines.shift_remove(&gone);
@@ -335,10 +336,10 @@
         if any_gone {
             self.check_takeover();
         }
-        for row in changes.rows {
+        for row in changes.changed {
             let supply = self.machine_types.get(&row.kind).map(|t| t.supply()).unwrap_or_default();
             let now = self.now;
-            let holder = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.node));
+            let holder = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.registration));
             if !self.machines.contains_key(&row.machine) {
                 self.note_first_record(&row.machine, holder.clone(), stamp);
             }
@@ -356,8 +357,8 @@
             self.remote_stops_pending = true;
             // A new token for the same owner keeps the time of the grant. Otherwise a machine that accepts none of its
             // tokens would be waited for as long as it gets new ones.
-            let renewed =
-                (&machine.row.owner, machine.row.node) == (&row.owner, row.node) && !machine.resolved;
+            let renewed = (&machine.row.owner, machine.row.registration) == (&row.owner, row.registration)
+                && !machine.resolved;
             machine.row = row;
             machine.grant_revision = stamp;
             machine.grant_seen_at = if renewed { machine.grant_seen_at } else { now };
@@ -482,7 +483,7 @@
         let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
         // The cheap comparison comes first, as this is called for every machine very often: the registration differs
         // for nearly all machines of other controllers.
-        machine.row.node == stamp && machine.row.owner == self.settings.member
+        machine.row.registration == stamp && machine.row.owner == self.settings.member
     }
 
     /// Replaces the known tasks of a machine. `ground`: the reason for which missing tasks are taken to be gone.
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -242,7 +242,7 @@
             self.uninformed_record = (record, stamp);
         } else {
             let named = record.peers.contains(&self.incarnation());
-            self.machine_knowledge.set_uninformed(&(member.to_owned(), record.node), named);
+            self.machine_knowledge.set_uninformed(&(member.to_owned(), record.registration), named);
         }
     }
 
@@ -258,7 +258,7 @@
         }
         let (me, node) = self.incarnation();
         let stored: BTreeSet<Incarnation> = match &self.uninformed_record.0 {
-            record if record.node == node => record.peers.iter().cloned().collect(),
+            record if record.registration == node => record.peers.iter().cloned().collect(),
             _ => BTreeSet::new(),
         };
         let desired = self.announcements.desired_record(self.now, CONFIRMATION_TIMEOUT);
@@ -267,8 +267,8 @@
             || (stored != self.announcements.uninformed()).then(|| self.announcements.uninformed());
         let Some(record) = desired.or_else(unconfirmed_write) else { return };
         let peers = record.iter().cloned().collect();
-        let Ok(value) = serde_json::to_value(UninformedRecord { node, peers }) else { return };
-        let key = records::uninformed(&me);
+        let Ok(value) = serde_json::to_value(UninformedRecord { registration: node, peers }) else { return };
+        let key = records::uninformed_key(&me);
         let transaction = Transaction {
             conditions: vec![
                 Condition::new(key.clone(), self.uninformed_record.1),
@@ -292,7 +292,7 @@
         if let StoreReply::Committed { revision } = reply {
             let (node, peers) = (self.incarnation().1, record.iter().cloned().collect());
             if self.uninformed_record.1 < revision {
-                self.uninformed_record = (UninformedRecord { node, peers }, revision);
+                self.uninformed_record = (UninformedRecord { registration: node, peers }, revision);
             }
             self.announcements.record_committed(self.now, &record);
             self.send_direct_calls();
--- a/src/coordination/unreachable_machines.rs
+++ b/src/coordination/unreachable_machines.rs
@@ -65,7 +65,8 @@
             })
             .collect();
         for (name, m) in self.machines.iter().filter(|(_, m)| !m.row.returning) {
-            let Some(owner) = reach.get_mut(m.row.owner.as_str()).filter(|r| r.registration == m.row.node)
+            let Some(owner) =
+                reach.get_mut(m.row.owner.as_str()).filter(|r| r.registration == m.row.registration)
             else {
                 continue;
             };
--- a/src/coordination/user_requests.rs
+++ b/src/coordination/user_requests.rs
@@ -32,7 +32,7 @@
 impl Controller {
     /// Whether a read for a user would be answered before the user gives up.
     fn accepts_reads(&self) -> bool {
-        self.entitled() && self.store_calls.reads_waiting() < MAX_WAITING_READS
+        self.entitled() && self.store_calls.waiting_reads() < MAX_WAITING_READS
     }
 
     /// Defers a request when none can be served. The random delay spreads the retries over some seconds.
@@ -89,11 +89,11 @@
         }
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::live(&spec.id), 0),
-                Condition::new(records::finished(&spec.id), 0),
+                Condition::new(records::live_job_key(&spec.id), 0),
+                Condition::new(records::final_state_key(&spec.id), 0),
                 self.registration_condition(),
             ],
-            writes: vec![Write::put(records::live(&spec.id), value)],
+            writes: vec![Write::put(records::live_job_key(&spec.id), value)],
         };
         let purpose = Purpose::Accept { request, spec };
         self.enqueue_store_call(Urgency::Acceptance, purpose, StoreCall::Commit(transaction));
@@ -144,11 +144,11 @@
                 self.answer(request, Answer::Job { created: true, id: spec.id, state, done: 0, running: 0 });
             }
             StoreReply::Conflict { failed } => {
-                let me = records::node(self.own_name());
-                if failed.contains(&records::finished(&spec.id)) {
+                let me = records::registration_key(self.own_name());
+                if failed.contains(&records::final_state_key(&spec.id)) {
                     let query = self.new_query(request, spec.id, SUBMISSION_TIMEOUT);
                     self.look_up_final(query, IfNotFound::Inconclusive);
-                } else if failed.contains(&records::live(&spec.id)) {
+                } else if failed.contains(&records::live_job_key(&spec.id)) {
                     let query = self.new_query(request, spec.id, SUBMISSION_TIMEOUT);
                     self.look_up_live(query, LookupGoal::State);
                 } else {
@@ -215,11 +215,12 @@
             conditions.insert(job, revision);
             checked += 1;
         }
-        let conditions =
-            conditions.into_iter().map(|(job, revision)| Condition::new(records::live(job), revision));
+        let conditions = conditions
+            .into_iter()
+            .map(|(job, revision)| Condition::new(records::live_job_key(job), revision));
         let transaction = Transaction { conditions: conditions.collect(), writes: Vec::new() };
         let polls = self.pending_polls.drain(..checked).collect();
-        self.enqueue_store_call(Urgency::Rest, Purpose::CheckLive { polls }, StoreCall::Commit(transaction));
+        self.enqueue_store_call(Urgency::Other, Purpose::CheckLive { polls }, StoreCall::Commit(transaction));
     }
 
     pub(super) fn handle_poll_check_reply(&mut self, polls: Vec<JobQuery>, sent: Micros, reply: StoreReply) {
@@ -229,7 +230,7 @@
                     self.submission_limiter.query_answered(&query.job);
                     self.answer_live(query, sent, None);
                 }
-                StoreReply::Conflict { failed } if failed.contains(&records::live(&query.job)) => {
+                StoreReply::Conflict { failed } if failed.contains(&records::live_job_key(&query.job)) => {
                     self.look_up_final(query, IfNotFound::Inconclusive);
                 }
                 // A failed transaction shows nothing about the jobs that it does not name; they are checked again.
@@ -247,7 +248,8 @@
         if self.answer_if_ended(&query) {
             return;
         }
-        if !self.entitled() || self.store_calls.waiting(Urgency::Withdrawal) >= MAX_WAITING_WITHDRAWALS {
+        if !self.entitled() || self.store_calls.waiting_calls(Urgency::Withdrawal) >= MAX_WAITING_WITHDRAWALS
+        {
             return self.answer(request, Answer::RetryLater(1));
         }
         self.look_up_live(query, LookupGoal::Withdrawal);
@@ -255,14 +257,14 @@
 
     /// Reads a job's live record.
     fn look_up_live(&mut self, query: JobQuery, goal: LookupGoal) {
-        let key = records::live(&query.job);
-        let urgency = if goal == LookupGoal::Withdrawal { Urgency::Withdrawal } else { Urgency::Rest };
+        let key = records::live_job_key(&query.job);
+        let urgency = if goal == LookupGoal::Withdrawal { Urgency::Withdrawal } else { Urgency::Other };
         self.enqueue_store_call(urgency, Purpose::LookUpLive { query, goal }, StoreCall::Get { key });
     }
 
     /// Reads a job's final record. `missing` tells what it means if there is none.
     fn look_up_final(&mut self, query: JobQuery, if_not_found: IfNotFound) {
-        let key = records::finished(&query.job);
+        let key = records::final_state_key(&query.job);
         self.enqueue_store_call(
             Urgency::Acceptance,
             Purpose::LookUpFinal { query, if_not_found },
@@ -297,13 +299,13 @@
         };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::live(&query.job), record_revision),
-                Condition::new(records::finished(&query.job), 0),
+                Condition::new(records::live_job_key(&query.job), record_revision),
+                Condition::new(records::final_state_key(&query.job), 0),
                 self.registration_condition(),
             ],
             writes: vec![
-                Write::delete(records::live(&query.job)),
-                Write::put(records::finished(&query.job), value),
+                Write::delete(records::live_job_key(&query.job)),
+                Write::put(records::final_state_key(&query.job), value),
             ],
         };
         self.enqueue_store_call(
--- a/src/coordination/worker_lease_expiry.rs
+++ b/src/coordination/worker_lease_expiry.rs
@@ -23,7 +23,7 @@
         let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
         let mut lapsed = Vec::new();
         for (name, machine) in &mut self.machines {
-            let is_own = machine.row.node == stamp && machine.row.owner == self.settings.member;
+            let is_own = machine.row.registration == stamp && machine.row.owner == self.settings.member;
             if !is_own || machine.resolved && machine.tasks.is_empty() {
                 continue;
             }
--- a/src/coordination/worker_reports.rs
+++ b/src/coordination/worker_reports.rs
@@ -56,7 +56,7 @@
             // Redirecting a worker to a controller that is no longer registered would only make it go round in circles.
             let owner = machine.row.owner.clone();
             let owner_registered =
-                owner != self.own_name() && self.registrations.get(&owner) == Some(&machine.row.node);
+                owner != self.own_name() && self.registrations.get(&owner) == Some(&machine.row.registration);
             // The worker of a machine that was granted some time ago should have found its owner.
             let settled = machine.resolved && self.now.since(machine.grant_seen_at) > OWNER_DISCOVERY_GRACE;
             self.check_report(&report, Evidence::AnotherController);
@@ -382,7 +382,7 @@
     /// Whether the store has a live record of a job, even one that this version cannot read.
     pub(super) fn is_live(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
-            || !self.unreadable_keys.is_empty() && self.unreadable_keys.contains(&records::live(job))
+            || !self.unreadable_keys.is_empty() && self.unreadable_keys.contains(&records::live_job_key(job))
     }
 
     /// Whether the worker may forget an ended task: a completion must be stored first.
