--- a/src/bookkeeping/cache.rs
+++ b/src/bookkeeping/cache.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::protocol::job::Final;
+use crate::protocol::job::FinalState;
 
 #[derive(Debug)]
 pub struct FinalCache {
     most: usize,
-    states: HashMap<String, (Final, u32)>,
+    states: HashMap<String, (FinalState, u32)>,
     order: VecDeque<String>,
 }
 
@@ -21,11 +21,11 @@
         self.states.len() >= self.most
     }
 
-    pub fn get(&self, job: &str) -> Option<(Final, u32)> {
+    pub fn get(&self, job: &str) -> Option<(FinalState, u32)> {
         self.states.get(job).copied()
     }
 
-    pub fn insert(&mut self, job: &str, state: Final, tasks: u32) {
+    pub fn insert(&mut self, job: &str, state: FinalState, tasks: u32) {
         if self.states.insert(job.to_owned(), (state, tasks)).is_none() {
             self.order.push_back(job.to_owned());
             if self.order.len() > self.most
@@ -45,10 +45,10 @@
     fn the_cache_is_bounded_and_drops_the_oldest() {
         let mut cache = FinalCache::new(3);
         for i in 0..10 {
-            cache.insert(&format!("j-{i}"), Final::Done, 1);
+            cache.insert(&format!("j-{i}"), FinalState::Done, 1);
         }
         assert_eq!(cache.get("j-6"), None);
-        assert_eq!(cache.get("j-7"), Some((Final::Done, 1)));
+        assert_eq!(cache.get("j-7"), Some((FinalState::Done, 1)));
         assert_eq!(cache.states.len(), cache.order.len());
     }
 }
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::protocol::job::Final;
+use crate::protocol::job::FinalState;
 
 /// Prefix of everything that controllers follow.
 pub const FOLLOWED: &str = "c/";
@@ -108,7 +108,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    pub state: Final,
+    pub state: FinalState,
     pub tasks: u32,
 }
 
--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -97,7 +97,7 @@
             if let Some(planner) = plans {
                 planner.record_report(self.now, &self.settings.member, word.clone());
             }
-            self.effects.push(Effect::Send(None, PeerMessage::Door(word)));
+            self.effects.push(Effect::Send(None, PeerMessage::LoadReport(word)));
         }
         if self.lead.as_ref().is_some_and(|l| self.now >= l.plan_at) && self.entitled() {
             self.plan_admission();
@@ -128,7 +128,7 @@
         lead.plan_at = self.now + PLANS_EVERY;
         let Some(planner) = &mut lead.planner else { return };
         let plan = planner.next_plan(self.now, &members, submissions);
-        self.effects.push(Effect::Send(None, PeerMessage::Plan(plan.clone())));
+        self.effects.push(Effect::Send(None, PeerMessage::RatePlan(plan.clone())));
         self.plan_said(&plan);
     }
 
--- a/src/coordination/backfill.rs
+++ b/src/coordination/backfill.rs
@@ -105,7 +105,7 @@
 
 /// What a job starts with: a task, or all of a gang or a service.
 fn unit(job: &Job) -> (u32, Resources) {
-    let tasks = job.spec.floor().min(job.unfinished()).max(1);
+    let tasks = job.spec.min_tasks().min(job.unfinished()).max(1);
     (tasks, job.spec.need().times(u64::from(tasks)))
 }
 
@@ -357,7 +357,7 @@
             tasks,
             class: spec.class.clone(),
             priority: spec.priority,
-            types: spec.types.clone(),
+            types: spec.machine_types.clone(),
             zone: spec.zone.clone(),
             spot: spec.spot,
             one_zone: spec.one_zone,
--- a/src/coordination/displacement.rs
+++ b/src/coordination/displacement.rs
@@ -95,7 +95,7 @@
         }
         for (name, task) in stops {
             let grace =
-                self.jobs.get(&task.job).map_or(Micros::ZERO, |j| j.spec.save() + Micros::from_secs(1));
+                self.jobs.get(&task.job).map_or(Micros::ZERO, |j| j.spec.save_time() + Micros::from_secs(1));
             if let Some(t) = self.machines.get_mut(&name).and_then(|m| m.tasks.get_mut(&task)) {
                 t.stop = Some(grace);
             }
--- a/src/coordination/eligibility.rs
+++ b/src/coordination/eligibility.rs
@@ -45,7 +45,7 @@
     /// machine is there and paid for anyway.
     pub(super) fn keep_off(self, spec: &JobSpec, machine: &Machine, room: Resources) -> bool {
         let open = self.overdue || self.idles(machine);
-        if spec.gpus > 0.0 || machine.supply.gpu == 0 || spec.types.is_some() || open {
+        if spec.gpus > 0.0 || machine.supply.gpu == 0 || spec.machine_types.is_some() || open {
             return false;
         }
         let cards_in_use = machine.tasks.values().any(|t| !t.ended() && t.need.gpu > 0);
@@ -71,7 +71,7 @@
 
 /// Whether a job's description allows a machine, apart from its other tasks.
 pub(super) fn allows(spec: &JobSpec, machine: &Machine) -> bool {
-    spec.types.as_ref().is_none_or(|t| t.contains(&machine.row.kind))
+    spec.machine_types.as_ref().is_none_or(|t| t.contains(&machine.row.kind))
         && spec.zone.as_ref().is_none_or(|z| *z == machine.row.zone)
         && (spec.spot || !machine.row.spot)
         && spec.need().fits(machine.supply)
--- a/src/coordination/finals.rs
+++ b/src/coordination/finals.rs
@@ -17,8 +17,8 @@
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, FinalRecord};
 use crate::coordination::{Answer, Controller, Phase, Purpose, RequestId};
-use crate::protocol::job::{Final, JobState};
-use crate::protocol::peer::Ended;
+use crate::protocol::job::{FinalState, JobState};
+use crate::protocol::peer::EndedJob;
 use crate::protocol::store::{StoreCall, StoreReply};
 use crate::protocol::units::Micros;
 
@@ -38,7 +38,7 @@
 /// The end of a job that not all others are known to know of.
 #[derive(Debug)]
 pub(crate) struct Spreading {
-    state: Final,
+    state: FinalState,
     tasks: u32,
     /// The revision that recorded it, or a later one.
     revision: u64,
@@ -88,15 +88,15 @@
             return;
         }
         // What is read among many was recorded a while ago; only a withdrawal must be known to all for certain.
-        if source == Source::Pages && end.state == Final::Done || self.known_to_all(revision, None) {
+        if source == Source::Pages && end.state == FinalState::Done || self.known_to_all(revision, None) {
             return;
         }
         if self.spreading.len() == self.tuning.final_cache.max(1) {
             self.spreading.shift_remove_index(0);
         }
         let silent_at = match end.state {
-            Final::Withdrawn => self.silent_without(revision),
-            Final::Done => self.now + DONE_HELD,
+            FinalState::Withdrawn => self.silent_without(revision),
+            FinalState::Done => self.now + DONE_HELD,
         };
         if self.now >= silent_at && !tell {
             return;
@@ -104,7 +104,7 @@
         let (state, tasks) = (end.state, end.tasks);
         let spreading = Spreading { state, tasks, revision, silent_at, tell, told_in: 0 };
         self.spreading.insert(id.to_owned(), spreading);
-        if tell && state == Final::Withdrawn {
+        if tell && state == FinalState::Withdrawn {
             self.status_due = Some(self.now);
             self.follow_at = self.follow_at.map(|_| self.now);
         } else if tell {
@@ -114,7 +114,7 @@
 
     /// Another controller knows that a job is over, which holds for ever: the job's tasks end here too, without
     /// waiting for the change to be followed, which the store may refuse this controller for a long time.
-    pub(super) fn told_end(&mut self, ended: &Ended) {
+    pub(super) fn told_end(&mut self, ended: &EndedJob) {
         let end = FinalRecord { state: ended.state, tasks: ended.tasks };
         self.learned_end(&ended.job, end, ended.revision, Source::Peer);
         self.retire(&ended.job);
@@ -132,7 +132,8 @@
             && self.applied >= revision
             && !self.evicted_may_act()
             && others.all(|(member, node)| {
-                heard(member, *node) || self.word_of(member, *node).is_some_and(|s| s.applied >= revision)
+                heard(member, *node)
+                    || self.word_of(member, *node).is_some_and(|s| s.applied_revision >= revision)
             })
     }
 
@@ -151,7 +152,7 @@
         &mut self,
         request: RequestId,
         id: &str,
-        state: Final,
+        state: FinalState,
         tasks: u32,
         until: Micros,
     ) {
@@ -183,7 +184,7 @@
 
     /// What to tell the others with a status: with each what is new, and with the `regular` ones again what not all are
     /// known to know, for a status may be lost.
-    pub(super) fn ends_to_tell(&mut self, regular: bool) -> Vec<Ended> {
+    pub(super) fn ends_to_tell(&mut self, regular: bool) -> Vec<EndedJob> {
         if self.spreading.is_empty() {
             return Vec::new();
         }
@@ -201,7 +202,7 @@
 
     /// All ends that this controller tells, for a status to all: taken in, it proves that all before it were. Whatever
     /// does not fit is told anew.
-    pub(super) fn all_ends(&mut self) -> Vec<Ended> {
+    pub(super) fn all_ends(&mut self) -> Vec<EndedJob> {
         let mut spreading = std::mem::take(&mut self.spreading);
         let chosen = choose(&spreading, |s| s.tell);
         tell_others_anew(&mut spreading, &chosen);
@@ -213,7 +214,7 @@
 
     /// The same for a status to a single controller. It says nothing to the others, who may have confirmed its number: they
     /// are still to be told what none of them has been.
-    pub(super) fn all_ends_for_one(&mut self) -> Vec<Ended> {
+    pub(super) fn all_ends_for_one(&mut self) -> Vec<EndedJob> {
         let chosen = choose(&self.spreading, |s| s.tell);
         tell_others_anew(&mut self.spreading, &chosen);
         ended(&self.spreading, &chosen)
@@ -229,7 +230,7 @@
 
     /// Some users wait until the others have confirmed what they are told.
     pub(super) fn ends_owed(&self) -> bool {
-        self.spreading.values().any(|s| s.tell && s.state == Final::Withdrawn && !self.end_settled(s))
+        self.spreading.values().any(|s| s.tell && s.state == FinalState::Withdrawn && !self.end_settled(s))
     }
 
     /// Another controller has taken in this one's statuses up to this number.
@@ -241,7 +242,7 @@
     /// Under the next registration nothing has been told, and what others have heard counts for nothing.
     pub(super) fn forget_told_ends(&mut self) {
         self.statuses_heard.clear();
-        self.spreading.retain(|_, s| s.state == Final::Withdrawn && s.silent_at > self.now);
+        self.spreading.retain(|_, s| s.state == FinalState::Withdrawn && s.silent_at > self.now);
         self.spreading.values_mut().for_each(|s| s.told_in = 0);
     }
 
@@ -268,7 +269,7 @@
         self.reading_finals.next = self.now + Micros(EACH.0 * page.entries.len() as u64);
         for entry in &page.entries {
             if let Some(id) = entry.key.strip_prefix(records::FINISHED)
-                && let Ok(record) = entry.value.read::<FinalRecord>()
+                && let Ok(record) = entry.value.parse::<FinalRecord>()
             {
                 self.learned_end(id, record, entry.stamp, Source::Pages);
             }
@@ -280,8 +281,8 @@
     }
 }
 
-pub(super) fn final_answer(id: &str, state: Final, tasks: u32) -> Answer {
-    let done = if state == Final::Done { tasks } else { 0 };
+pub(super) fn final_answer(id: &str, state: FinalState, tasks: u32) -> Answer {
+    let done = if state == FinalState::Done { tasks } else { 0 };
     Answer::Job { created: false, id: id.to_owned(), state: JobState::Final(state), done, running: 0 }
 }
 
@@ -300,9 +301,9 @@
 }
 
 /// Ends as a status tells them.
-fn ended(spreading: &IndexMap<String, Spreading>, chosen: &[String]) -> Vec<Ended> {
+fn ended(spreading: &IndexMap<String, Spreading>, chosen: &[String]) -> Vec<EndedJob> {
     let ends = chosen.iter().filter_map(|id| Some((id, spreading.get(id)?)));
-    ends.map(|(id, end)| Ended {
+    ends.map(|(id, end)| EndedJob {
         job: id.clone(),
         state: end.state,
         tasks: end.tasks,
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -355,7 +355,7 @@
         let others = self.jobs.iter().filter(|(id, _)| !counted.contains(id));
         for (id, job) in others.filter(|(id, j)| self.worth_renting_for(id, j)) {
             let waiting = self.worth_trying(id, job).saturating_sub(job.placed());
-            if waiting > 0 && (job.spec.floor() == 1 || job.on.is_empty()) {
+            if waiting > 0 && (job.spec.min_tasks() == 1 || job.on.is_empty()) {
                 let zones = self.zones_left(id, job, std::iter::empty());
                 self.want_for(
                     &job.spec,
@@ -442,7 +442,7 @@
         wanted: &mut BTreeMap<(String, String, bool), f64>,
     ) {
         let need = spec.need();
-        let type_ok = |kind: &String| spec.types.as_ref().is_none_or(|t| t.contains(kind));
+        let type_ok = |kind: &String| spec.machine_types.as_ref().is_none_or(|t| t.contains(kind));
         let zone_ok = |zone: &String| spec.zone.as_ref().or(only).is_none_or(|z| z == zone);
         for (kind, zone, spot, room) in coming.iter_mut() {
             if type_ok(kind) && zone_ok(zone) && (spec.spot || !*spot) {
@@ -456,8 +456,8 @@
         }
         // By the time a new machine is up, places that are taken now will have been left.
         let boot = self.soonest_boot(spec);
-        if spec.floor() == 1 && spec.estimate_s > 0.0 && boot.is_finite() {
-            let turns = boot / (spec.estimate_s + FETCH);
+        if spec.min_tasks() == 1 && spec.estimated_task_s > 0.0 && boot.is_finite() {
+            let turns = boot / (spec.estimated_task_s + FETCH);
             let left = turnover.entry(need.gpu > 0).or_insert_with(|| self.places_taken(spec) as f64 * turns);
             let n = (*left as u64).min(count);
             *left -= n as f64;
@@ -494,8 +494,11 @@
             return;
         };
         // Short tasks take turns: a machine is worth renting for a good stretch of work.
-        let turns =
-            if spec.floor() > 1 || spec.estimate_s <= 0.0 { 1.0 } else { (WORTH / spec.estimate_s).max(1.0) };
+        let turns = if spec.min_tasks() > 1 || spec.estimated_task_s <= 0.0 {
+            1.0
+        } else {
+            (WORTH / spec.estimated_task_s).max(1.0)
+        };
         // A dearer machine than the cheapest that would do, of which there are no more, must earn more.
         let turns = if turns > 1.0 { turns * (price / cheapest).max(1.0).sqrt() } else { turns };
         *wanted.entry(key).or_default() += count as f64 / slots as f64 / turns;
--- a/src/coordination/fleet_demand.rs
+++ b/src/coordination/fleet_demand.rs
@@ -54,7 +54,7 @@
         let now = self.now;
         if let Some(lead) = &mut self.lead
             && spec.shape == Shape::Array
-            && spec.estimate_s > 0.0
+            && spec.estimated_task_s > 0.0
         {
             let (latest, times) = lead
                 .fleet
@@ -102,7 +102,8 @@
     /// How long the type of machine that boots soonest takes, of those that a job may use.
     pub(super) fn soonest_boot(&self, spec: &JobSpec) -> f64 {
         let ok = |t: &&MachineType| {
-            spec.types.as_ref().is_none_or(|names| names.contains(&t.name)) && spec.need().fits(t.supply())
+            spec.machine_types.as_ref().is_none_or(|names| names.contains(&t.name))
+                && spec.need().fits(t.supply())
         };
         self.types.values().filter(ok).map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -98,7 +98,7 @@
                     .is_some_and(|m| m.notice || m.tasks.get(t).is_some_and(|t| t.stop.is_some()))
             });
             if stopped {
-                let grace = job.spec.save() + Micros::from_secs(1);
+                let grace = job.spec.save_time() + Micros::from_secs(1);
                 stops.extend(tasks.into_iter().map(|(m, t)| (m.clone(), t, grace)));
             }
         }
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -10,7 +10,7 @@
 use crate::coordination::finals::Source;
 use crate::coordination::knowledge::Liveness;
 use crate::coordination::{Answer, Controller, Missing, Phase, Purpose, Question, RequestId, Wanted};
-use crate::protocol::job::{Final, JobSpec, JobState};
+use crate::protocol::job::{FinalState, JobSpec, JobState};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::TaskState;
@@ -105,13 +105,13 @@
         };
         let need = spec.need();
         let allowed = |t: &&crate::protocol::cloud::MachineType| {
-            spec.types.as_ref().is_none_or(|names| names.contains(&t.name))
+            spec.machine_types.as_ref().is_none_or(|names| names.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         };
         if !self.types.values().filter(allowed).any(|t| need.fits(t.supply())) {
             return Some("no allowed machine type is large enough for a task");
         }
-        let together = u64::from(spec.floor());
+        let together = u64::from(spec.min_tasks());
         let over = |each: u64, limit: f64| limit > 0.0 && (each * together) as f64 > limit * 1e3 + 1e-6;
         if over(need.cpu, team.cpus_max) || over(need.gpu, team.gpus_max) {
             return Some("more than the team's limit");
@@ -279,7 +279,7 @@
     }
 
     fn withdraw(&mut self, question: Question, stamp: u64, tasks: u32) {
-        let record = FinalRecord { state: Final::Withdrawn, tasks };
+        let record = FinalRecord { state: FinalState::Withdrawn, tasks };
         let Ok(value) = serde_json::to_value(record) else {
             return self.answer(question.request, Answer::Later(1));
         };
@@ -334,7 +334,7 @@
     pub(super) fn withdraw_replied(&mut self, question: Question, tasks: u32, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => {
-                let end = FinalRecord { state: Final::Withdrawn, tasks };
+                let end = FinalRecord { state: FinalState::Withdrawn, tasks };
                 self.learned_end(&question.job, end, revision, Source::Records);
                 // Its tasks are ended wherever they are found, for no live job has them.
                 self.retire(&question.job);
--- a/src/coordination/lapses.rs
+++ b/src/coordination/lapses.rs
@@ -78,7 +78,7 @@
         others
             .map(|(member, node)| {
                 let status = self.peers.get(member)?.status.as_ref()?;
-                (status.stamp == *node).then_some(status.applied)
+                (status.registration == *node).then_some(status.applied_revision)
             })
             .try_fold(u64::MAX, |least, applied| Some(least.min(applied?)))
     }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -377,8 +377,14 @@
         let surplus = self.find_surplus(&volumes);
         let reserved = self.reserved.clone();
         self.take_volumes(&volumes, kept.clone(), reserved.clone());
-        let message =
-            PeerMessage::Volumes { leader, round, volumes, kept, reserved, surplus: surplus.clone() };
+        let message = PeerMessage::Volumes {
+            leader_registration: leader,
+            round,
+            volumes,
+            fast_start_reservations: kept,
+            gang_reservations: reserved,
+            surplus: surplus.clone(),
+        };
         self.effects.push(Effect::Send(None, message));
         self.stop_surplus(&surplus);
         if self.lead.as_ref().is_some_and(|l| l.granting) {
@@ -427,7 +433,7 @@
             for Volume { job: other, tasks: volume, .. } in volumes {
                 let Some(j) = self.jobs.get(other) else { continue };
                 let same_pool = (j.spec.gpus > 0.0) == (job.spec.gpus > 0.0);
-                let lower = j.spec.priority < job.spec.priority && j.spec.floor() == 1;
+                let lower = j.spec.priority < job.spec.priority && j.spec.min_tasks() == 1;
                 if !same_pool || !lower || lacking == 0 {
                     continue;
                 }
@@ -479,17 +485,17 @@
 
     /// Tasks of a class for which room is kept.
     pub(super) fn slots_kept(&self, spec: &JobSpec) -> usize {
-        2 * spec.floor() as usize
+        2 * spec.min_tasks() as usize
     }
 
     /// The last word of a member's present life.
     pub(super) fn word_of(&self, member: &str, node: u64) -> Option<&crate::protocol::peer::Status> {
-        self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.stamp == node)
+        self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == node)
     }
 
     /// Every registered controller has said that it has seen this revision.
     pub(super) fn everyone_applied(&self, revision: u64) -> bool {
-        let seen = |m: &str, node| self.word_of(m, node).is_some_and(|s| s.applied >= revision);
+        let seen = |m: &str, node| self.word_of(m, node).is_some_and(|s| s.applied_revision >= revision);
         self.nodes.iter().all(|(m, node)| (m == self.me() && self.applied >= revision) || seen(m, *node))
     }
 
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -439,14 +439,14 @@
         if self.lead.is_some() {
             self.heard_elsewhere(machine.to_owned(), me);
         } else if let Some((leader, ..)) = &self.leader {
-            let heard = PeerMessage::Heard { machine: machine.to_owned() };
+            let heard = PeerMessage::MisdirectedReport { machine: machine.to_owned() };
             self.effects.push(Effect::Send(Some(leader.clone()), heard));
         }
     }
 
     /// Passes on that a machine is up which no block names.
     fn report_stray(&mut self, report: Report) {
-        let stray = PeerMessage::Stray {
+        let stray = PeerMessage::UnrecordedMachine {
             machine: report.machine.clone(),
             kind: report.kind.clone(),
             zone: report.zone.clone(),
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -83,7 +83,7 @@
         let Ok(value) = serde_json::to_value(record) else { return };
         let transaction = Transaction {
             conditions: vec![Condition::new(records::LEADER, 0), self.entitlement()],
-            writes: vec![Write::leased(records::LEADER, value, lease.id)],
+            writes: vec![Write::put_with_lease(records::LEADER, value, lease.id)],
         };
         self.store(Urgency::Entitlement, Purpose::Lead, StoreCall::Commit(transaction));
     }
@@ -115,8 +115,10 @@
             refused.map(|(m, _)| m.clone()).filter(|m| self.nodes.contains_key(m) && silent(m)).collect();
         let speechless = self.nodes.iter().filter(|(member, node)| {
             // One that has just begun has much to load before its first word.
-            let heard =
-                self.peers.get(*member).filter(|p| p.status.as_ref().is_some_and(|s| s.stamp == **node));
+            let heard = self
+                .peers
+                .get(*member)
+                .filter(|p| p.status.as_ref().is_some_and(|s| s.registration == **node));
             let since = heard.map(|p| p.heard.max(self.awake_since));
             **member != self.settings.member && since.is_some_and(|at| self.now.since(at) > SPEECHLESS)
         });
@@ -184,10 +186,10 @@
             })
         };
         let agreed = |member: &String| {
-            words().all(|s| s.is_some_and(|s| s.unheard.contains(member)))
+            words().all(|s| s.is_some_and(|s| s.suspects.contains(member)))
                 && self.enough_to_judge(member, &suspects)
                 && (self.deserted().contains(member)
-                    || words().flatten().any(|s| s.deserted.contains(member)))
+                    || words().flatten().any(|s| s.deserted_controllers.contains(member)))
         };
         let pause = Micros::from_secs(30);
         let fresh = |m: &String| self.evicted.get(m).is_none_or(|(at, _)| self.now.since(*at) > pause);
@@ -214,7 +216,7 @@
         if takes_over {
             let record = LeaderRecord { member: me, node: lease.stamp };
             let Ok(value) = serde_json::to_value(record) else { return };
-            transaction.writes.push(Write::leased(records::LEADER, value, lease.id));
+            transaction.writes.push(Write::put_with_lease(records::LEADER, value, lease.id));
         }
         tracing::warn!(member, "nobody hears it, and its workers have turned away: evicted");
         self.evict_at = self.now + Micros::from_millis(800);
@@ -254,7 +256,7 @@
                 let Ok(value) = serde_json::to_value(NodeRecord { lease }) else { return };
                 let transaction = Transaction {
                     conditions: vec![Condition::new(key.clone(), 0)],
-                    writes: vec![Write::leased(key, value, lease)],
+                    writes: vec![Write::put_with_lease(key, value, lease)],
                 };
                 self.store(Urgency::Entitlement, Purpose::Register { lease }, StoreCall::Commit(transaction));
             }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -515,7 +515,7 @@
         let others = self
             .peers
             .values()
-            .any(|p| self.now.since(p.heard) < fresh && p.status.as_ref().is_some_and(|s| s.store_ok));
+            .any(|p| self.now.since(p.heard) < fresh && p.status.as_ref().is_some_and(|s| s.store_reachable));
         mine && self.now.since(self.store_heard) < fresh || !others || (self.entitled() && mine)
     }
 
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -439,7 +439,7 @@
     pub(super) fn stop_surplus(&mut self, surplus: &[(String, u32)]) {
         for (id, count) in surplus {
             let Some(job) = self.jobs.get(id).filter(|j| self.places(j)) else { continue };
-            let grace = job.spec.save() + Micros::from_secs(1);
+            let grace = job.spec.save_time() + Micros::from_secs(1);
             let mut tasks: Vec<(Micros, String, TaskId)> = Vec::new();
             for (index, places) in &job.on {
                 let task = TaskId::new(id, *index);
--- a/src/coordination/progress.rs
+++ b/src/coordination/progress.rs
@@ -4,7 +4,7 @@
 use crate::bookkeeping::records::{self, FinalRecord};
 use crate::coordination::finals::Source;
 use crate::coordination::{Controller, Purpose, rules};
-use crate::protocol::job::{Final, Shape};
+use crate::protocol::job::{FinalState, Shape};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::TaskId;
@@ -57,7 +57,7 @@
             if job.unfinished() == 0 && job.spec.shape != Shape::Service {
                 job.completing = true;
                 let tasks = job.spec.tasks;
-                let record = FinalRecord { state: Final::Done, tasks };
+                let record = FinalRecord { state: FinalState::Done, tasks };
                 let Ok(value) = serde_json::to_value(record) else { continue };
                 let transaction = Transaction {
                     conditions: vec![live, Condition::new(records::finished(&id), 0), entitlement],
@@ -93,7 +93,7 @@
     pub(super) fn complete_replied(&mut self, id: String, tasks: u32, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => {
-                let end = FinalRecord { state: Final::Done, tasks };
+                let end = FinalRecord { state: FinalState::Done, tasks };
                 self.learned_end(&id, end, revision, Source::Records);
                 // Its change may have been followed before.
                 self.retire(&id);
--- a/src/coordination/quota/grants.rs
+++ b/src/coordination/quota/grants.rs
@@ -82,8 +82,10 @@
 
     /// Every member has accounted for what it took over in the present view.
     fn all_adopted(&self) -> bool {
-        let done =
-            |m: &str, node| self.word_of(m, node).is_some_and(|s| s.adopted && s.applied >= self.view_stamp);
+        let done = |m: &str, node| {
+            self.word_of(m, node)
+                .is_some_and(|s| s.takeover_complete && s.applied_revision >= self.view_stamp)
+        };
         self.view.members.iter().all(|(m, node)| done(m, *node))
     }
 
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -10,7 +10,7 @@
 use crate::coordination::removal::Removal;
 use crate::coordination::{Controller, Phase, rules};
 use crate::protocol::job::JobSpec;
-use crate::protocol::store::{Change, Entry, Json, StoreReply};
+use crate::protocol::store::{Change, Entry, RawJson, StoreReply};
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::TaskId;
 
@@ -158,14 +158,14 @@
         self.unreadable.iter().any(|key| key.starts_with(records::BLOCKS))
     }
 
-    fn put(&mut self, key: &str, value: &Json, stamp: u64) {
+    fn put(&mut self, key: &str, value: &RawJson, stamp: u64) {
         if !self.unreadable.is_empty() {
             self.unreadable.remove(key);
         }
         if let Some(job) = key.strip_prefix(records::LIVE) {
             // A peer's word that it is over may have come before the change that accepted it.
             if !self.jobs.contains_key(job) && self.finals.get(job).is_none() {
-                let spec = match value.read::<JobSpec>() {
+                let spec = match value.parse::<JobSpec>() {
                     Ok(spec) => spec,
                     Err(problem) => return self.not_understood(key, &problem),
                 };
@@ -197,7 +197,7 @@
             let Ok(chunk) = chunk.parse::<usize>() else { return };
             self.done_keys.entry(job.to_owned()).or_default().insert(chunk, stamp);
             if let Some(j) = self.jobs.get_mut(job) {
-                j.merge(chunk, &value.read().unwrap_or_default());
+                j.merge(chunk, &value.parse().unwrap_or_default());
             }
         } else if let Some(member) = key.strip_prefix(records::NODE) {
             // A list's later pages show registrations that the changes read after it lead up to once more.
@@ -217,7 +217,7 @@
                 Err(problem) => self.not_understood(key, &problem),
             }
         } else if let Some(request) = key.strip_prefix(records::RENTAL) {
-            if let Ok(rental) = value.read() {
+            if let Ok(rental) = value.parse() {
                 self.rentals.insert(request.to_owned(), (rental, stamp));
             }
             // Its record had no answer and was given up, and has been carried out after all: each next leader would
@@ -230,20 +230,20 @@
         } else if let Some(member) = key.strip_prefix(records::UNINFORMED) {
             self.uninformed_by(member, value, stamp);
         } else if key == records::LEADER {
-            if let Ok(l) = value.read::<LeaderRecord>() {
+            if let Ok(l) = value.parse::<LeaderRecord>() {
                 self.leader = Some((l.member, l.node, stamp));
                 self.leadership_changed();
             }
         } else if key == records::VIEW {
-            if let Ok(view) = value.read() {
+            if let Ok(view) = value.parse() {
                 self.view = view;
                 self.view_stamp = stamp;
                 self.view_changed();
             }
         } else if key == records::COUNTER {
-            self.counter = (value.read().unwrap_or(0), stamp);
+            self.counter = (value.parse().unwrap_or(0), stamp);
         } else if key == records::QUOTA
-            && let Ok(quota) = value.read()
+            && let Ok(quota) = value.parse()
         {
             self.quota = (quota, stamp);
             self.check_shares();
--- a/src/coordination/simulation.rs
+++ b/src/coordination/simulation.rs
@@ -68,9 +68,9 @@
 use crate::protocol::cloud::{
     CloudCall, CloudReply, ListedMachine, ListedState, MachineList, MachineType, Rental,
 };
-use crate::protocol::job::{Final, JobSpec, JobState, Priority, Shape};
+use crate::protocol::job::{FinalState, JobSpec, JobState, Priority, Shape};
 use crate::protocol::peer::PeerMessage;
-use crate::protocol::store::{Change, Entry, News, Page, StoreCall, StoreReply, Transaction, Write};
+use crate::protocol::store::{Change, ChangeBatch, Entry, Page, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::{
     Cause, DirectOrders, DirectReply, Order, Report, ReportAnswer, ReportedTask, TaskId, TaskState,
--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_lives.rs
@@ -89,8 +89,12 @@
         let open = asker.adopting();
         let words = asker.machines.values().map(|m| asker.word(m)).collect();
         let former = asker.life().1 - 1;
-        let late =
-            PeerMessage::Testimony { stamp: witness.1, asker: former, question: u64::MAX, machines: words };
+        let late = PeerMessage::Testimony {
+            registration: witness.1,
+            requester_registration: former,
+            query: u64::MAX,
+            machines: words,
+        };
         // Asked once, so that answers count.
         world.controllers[back].as_mut().unwrap().inquiry.record_query(Micros::ZERO);
         world.tell(back, Event::Peer(witness.0, late));
--- a/src/coordination/simulation/idle.rs
+++ b/src/coordination/simulation/idle.rs
@@ -138,7 +138,7 @@
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
         for (name, room) in room {
             let Some(w) = self.workers.get(name) else { continue };
-            let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&w.kind))
+            let allowed = spec.machine_types.as_ref().is_none_or(|t| t.contains(&w.kind))
                 && spec.zone.as_ref().is_none_or(|z| *z == w.zone)
                 && (spec.spot || !w.spot)
                 && (!spec.one_zone || there.is_empty() || there.contains_key(w.zone.as_str()));
@@ -297,8 +297,15 @@
 
 fn waiting(shape: Shape, tasks: u32, team: &str) -> JobSpec {
     let mut world = World::new(6, Trouble::default());
-    let job =
-        JobSpec { shape, tasks, cpus: 4.0, gpus: 0.0, memory_gb: 1.0, types: None, ..world.random_job(1) };
+    let job = JobSpec {
+        shape,
+        tasks,
+        cpus: 4.0,
+        gpus: 0.0,
+        memory_gb: 1.0,
+        machine_types: None,
+        ..world.random_job(1)
+    };
     JobSpec { zone: None, one_zone: false, spread: false, spot: false, team: team.into(), ..job }
 }
 
@@ -367,7 +374,9 @@
     let array = waiting(Shape::Array, 30, "green");
     let apart = JobSpec { spread: true, ..waiting(Shape::Gang, 4, "green") };
     assert!(left_waiting(apart, |_, _, _| {}) > 0, "room in one zone only");
-    assert!(left_waiting(JobSpec { types: Some(vec!["c16".into()]), ..array.clone() }, |_, _, _| {}) > 0);
+    assert!(
+        left_waiting(JobSpec { machine_types: Some(vec!["c16".into()]), ..array.clone() }, |_, _, _| {}) > 0
+    );
     assert!(left_waiting(JobSpec { zone: Some("west".into()), ..array.clone() }, |_, _, _| {}) > 0);
     let faulty = |world: &mut World, name: &str, _| world.workers.get_mut(name).unwrap().faulty = true;
     assert!(left_waiting(array.clone(), faulty) > 0);
--- a/src/coordination/simulation/late_statuses.rs
+++ b/src/coordination/simulation/late_statuses.rs
@@ -69,7 +69,7 @@
     let confirming = world.controllers[by].as_ref().unwrap();
     let peer = confirming.peers.get(&world.settings[of].member);
     let heard = peer.and_then(|p| p.status.as_ref());
-    heard.is_some_and(|status| status.sequence == sequence && status.confirm)
+    heard.is_some_and(|status| status.sequence == sequence && status.needs_confirmation)
 }
 
 /// The recorder answers the asker's request for everything, and the asker takes that in. The other controller has confirmed
@@ -79,7 +79,11 @@
     let from = world.settings[recorder].member.clone();
     for by in [asker, other] {
         let stamp = world.controllers[by].as_ref().unwrap().life().1;
-        let seen = PeerMessage::Seen { stamp, asker: status.stamp, sequence: status.sequence };
+        let seen = PeerMessage::StatusConfirmation {
+            registration: stamp,
+            requester_registration: status.registration,
+            sequence: status.sequence,
+        };
         world.tell(recorder, Event::Peer(world.settings[by].member.clone(), seen));
     }
     world.tell(asker, Event::Peer(from, PeerMessage::Status(status)));
--- a/src/coordination/simulation/limits.rs
+++ b/src/coordination/simulation/limits.rs
@@ -40,7 +40,7 @@
         (w.cut_until, w.hung_until, w.deaf_until) = (Micros::MAX, Micros::MAX, Micros::MAX);
         let now = w.renewed + lease;
         world.now = now;
-        world.jobs.values_mut().for_each(|w| w.told_final = Some((Final::Withdrawn, now)));
+        world.jobs.values_mut().for_each(|w| w.told_final = Some((FinalState::Withdrawn, now)));
     };
     too_many(hung).check();
 }
@@ -92,7 +92,14 @@
             let team = ["blue", "green", "red"][n as usize % 3];
             let job = JobSpec { team: team.into(), shape: Shape::Array, ..world.random_job(n) };
             let gpus = f64::from(n / 3 % 2);
-            world.submit(JobSpec { tasks: 20, cpus: 2.0 - gpus, gpus, zone: None, types: None, ..job });
+            world.submit(JobSpec {
+                tasks: 20,
+                cpus: 2.0 - gpus,
+                gpus,
+                zone: None,
+                machine_types: None,
+                ..job
+            });
             world.run(world.now + Micros::from_secs(3));
             let share = world.trouble.withdrawn;
             if world.odds(share) {
--- a/src/coordination/simulation/looks.rs
+++ b/src/coordination/simulation/looks.rs
@@ -74,14 +74,14 @@
 }
 
 /// A world in which one job is accepted and over, as its user has heard.
-fn over(state: Final) -> (World, String) {
+fn over(state: FinalState) -> (World, String) {
     let mut world = World::new(1, Trouble::default());
     let job = JobSpec { shape: Shape::Array, tasks: 1, gpus: 0.0, zone: None, ..world.random_job(1) };
     let id = job.id.clone();
     world.submit(JobSpec { team: "green".into(), ..job });
     world.run(Micros::from_secs(6));
     assert!(world.jobs[&id].told_accepted);
-    world.jobs.get_mut(&id).unwrap().wants_withdrawal = state == Final::Withdrawn;
+    world.jobs.get_mut(&id).unwrap().wants_withdrawal = state == FinalState::Withdrawn;
     world.run(Micros::from_secs(90));
     assert_eq!(world.jobs[&id].told_final.unwrap().0, state);
     (world, id)
@@ -89,7 +89,7 @@
 
 /// Has an answer come to the user, of which request and answer are so many milliseconds older or younger than what it
 /// has heard; the fault it is judged to be, if any.
-fn judged(answer: fn(&str) -> Answer, state: Final, sent: i64, given: i64, arrivals: bool) -> String {
+fn judged(answer: fn(&str) -> Answer, state: FinalState, sent: i64, given: i64, arrivals: bool) -> String {
     let (mut world, id) = over(state);
     world.judges_arrivals = arrivals;
     let wish = world.jobs.get_mut(&id).unwrap();
@@ -113,25 +113,25 @@
 #[test]
 fn answers_older_than_what_was_heard_are_faults_without_tolerance() {
     let live = |id: &str| told(id, JobState::Running);
-    let done = |id: &str| told(id, JobState::Final(Final::Done));
-    let withdrawn = |id: &str| told(id, JobState::Final(Final::Withdrawn));
+    let done = |id: &str| told(id, JobState::Final(FinalState::Done));
+    let withdrawn = |id: &str| told(id, JobState::Final(FinalState::Withdrawn));
     let (unknown, never) = (|_: &str| Answer::NotFound, |_: &str| Answer::Impossible("never"));
     for (fault, what) in [
-        (judged(live, Final::Withdrawn, 0, 1, false), "went_back: j-000001 is live again: "),
-        (judged(live, Final::Done, 5, 6, false), "went_back: j-000001 is live again: "),
-        (judged(live, Final::Done, -5, 1, true), "went_back: j-000001 is live again, overlapping: "),
-        (judged(done, Final::Withdrawn, -5, -1, false), "assertion `left == right` failed: went_back: "),
-        (judged(withdrawn, Final::Done, -5, -1, false), "assertion `left == right` failed: went_back: "),
-        (judged(unknown, Final::Done, 5, 6, false), "forgotten: j-000001: asked"),
-        (judged(never, Final::Done, 5, 6, false), "forgotten: j-000001: never"),
+        (judged(live, FinalState::Withdrawn, 0, 1, false), "went_back: j-000001 is live again: "),
+        (judged(live, FinalState::Done, 5, 6, false), "went_back: j-000001 is live again: "),
+        (judged(live, FinalState::Done, -5, 1, true), "went_back: j-000001 is live again, overlapping: "),
+        (judged(done, FinalState::Withdrawn, -5, -1, false), "assertion `left == right` failed: went_back: "),
+        (judged(withdrawn, FinalState::Done, -5, -1, false), "assertion `left == right` failed: went_back: "),
+        (judged(unknown, FinalState::Done, 5, 6, false), "forgotten: j-000001: asked"),
+        (judged(never, FinalState::Done, 5, 6, false), "forgotten: j-000001: never"),
     ] {
         assert!(fault.starts_with(what), "{fault:?} is not {what:?}");
     }
     for (fault, why) in [
-        (judged(live, Final::Done, -5, -1, true), "given before it was heard"),
-        (judged(live, Final::Done, -5, 1, false), "both were on their way"),
-        (judged(done, Final::Done, 5, 6, true), "the same end"),
-        (judged(|_| Answer::Later(1), Final::Done, 5, 6, true), "no answer"),
+        (judged(live, FinalState::Done, -5, -1, true), "given before it was heard"),
+        (judged(live, FinalState::Done, -5, 1, false), "both were on their way"),
+        (judged(done, FinalState::Done, 5, 6, true), "the same end"),
+        (judged(|_| Answer::Later(1), FinalState::Done, 5, 6, true), "no answer"),
     ] {
         assert_eq!(fault, "", "{why}");
     }
@@ -141,9 +141,9 @@
 #[test]
 #[should_panic(expected = "invented")]
 fn an_answer_about_a_job_that_nobody_submitted_is_a_fault() {
-    let (mut world, _) = over(Final::Done);
+    let (mut world, _) = over(FinalState::Done);
     let asking = Asking { job: "j-900001".into(), withdraw: true, sent: world.now };
-    world.user_answered(asking, told("j-900001", JobState::Final(Final::Withdrawn)), 0, world.now);
+    world.user_answered(asking, told("j-900001", JobState::Final(FinalState::Withdrawn)), 0, world.now);
 }
 
 /// Guards users who ask everywhere within milliseconds of what they first hear, repeat it and call some jobs off,
--- a/src/coordination/simulation/measure.rs
+++ b/src/coordination/simulation/measure.rs
@@ -43,7 +43,7 @@
     for n in 0..(machines / 4) as u32 {
         let job =
             JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, spread: false, ..world.random_job(n) };
-        let job = JobSpec { team: "green".into(), one_zone: false, types: None, ..job };
+        let job = JobSpec { team: "green".into(), one_zone: false, machine_types: None, ..job };
         world.submit(JobSpec { tasks: 100, cpus: 2.0, memory_gb: 2.0, ..job });
     }
     world.run(Micros::from_secs(40));
--- a/src/coordination/simulation/meetings.rs
+++ b/src/coordination/simulation/meetings.rs
@@ -27,7 +27,8 @@
     }
     world.run(world.now + length);
     world.passed_over = None;
-    let told = |w: &&Wish| w.told_final.is_some_and(|(f, _)| f == Final::Withdrawn) && w.told_by != leader;
+    let told =
+        |w: &&Wish| w.told_final.is_some_and(|(f, _)| f == FinalState::Withdrawn) && w.told_by != leader;
     (world.store.withdrawn.len(), world.jobs.values().filter(told).count())
 }
 
@@ -115,7 +116,7 @@
         },
     ];
     assert!(mine <= after);
-    let news = StoreReply::News(News { revision: after + 2, changes });
+    let news = StoreReply::News(ChangeBatch { revision: after + 2, changes });
     let c = world.controllers[node].as_mut().unwrap();
     c.followed(c.now, news);
     assert_eq!((c.jobs.len(), c.applied), (0, 0), "changes of no life are kept");
--- a/src/coordination/simulation/meetings_jobs.rs
+++ b/src/coordination/simulation/meetings_jobs.rs
@@ -96,7 +96,7 @@
         let tasks = world.rng.random_range(1..=of.size);
         let spec = array(world, n, tasks);
         let shape = if of.size > 1 && n % 5 == 0 { Shape::Gang } else { Shape::Array };
-        let spec = JobSpec { shape, zone: None, estimate_s: 4.0, ..spec };
+        let spec = JobSpec { shape, zone: None, estimated_task_s: 4.0, ..spec };
         if n % 4 == 1 {
             let at = world.now + Micros(world.rng.random_range(0..5 * S));
             leaving.push((at, spec.id.clone()));
@@ -137,7 +137,8 @@
     let over = world.jobs.values().filter(|w| w.told_final.is_some()).count();
     let finals = world.store.keys.keys().filter(|key| key.starts_with(records::FINISHED)).count();
     assert_eq!(finals, over, "one final state a job");
-    let withdrawn = world.jobs.values().filter(|w| w.told_final.is_some_and(|f| f.0 == Final::Withdrawn));
+    let withdrawn =
+        world.jobs.values().filter(|w| w.told_final.is_some_and(|f| f.0 == FinalState::Withdrawn));
     let withdrawn = withdrawn.count();
     assert!(withdrawn > over / 10, "only {withdrawn} of {over} were withdrawn");
     world
@@ -265,8 +266,8 @@
             assert_eq!(recorded, 1, "seed {seed}: {id} has {recorded} records of its end");
             let tasks = wish.spec.as_ref().unwrap().tasks as usize;
             match wish.told_final.unwrap().0 {
-                Final::Withdrawn => withdrawn += u32::from(wish.tasks_done.len() == tasks),
-                Final::Done => done += u32::from(wish.wants_withdrawal),
+                FinalState::Withdrawn => withdrawn += u32::from(wish.tasks_done.len() == tasks),
+                FinalState::Done => done += u32::from(wish.wants_withdrawal),
             }
         }
         again += world.met.repeated_finals;
@@ -289,7 +290,7 @@
     t.writes.iter().any(|w| matches!(w, Write::Delete { key } if key.starts_with(prefix)))
 }
 
-fn ends(t: &Transaction, state: Final) -> bool {
+fn ends(t: &Transaction, state: FinalState) -> bool {
     let record = |w: &Write| match w {
         Write::Put { key, value, .. } if key.starts_with(records::FINISHED) => {
             serde_json::from_value::<records::FinalRecord>(value.clone()).ok()
@@ -304,8 +305,8 @@
 /// Every kind of transaction, told by what it writes.
 const KINDS: [Kind; 14] = [
     ("acceptance", |t| puts(t, records::LIVE)),
-    ("withdrawal", |t| ends(t, Final::Withdrawn)),
-    ("completion", |t| ends(t, Final::Done)),
+    ("withdrawal", |t| ends(t, FinalState::Withdrawn)),
+    ("completion", |t| ends(t, FinalState::Done)),
     ("progress", |t| puts(t, records::DONE)),
     ("grant", |t| puts(t, records::BLOCKS) && !puts(t, records::VIEW)),
     ("view", |t| puts(t, records::VIEW)),
--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -327,7 +327,8 @@
 /// Tasks of jobs whose withdrawal has been confirmed, on machines that are cut off or hang.
 fn left_out_of_reach(world: &World) -> usize {
     let unreachable = |w: &&Worker| !w.dead && (w.cut_until > world.now || w.hung_until > world.now);
-    let withdrawn = |id: &TaskId| world.jobs[&id.job].told_final.is_some_and(|(f, _)| f == Final::Withdrawn);
+    let withdrawn =
+        |id: &TaskId| world.jobs[&id.job].told_final.is_some_and(|(f, _)| f == FinalState::Withdrawn);
     let machines = world.workers.values().filter(unreachable);
     machines.flat_map(|w| &w.tasks).filter(|(id, t)| withdrawn(id) && t.is_here()).count()
 }
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -135,7 +135,7 @@
         // What was on its way before has been answered.
         c.lead.as_mut().unwrap().granting = false;
         assert!(c.grant(moves, vec![row.clone(), row.clone()], BTreeSet::new(), None));
-        let calls = c.handle(clock, Event::Peer(String::new(), PeerMessage::Again));
+        let calls = c.handle(clock, Event::Peer(String::new(), PeerMessage::ResyncRequest));
         let mut commits = calls.into_iter().filter_map(|e| match e {
             Effect::Store(id, StoreCall::Commit(t)) => Some((id, t)),
             _ => None,
@@ -488,7 +488,7 @@
     };
     let changes =
         vec![put(stamp - 2), Change::Delete { key: records::node(&member), stamp: stamp - 1 }, put(stamp)];
-    c.followed(c.now, StoreReply::News(News { revision: c.applied + 1, changes }));
+    c.followed(c.now, StoreReply::News(ChangeBatch { revision: c.applied + 1, changes }));
     assert_eq!(c.nodes.get(&member), Some(&stamp));
     c.ledger.message_received(&life, u64::MAX - 1, false, c.applied);
     assert!(!c.ledger.is_fully_known(&name, &me), "nothing can be missed of a life that is taken for ended");
--- a/src/coordination/simulation/network.rs
+++ b/src/coordination/simulation/network.rs
@@ -25,7 +25,7 @@
     /// Counts a confirmation of a status that this process has never sent.
     pub(super) fn note_unasked(&mut self, node: usize, event: &Event) {
         let sent = self.controllers[node].as_ref().map_or(u64::MAX, |c| c.status_sequence);
-        if let Event::Peer(_, PeerMessage::Seen { sequence, .. }) = event {
+        if let Event::Peer(_, PeerMessage::StatusConfirmation { sequence, .. }) = event {
             self.met.unasked_confirmations += u32::from(*sequence > sent);
         }
     }
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -191,7 +191,7 @@
     world.befalls(apart, Micros::MAX);
     take_out(world, |what| {
         let Happening::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
-        *node == from && matches!(message, PeerMessage::Again)
+        *node == from && matches!(message, PeerMessage::ResyncRequest)
     });
 }
 
--- a/src/coordination/simulation/odd.rs
+++ b/src/coordination/simulation/odd.rs
@@ -17,7 +17,7 @@
                 self.ask_of_one(node, Look::Submits, unfinished);
             }
             1 => {
-                let done = |w: &Wish| w.told_final.is_some_and(|(state, _)| state == Final::Done);
+                let done = |w: &Wish| w.told_final.is_some_and(|(state, _)| state == FinalState::Done);
                 self.ask_of_one(node, Look::Withdraws, done);
             }
             2 => {
@@ -44,7 +44,7 @@
         let mut job = self.random_job(number);
         match self.rng.random_range(0..5) {
             0 => job.cpus = 1_000.0,
-            1 => job.types = Some(vec!["none".into()]),
+            1 => job.machine_types = Some(vec!["none".into()]),
             2 => job.zone = Some("north".into()),
             3 => job.team = "nobody".into(),
             // More together than its team may use.
--- a/src/coordination/simulation/outages.rs
+++ b/src/coordination/simulation/outages.rs
@@ -14,7 +14,7 @@
     for n in 0..40 {
         let job =
             JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, spread: false, ..world.random_job(n) };
-        let job = JobSpec { team: "green".into(), one_zone: false, types: None, ..job };
+        let job = JobSpec { team: "green".into(), one_zone: false, machine_types: None, ..job };
         world.submit(JobSpec { tasks: 12, cpus: 1.0, memory_gb: 1.0, ..job });
     }
     world.run(Micros::from_secs(20));
--- a/src/coordination/simulation/overload.rs
+++ b/src/coordination/simulation/overload.rs
@@ -13,7 +13,7 @@
         cpus: 1.0,
         memory_gb: 1.0,
         one_zone: false,
-        types: None,
+        machine_types: None,
         ..job
     }
 }
--- a/src/coordination/simulation/rules.rs
+++ b/src/coordination/simulation/rules.rs
@@ -33,7 +33,10 @@
         let w = &self.workers[name];
         let new = self.begun.insert((name.to_owned(), w.session, id.clone(), w.tasks[id].attempt));
         self.met.begun_again += u32::from(!new);
-        assert!(spec.types.as_ref().is_none_or(|t| t.contains(&w.kind)), "wrong_place: type of {id:?}");
+        assert!(
+            spec.machine_types.as_ref().is_none_or(|t| t.contains(&w.kind)),
+            "wrong_place: type of {id:?}"
+        );
         assert!(spec.zone.as_ref().is_none_or(|z| *z == w.zone), "wrong_place: zone of {id:?}");
         assert!(spec.spot || !w.spot, "wrong_place: {id:?} on a spot machine");
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
@@ -47,7 +50,7 @@
         let most = spec.tasks.div_ceil(2);
         assert!(!spec.spread || zones.values().all(|n| *n <= most), "wrong_place: {id:?} not apart");
         let (wish, ordered) = (&self.jobs[&id.job], w.tasks[id].ordered);
-        if let Some((Final::Withdrawn, at)) = wish.told_final {
+        if let Some((FinalState::Withdrawn, at)) = wish.told_final {
             assert!(self.now.since(at) < self.withdrawn_within().1, "ran_cancelled: {id:?}");
         }
         // No start after a confirmed withdrawal, but for those whose command was under way by then.
@@ -134,7 +137,7 @@
         let (mut outlived, mut confirmed) = (Micros::ZERO, Micros::ZERO);
         let most = self.withdrawn_within();
         for (id, task) in self.holding().flat_map(|w| &w.tasks).filter(|(_, t)| t.is_here()) {
-            if let Some((Final::Withdrawn, at)) = self.jobs.get(&id.job).and_then(|j| j.told_final) {
+            if let Some((FinalState::Withdrawn, at)) = self.jobs.get(&id.job).and_then(|j| j.told_final) {
                 let since = self.now.since(at);
                 confirmed = confirmed.max(since);
                 // A start that was under way then has renewed nothing, but its machine's lease may have been since.
--- a/src/coordination/simulation/second_starts.rs
+++ b/src/coordination/simulation/second_starts.rs
@@ -104,12 +104,12 @@
         let from = holder.me().to_owned();
         let status = holder.peers.values().find_map(|p| p.status.clone()).unwrap();
         let status = crate::protocol::peer::Status {
-            stamp: holder.life().1,
+            registration: holder.life().1,
             sequence: holder.status_sequence + 1,
             machines: vec![word],
-            over: Vec::new(),
+            ended_jobs: Vec::new(),
             tallies: Vec::new(),
-            stops: Vec::new(),
+            stop_requests: Vec::new(),
             ..status
         };
         let c = world.controllers[n].as_ref().unwrap();
--- a/src/coordination/simulation/services.rs
+++ b/src/coordination/simulation/services.rs
@@ -17,7 +17,7 @@
         one_zone: false,
         spread: true,
         spot: false,
-        estimate_s: 0.0,
+        estimated_task_s: 0.0,
         ..job
     }
 }
--- a/src/coordination/simulation/start_orders.rs
+++ b/src/coordination/simulation/start_orders.rs
@@ -11,12 +11,12 @@
 pub(super) fn whole_status(world: &mut World, from: usize, to: usize) -> Status {
     let (clock, asker) = (world.clock(from), world.settings[to].member.clone());
     let controller = world.controllers[from].as_mut().unwrap();
-    let effects = controller.handle(clock, Event::Peer(asker.clone(), PeerMessage::Again));
+    let effects = controller.handle(clock, Event::Peer(asker.clone(), PeerMessage::ResyncRequest));
     let mut whole = None;
     let mut others = Vec::new();
     for effect in effects {
         match effect {
-            Effect::Send(Some(named), PeerMessage::Status(status)) if named == asker && status.whole => {
+            Effect::Send(Some(named), PeerMessage::Status(status)) if named == asker && status.full => {
                 whole = Some(status);
             }
             other => others.push(other),
@@ -120,7 +120,7 @@
             said.extend(under_way(&world, owner, heir));
         }
         let old = said.pop().expect("nothing was said of the first tasks");
-        assert!(!old.whole, "seed {seed}");
+        assert!(!old.full, "seed {seed}");
         let begun = begun(&mut world, owner, heir);
         assert_eq!(forgotten(&world, heir, &begun), 0, "seed {seed}: it was not told of them");
         arrives(&mut world, owner, heir, &old);
@@ -208,7 +208,7 @@
         let lost = lose_statuses(&mut world, owner, heir, |w| has_given_away(w, owner, &machine));
         let whole = |w: &World| {
             let said = &w.controllers[heir].as_ref().unwrap().peers[&w.settings[owner].member].status;
-            said.as_ref().is_some_and(|status| status.whole)
+            said.as_ref().is_some_and(|status| status.full)
         };
         assert!(
             until(&mut world, Micros::from_secs(2), whole),
--- a/src/coordination/simulation/store.rs
+++ b/src/coordination/simulation/store.rs
@@ -124,7 +124,7 @@
                 StoreReply::Renewed
             }
             StoreCall::Follow { prefix, after, .. } => {
-                StoreReply::News(News { revision: self.revision, changes: self.news(prefix, *after) })
+                StoreReply::News(ChangeBatch { revision: self.revision, changes: self.news(prefix, *after) })
             }
         }
     }
--- a/src/coordination/simulation/takeovers.rs
+++ b/src/coordination/simulation/takeovers.rs
@@ -6,7 +6,15 @@
 /// An array of small tasks that any ordinary machine takes.
 pub(super) fn array(world: &mut World, n: u32, tasks: u32) -> JobSpec {
     let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, spread: false, ..world.random_job(n) };
-    JobSpec { tasks, cpus: 1.0, memory_gb: 1.0, team: "green".into(), one_zone: false, types: None, ..job }
+    JobSpec {
+        tasks,
+        cpus: 1.0,
+        memory_gb: 1.0,
+        team: "green".into(),
+        one_zone: false,
+        machine_types: None,
+        ..job
+    }
 }
 
 /// Numbers of jobs that the first member owns, and the second once the first has gone.
@@ -31,7 +39,7 @@
     let ids: Vec<u32> = passing(["n-0", "n-1", "n-2"]).take(3).collect();
     for n in &ids {
         let spec = array(&mut world, *n, 30);
-        world.submit(JobSpec { estimate_s: 60.0, ..spec });
+        world.submit(JobSpec { estimated_task_s: 60.0, ..spec });
     }
     world.run(Micros::from_secs(16));
     let c = world.controllers[0].as_ref().unwrap();
--- a/src/coordination/simulation/users.rs
+++ b/src/coordination/simulation/users.rs
@@ -8,7 +8,7 @@
     pub(super) told_accepted: bool,
     /// When it was first told that the job is accepted.
     pub(super) accepted: Micros,
-    pub(super) told_final: Option<(Final, Micros)>,
+    pub(super) told_final: Option<(FinalState, Micros)>,
     pub(super) wants_withdrawal: bool,
     /// When the first answer that confirmed its withdrawal left its controller.
     pub(super) confirmed: Option<Micros>,
@@ -135,7 +135,7 @@
         let Some(wish) = self.jobs.get_mut(id) else { return };
         match state {
             JobState::Final(f) => {
-                if f == Final::Done {
+                if f == FinalState::Done {
                     let all = wish.spec.as_ref().map_or(0, |s| s.tasks as usize);
                     assert_eq!(wish.tasks_done.len(), all, "not_done: {id}");
                 } else {
@@ -201,12 +201,12 @@
             memory_gb: 4.0,
             image: format!("img-{}", self.rng.random_range(0..4)),
             image_gb: 1.0,
-            types: None,
+            machine_types: None,
             zone: self.rng.random_bool(0.1).then(|| "west".into()),
             one_zone,
             spread: !one_zone && self.rng.random_bool(0.2),
             spot: self.rng.random_bool(0.6),
-            estimate_s: 10.0,
+            estimated_task_s: 10.0,
             checkpoint_s: 5.0,
             save_s: 2.0,
             deadline_s: None,
--- a/src/coordination/simulation/withdrawals.rs
+++ b/src/coordination/simulation/withdrawals.rs
@@ -17,7 +17,7 @@
     let told = Answer::Job {
         created: false,
         id: id.job.clone(),
-        state: JobState::Final(Final::Withdrawn),
+        state: JobState::Final(FinalState::Withdrawn),
         done: 0,
         running: 0,
     };
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -11,7 +11,7 @@
 use crate::coordination::{Controller, Effect, Purpose};
 use crate::protocol::job::JobSpec;
 use crate::protocol::peer::{MachineStatus, PeerMessage};
-use crate::protocol::store::{Condition, Json, StoreCall, StoreReply, Transaction, Write};
+use crate::protocol::store::{Condition, RawJson, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::{Cause, TaskId};
 
@@ -100,17 +100,19 @@
         let Some(question) = self.inquiry.next_target(self.now) else { return };
         let view = self.view_stamp;
         let status = |member: &String, node: u64| {
-            self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.stamp == node)
+            self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == node)
         };
         let others = || self.nodes.iter().filter(|(member, _)| **member != self.settings.member);
-        if !others().all(|(member, node)| status(member, *node).is_some_and(|s| s.cleared >= view)) {
+        if !others()
+            .all(|(member, node)| status(member, *node).is_some_and(|s| s.confirmed_before_view >= view))
+        {
             return;
         }
         let witnesses: Vec<Option<String>> = match question {
             QueryTarget::All => vec![None],
             // One that takes nothing over has been there before; if all do, any may know something.
             QueryTarget::One => others()
-                .max_by_key(|(member, node)| status(member, **node).is_some_and(|s| s.adopted))
+                .max_by_key(|(member, node)| status(member, **node).is_some_and(|s| s.takeover_complete))
                 .map(|(member, _)| Some(member.clone()))
                 .into_iter()
                 .collect(),
@@ -119,7 +121,8 @@
         let stamp = self.life().1;
         tracing::debug!(question, to = ?witnesses, open = self.unresolved.len(), "asking for testimony");
         for to in witnesses {
-            self.effects.push(Effect::Send(to, PeerMessage::Witness { stamp, question }));
+            self.effects
+                .push(Effect::Send(to, PeerMessage::WitnessQuery { registration: stamp, query: question }));
         }
     }
 
@@ -138,7 +141,12 @@
         let open = self.machines.iter().filter(|(_, m)| !(m.unused() || m.resolved && self.holds(m)));
         let known = open.filter(|(name, _)| self.ledger.is_fully_known_except_from(name, &me, &asker));
         let machines = known.map(|(_, m)| self.word(m)).collect();
-        let testimony = PeerMessage::Testimony { stamp: me.1, asker: asker.1, question, machines };
+        let testimony = PeerMessage::Testimony {
+            registration: me.1,
+            requester_registration: asker.1,
+            query: question,
+            machines,
+        };
         self.effects.push(Effect::Send(Some(asker.0), testimony));
     }
 
@@ -209,8 +217,8 @@
     }
 
     /// A controller says in the records whom it does not wait for.
-    pub(super) fn uninformed_by(&mut self, member: &str, value: &Json, stamp: u64) {
-        let Ok(record) = value.read::<UninformedRecord>() else {
+    pub(super) fn uninformed_by(&mut self, member: &str, value: &RawJson, stamp: u64) {
+        let Ok(record) = value.parse::<UninformedRecord>() else {
             // What cannot be read may name this controller.
             if let Some(node) = self.nodes.get(member) {
                 self.ledger.set_uninformed(&(member.to_owned(), *node), true);
--- a/src/coordination/volume_plan.rs
+++ b/src/coordination/volume_plan.rs
@@ -147,7 +147,8 @@
         let mut sizes: HashMap<_, (f64, f64)> = HashMap::new();
         let size = |spec: &JobSpec| {
             let need = spec.need();
-            let key = (need.cpu, need.gpu, need.memory, spec.spot, spec.types.clone(), spec.zone.clone());
+            let key =
+                (need.cpu, need.gpu, need.memory, spec.spot, spec.machine_types.clone(), spec.zone.clone());
             *sizes.entry(key).or_insert_with(|| {
                 let size = slot_size(spec, &sorts);
                 let fit = supply.sorts.iter().filter(|(m, _)| allows(spec, m));
@@ -209,8 +210,8 @@
                 started_tasks: job.started(),
                 task_size: size,
                 usable_supply: usable,
-                estimated_task_s: spec.estimate_s,
-                due_s: pool::nearest_reachable_deadline(due, spec.estimate_s),
+                estimated_task_s: spec.estimated_task_s,
+                due_s: pool::nearest_reachable_deadline(due, spec.estimated_task_s),
                 missed_starts: self.starts_missed(job).0,
             }
         }
@@ -238,7 +239,7 @@
             .filter(|o| o.kind == "finished" && o.class.as_deref() == Some(job.spec.class.as_str()));
         let age = self.now.since(job.since).as_secs_f64();
         let mut due = job.spec.deadline_s.into_iter().chain(aims.filter_map(|o| o.within_s));
-        if due.any(|within| within - age > job.spec.estimate_s * 0.6) {
+        if due.any(|within| within - age > job.spec.estimated_task_s * 0.6) {
             URGENT * (1.0 + SMALL / f64::from(job.unfinished().max(1)).sqrt())
         } else {
             1.0
--- a/src/coordination/words.rs
+++ b/src/coordination/words.rs
@@ -55,7 +55,14 @@
         let (machines, tallies) = self.changed_words(regular);
         let over = if whole { self.all_ends() } else { self.ends_to_tell(regular) };
         let confirm = self.mark_announced() || self.announcements.has_unconfirmed() || self.ends_owed();
-        let status = Status { whole, confirm, machines, tallies, over, ..self.bare_status() };
+        let status = Status {
+            full: whole,
+            needs_confirmation: confirm,
+            machines,
+            tallies,
+            ended_jobs: over,
+            ..self.bare_status()
+        };
         if self.lead.is_some() {
             let own = self.settings.member.clone();
             let status = Some(Status { machines: Vec::new(), tallies: Vec::new(), ..status.clone() });
@@ -74,7 +81,7 @@
             held.map(|m| Tally { machine: m.row.machine.clone(), session: m.session, tally: m.tally });
         let tallies = tallies.collect();
         let over = self.all_ends_for_one();
-        let status = Status { whole: true, machines, tallies, over, ..self.bare_status() };
+        let status = Status { full: true, machines, tallies, ended_jobs: over, ..self.bare_status() };
         self.effects.push(Effect::Send(Some(to), PeerMessage::Status(status)));
     }
 
@@ -140,11 +147,11 @@
         };
         word.token == m.row.token
             && word.resolved == m.resolved
-            && word.renew == m.renew
+            && word.token_renewal_needed == m.renew
             && word.up == m.up
-            && word.apart == m.apart
-            && word.notice == m.notice
-            && word.lost == m.lost
+            && word.quarantined == m.apart
+            && word.preemption_notice == m.notice
+            && word.unresponsive == m.lost
             && word.tasks.len() == m.tasks.len()
             && word.silent_since == self.unheard_since(m)
             && word.idle_since == Self::idle_since(m)
@@ -163,12 +170,12 @@
             machine: m.row.machine.clone(),
             token: m.row.token,
             resolved: m.resolved,
-            renew: m.renew,
+            token_renewal_needed: m.renew,
             addr: m.addr.clone(),
             up: m.up,
-            apart: m.apart,
-            notice: m.notice,
-            lost: m.lost,
+            quarantined: m.apart,
+            preemption_notice: m.notice,
+            unresponsive: m.lost,
             idle_since: Self::idle_since(m),
             silent_since: self.unheard_since(m),
             tasks: tasks.collect(),
@@ -179,23 +186,23 @@
     fn bare_status(&mut self) -> Status {
         Status {
             sequence: self.status_sequence,
-            single: self.statuses_to_single,
-            whole: false,
-            confirm: false,
-            cleared: self.cleared(),
+            unicast_statuses: self.statuses_to_single,
+            full: false,
+            needs_confirmation: false,
+            confirmed_before_view: self.cleared(),
             clock: self.now,
-            applied: self.applied,
-            stamp: self.lease.as_ref().map_or(0, |l| l.stamp),
-            store_ok: self.now.since(self.store_heard) < Micros::from_secs(2),
-            adopted: !self.taking_over && self.in_view(),
+            applied_revision: self.applied,
+            registration: self.lease.as_ref().map_or(0, |l| l.stamp),
+            store_reachable: self.now.since(self.store_heard) < Micros::from_secs(2),
+            takeover_complete: !self.taking_over && self.in_view(),
             usage: self.usage(),
             usage_exact: self.usage_is_exact(),
             machines: Vec::new(),
             tallies: Vec::new(),
-            stops: self.foreign_stops(),
-            over: Vec::new(),
-            unheard: self.suspects(),
-            deserted: self.deserted(),
+            stop_requests: self.foreign_stops(),
+            ended_jobs: Vec::new(),
+            suspects: self.suspects(),
+            deserted_controllers: self.deserted(),
         }
     }
 
@@ -203,44 +210,55 @@
         if self.phase != Phase::Active {
             return;
         }
-        if message.meant_for().is_some_and(|registration| registration != self.life().1) {
+        if message.target_registration().is_some_and(|registration| registration != self.life().1) {
             self.counters.replies_misdirected += 1;
             return;
         }
         match message {
             PeerMessage::Status(status) => self.peer_status(from, status),
-            PeerMessage::Again => self.tell_all(from),
-            PeerMessage::Witness { stamp, question } => self.testify((from, stamp), question),
-            PeerMessage::Testimony { stamp, question, machines, .. } => {
+            PeerMessage::ResyncRequest => self.tell_all(from),
+            PeerMessage::WitnessQuery { registration: stamp, query: question } => {
+                self.testify((from, stamp), question)
+            }
+            PeerMessage::Testimony { registration: stamp, query: question, machines, .. } => {
                 self.testified(&from, stamp, question, &machines);
             }
-            PeerMessage::Seen { stamp, sequence, .. } => {
+            PeerMessage::StatusConfirmation { registration: stamp, sequence, .. } => {
                 self.status_heard((from.clone(), stamp), sequence);
                 self.confirmed((from, stamp), sequence);
             }
-            PeerMessage::Door(word) => self.door_said(&from, word),
-            PeerMessage::Plan(plan) => self.plan_said(&plan),
-            PeerMessage::Volumes { leader, volumes, kept, reserved, surplus, .. } => {
+            PeerMessage::LoadReport(word) => self.door_said(&from, word),
+            PeerMessage::RatePlan(plan) => self.plan_said(&plan),
+            PeerMessage::Volumes {
+                leader_registration: leader,
+                volumes,
+                fast_start_reservations: kept,
+                gang_reservations: reserved,
+                surplus,
+                ..
+            } => {
                 if self.leader.as_ref().is_some_and(|l| l.0 == from && l.2 == leader) {
                     self.take_volumes(&volumes, kept, reserved);
                     self.stop_surplus(&surplus);
                 }
             }
             PeerMessage::Addresses(list) => self.take_addresses(&list),
-            PeerMessage::Heard { machine } => self.heard_elsewhere(machine, from),
-            PeerMessage::Stray { machine, kind, zone, spot } => self.stray(machine, kind, zone, spot),
+            PeerMessage::MisdirectedReport { machine } => self.heard_elsewhere(machine, from),
+            PeerMessage::UnrecordedMachine { machine, kind, zone, spot } => {
+                self.stray(machine, kind, zone, spot)
+            }
         }
     }
 
     fn peer_status(&mut self, from: String, mut status: Status) {
         // Words of a former life, or of a life this controller has not heard of yet, count for nothing.
-        let over = std::mem::take(&mut status.over);
+        let over = std::mem::take(&mut status.ended_jobs);
         // What is over holds whoever says so.
         over.iter().for_each(|ended| self.told_end(ended));
-        if self.nodes.get(&from) != Some(&status.stamp) {
+        if self.nodes.get(&from) != Some(&status.registration) {
             return;
         }
-        let life = (from.clone(), status.stamp);
+        let life = (from.clone(), status.registration);
         if !self.ledger.is_newest(&life, status.position()) {
             self.counters.statuses_outdated += 1;
             return;
@@ -253,16 +271,16 @@
             here(&mut word.silent_since);
         }
         let tallies = std::mem::take(&mut status.tallies);
-        let stops = std::mem::take(&mut status.stops);
+        let stops = std::mem::take(&mut status.stop_requests);
         // What is in no record that the sender had read has left them since, and is spoken of no more.
-        let read = status.applied <= self.applied && !self.blind();
+        let read = status.applied_revision <= self.applied && !self.blind();
         words.retain(|word| !read || self.machines.contains_key(&word.machine));
         let told = !words.is_empty();
         let peer = self.peers.entry(from.clone()).or_default();
-        let before = peer.status.as_ref().filter(|s| s.stamp == status.stamp);
+        let before = peer.status.as_ref().filter(|s| s.registration == status.registration);
         if before.is_none() {
             peer.words.clear();
-        } else if status.whole {
+        } else if status.full {
             // A word under a grant that has not been read here is all that is known of what this controller has confirmed
             // there: the sender may have given the machine away since.
             let machines = &self.machines;
@@ -271,15 +289,20 @@
             };
             peer.words.retain(|_, word| unread(word));
         }
-        let hearing = self.ledger.message_received(&life, status.sequence, status.whole, status.applied);
+        let hearing =
+            self.ledger.message_received(&life, status.sequence, status.full, status.applied_revision);
         let reply = match hearing {
-            SequenceCheck::Contiguous if status.confirm || status.whole => {
+            SequenceCheck::Contiguous if status.needs_confirmation || status.full => {
                 let stamp = self.lease.as_ref().map_or(0, |l| l.stamp);
-                Some(PeerMessage::Seen { stamp, asker: status.stamp, sequence: status.sequence })
+                Some(PeerMessage::StatusConfirmation {
+                    registration: stamp,
+                    requester_registration: status.registration,
+                    sequence: status.sequence,
+                })
             }
             SequenceCheck::Gap if now.since(peer.asked_again) >= ASK_SPACING => {
                 peer.asked_again = now;
-                Some(PeerMessage::Again)
+                Some(PeerMessage::ResyncRequest)
             }
             _ => None,
         };
@@ -315,8 +338,8 @@
             return 0;
         };
         let word = peer.words.get(&machine.row.machine).filter(|w| w.token == machine.row.token);
-        let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.node && word.is_some());
-        status.map_or(0, |s| s.applied)
+        let status = peer.status.as_ref().filter(|s| s.registration == machine.row.node && word.is_some());
+        status.map_or(0, |s| s.applied_revision)
     }
 
     /// What the owner of a machine said of it before its grant was known here.
@@ -374,14 +397,14 @@
         if let Some(machine) = self.machines.get_mut(&told.machine) {
             machine.resolved = told.resolved;
             machine.known |= told.resolved;
-            machine.renew = told.renew;
+            machine.renew = told.token_renewal_needed;
             if !told.addr.is_empty() {
                 machine.addr = told.addr.clone();
             }
             machine.up = told.up;
-            machine.apart = told.apart;
-            machine.notice = told.notice;
-            machine.lost = told.lost;
+            machine.apart = told.quarantined;
+            machine.notice = told.preemption_notice;
+            machine.lost = told.unresponsive;
             machine.silent_since = told.silent_since;
             machine.idle_since = told.idle_since.unwrap_or(self.now);
         }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! What travels between marblewalk and its surroundings, and between its controllers.
+//! Messages exchanged with users, workers, the cloud and the state service, and between controllers.
 
 pub mod cloud;
 pub mod job;
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,119 +1,134 @@
-//! What controllers tell each other, as `bitcode` frames.
+//! Messages between controllers, encoded with `bitcode`. The encoding is positional: the order of fields and variants is
+//! part of the wire format.
 
 use bitcode::{Decode, Encode};
 use marblewalk_admission::pool::Turn;
 use marblewalk_admission::rate_plan::{LoadReport, RatePlan};
 use marblewalk_recovery::MessagePosition;
 
-use super::job::Final;
+use super::job::FinalState;
 use super::units::Micros;
 use super::worker::{Cause, TaskId, TaskState};
 
+/// A task on a machine as the machine's owner knows it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct TaskStatus {
     pub task: TaskId,
+    /// Number of the start, which tells this attempt from other starts of the task.
     pub attempt: u64,
     pub state: TaskState,
+    /// Why the task ended, if it did and the reason is known.
     pub cause: Option<Cause>,
 }
 
-/// A machine as its owner knows it.
+/// A machine as its owner, the controller that it is granted to, knows it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct MachineStatus {
     pub machine: String,
-    /// The grant under which this was learned.
+    /// Token of the grant under which this state was learned.
     pub token: u64,
-    /// The list of tasks is complete: nothing older can still change it.
+    /// The list of tasks is complete: no earlier order or owner can still change it.
     pub resolved: bool,
-    /// A fresh token is wanted: an order sent directly may still arrive.
-    pub renew: bool,
+    /// The machine needs a new fencing token, because an order that was sent to it directly may still arrive.
+    pub token_renewal_needed: bool,
+    /// Address for direct orders; empty if it is not known.
     pub addr: String,
     pub up: bool,
-    pub apart: bool,
-    pub notice: bool,
-    /// It neither reports nor answers.
-    pub lost: bool,
-    /// Since when nothing runs here, on the sender's clock.
+    /// No tasks are started on the machine, because tasks fail there that run elsewhere, or because it receives no answers.
+    pub quarantined: bool,
+    /// The cloud has given notice that it will take the machine back.
+    pub preemption_notice: bool,
+    /// The machine neither sends reports nor answers direct calls.
+    pub unresponsive: bool,
+    /// Since when the machine has no tasks, on the sender's clock.
     pub idle_since: Option<Micros>,
-    /// When it was last heard, on the sender's clock, if that is longer ago than a report may be late.
+    /// Time of the machine's last message, on the sender's clock, if that is longer ago than the longest regular gap
+    /// between reports.
     pub silent_since: Option<Micros>,
     pub tasks: Vec<TaskStatus>,
 }
 
+/// A request to stop a task on a machine that the receiver owns.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct StopRequest {
     pub machine: String,
     pub task: TaskId,
     pub attempt: u64,
+    /// Time that the task gets for saving its state.
     pub grace_ms: u64,
 }
 
-/// A job that is over, by the state service's records.
+/// A job that has ended according to the records in the state service.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Ended {
+pub struct EndedJob {
     pub job: String,
-    pub state: Final,
-    /// How many tasks it had.
+    pub state: FinalState,
+    /// Total number of tasks of the job.
     pub tasks: u32,
-    /// The revision that recorded it.
+    /// Revision of the state service at which the end was recorded.
     pub revision: u64,
 }
 
-/// How far a worker's messages have been read.
+/// Position of the last message of a worker that the machine's owner has processed.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Tally {
     pub machine: String,
     pub session: u64,
+    /// Number of that message within the session.
     pub tally: u64,
 }
 
-/// The regular message from one controller to all others. Of machines it says what has changed since
-/// the message before it: whoever has missed one asks for all.
+/// The status message that a controller regularly sends to all others.
+///
+/// It normally contains only the machines whose state has changed since the previous status. A controller that has missed
+/// one sends a [`PeerMessage::ResyncRequest`] and receives a full status.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Status {
-    /// Counts the sender's statuses to all, in its present life.
+    /// Number of this broadcast status among those of the sender's present registration.
     pub sequence: u64,
-    /// How many statuses to single controllers have followed the last one to all: those have its number too.
-    pub single: u32,
-    /// `machines` holds all of the sender's.
-    pub whole: bool,
-    /// It announces starts that wait for the receiver's confirmation.
-    pub confirm: bool,
-    /// The view before which the sender announced nothing that is not confirmed; 0: something may be.
-    pub cleared: u64,
-    /// The sender's clock, for the instants in `machines`.
+    /// How many statuses the sender has sent to single controllers since that broadcast. Such a status repeats the number
+    /// of the last broadcast.
+    pub unicast_statuses: u32,
+    /// `machines` contains all machines of the sender, not only the changed ones.
+    pub full: bool,
+    /// The status announces starts or withdrawals that wait for the receiver's confirmation.
+    pub needs_confirmation: bool,
+    /// Revision of the sender's present view if every announcement before that view is confirmed, or known to be missing
+    /// by the controllers that have not confirmed it; otherwise 0.
+    pub confirmed_before_view: u64,
+    /// The sender's clock when the status was made: the receiver converts the times in `machines` with it.
     pub clock: Micros,
-    /// Revision up to which the sender has applied the store's changes.
-    pub applied: u64,
-    /// The sender's registration, which is also its entitlement.
-    pub stamp: u64,
-    /// The sender reached the store a moment ago.
-    pub store_ok: bool,
-    /// All that the sender took over is accounted for.
-    pub adopted: bool,
-    /// Per limited team: processors and accelerators in use by the sender's jobs.
+    /// Revision of the state service up to which the sender has applied changes.
+    pub applied_revision: u64,
+    /// Revision of the sender's registration record.
+    pub registration: u64,
+    /// The state service has answered the sender within the last two seconds.
+    pub store_reachable: bool,
+    /// The sender is in the view, and no takeover of jobs is in progress there.
+    pub takeover_complete: bool,
+    /// Processors and accelerators in use by the sender's jobs, for each team with a quota.
     pub usage: Vec<(String, u64, u64)>,
-    /// That is what runs or may yet be started, and nothing is counted for what only may be somewhere.
+    /// `usage` counts only tasks that run or may still be started, and none that are merely not known to have ended.
     pub usage_exact: bool,
     pub machines: Vec<MachineStatus>,
     pub tallies: Vec<Tally>,
-    pub stops: Vec<StopRequest>,
-    /// Jobs that the sender has recorded as over, or found to be.
-    pub over: Vec<Ended>,
-    /// Controllers that refuse the sender's connections and have fallen silent.
-    pub unheard: Vec<String>,
-    /// Controllers whose workers have turned to the sender.
-    pub deserted: Vec<String>,
+    pub stop_requests: Vec<StopRequest>,
+    /// Jobs whose end the sender has recorded or found recorded.
+    pub ended_jobs: Vec<EndedJob>,
+    /// Controllers that the sender suspects to have ended, because they refuse its connections or send no messages.
+    pub suspects: Vec<String>,
+    /// Controllers whose workers have started to report to the sender instead.
+    pub deserted_controllers: Vec<String>,
 }
 
 impl Status {
-    /// Its place among all statuses that the sender has made under its registration.
+    /// Position in the order in which the sender made its statuses under this registration.
     pub fn position(&self) -> MessagePosition {
-        MessagePosition { broadcast: self.sequence, unicast: self.single }
+        MessagePosition { broadcast: self.sequence, unicast: self.unicast_statuses }
     }
 }
 
-/// How many tasks an admitted job may have at a time, and when its turn comes.
+/// How many tasks an admitted job may have at a time, and when it may start them relative to other jobs.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Volume {
     pub job: String,
@@ -121,59 +136,66 @@
     pub turn: Turn,
 }
 
+/// A message from one controller to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum PeerMessage {
     Status(Status),
-    /// The sender wants to hear of all the receiver's machines: it has missed a status.
-    Again,
-    /// The sender, under this registration, takes jobs over: what does the receiver know of machines that are not known
-    /// in full?
-    Witness {
-        stamp: u64,
-        question: u64,
+    /// Asks the receiver for a full status, because the sender has missed one.
+    ResyncRequest,
+    /// Asks a witness, during a takeover of jobs, which tasks may be on machines that the sender does not know in full.
+    WitnessQuery {
+        /// Registration of the sender.
+        registration: u64,
+        /// Number of the query.
+        query: u64,
     },
-    /// Machines, whoever holds them, of which the sender, under this registration, knows all that may be
-    /// there though their holders do not say so yet.
+    /// The answer to a `WitnessQuery`: machines of which the sender knows every task that may be there, though their
+    /// owners have not reported them in full.
     Testimony {
-        stamp: u64,
-        /// The registration that asked.
-        asker: u64,
-        question: u64,
+        /// Registration of the sender.
+        registration: u64,
+        /// Registration under which the query was sent.
+        requester_registration: u64,
+        /// Number of the query.
+        query: u64,
         machines: Vec<MachineStatus>,
     },
-    /// The sender, under this registration, has taken in all statuses of the receiver's up to this number.
-    Seen {
-        stamp: u64,
-        /// The registration under which the receiver sent them.
-        asker: u64,
+    /// Confirms that the sender has applied all statuses of the receiver up to `sequence`.
+    StatusConfirmation {
+        /// Registration of the sender.
+        registration: u64,
+        /// Registration under which the receiver sent the statuses.
+        requester_registration: u64,
         sequence: u64,
     },
     /// The leader's volumes, one for each admitted job.
     Volumes {
-        leader: u64,
+        /// Registration of the leader.
+        leader_registration: u64,
+        /// Number of the leader's round.
         round: u64,
         volumes: Vec<Volume>,
-        /// Room on some machines is kept for jobs of a class that must start sooner than any machine
-        /// boots: machine and class.
-        kept: Vec<(String, String)>,
-        /// Zones in which room is held back for a gang that fits nowhere: zone, or none for all, and
-        /// job.
-        reserved: Vec<(String, String)>,
-        /// Tasks to stop of jobs above their volume, for one that has waited below its own.
+        /// Machine and job class: room on the machine is kept for jobs of a class that must start sooner than a new machine
+        /// boots.
+        fast_start_reservations: Vec<(String, String)>,
+        /// Zone and job: room in the zone, or in all zones if it is empty, is held for a gang that fits nowhere yet.
+        gang_reservations: Vec<(String, String)>,
+        /// Job and number of its tasks to stop: the job is above its volume while another waits below its own.
         surplus: Vec<(String, u32)>,
     },
-    /// What the sender is offered at its door, and what it holds of the store's limits.
-    Door(LoadReport),
-    /// The leader's parts of the limits and rates of flows.
-    Plan(RatePlan),
-    /// Where machines can be reached, as the cloud lists them.
+    /// Submissions offered to the sender, and the part of the state service's rate limits that it holds and wants.
+    LoadReport(LoadReport),
+    /// The leader's division of the rate limits, and the admitted fraction of each flow of submissions.
+    RatePlan(RatePlan),
+    /// Machines and their addresses, as the cloud lists them.
     Addresses(Vec<(String, String)>),
-    /// A machine reports to the sender, whose it is not: perhaps it cannot reach its owner.
-    Heard {
+    /// Tells the leader that a machine reports to the sender, which does not own it: the machine may be unable to reach its
+    /// owner.
+    MisdirectedReport {
         machine: String,
     },
-    /// A machine that reports but is not in any block.
-    Stray {
+    /// Tells the leader of a machine that sends reports but is in no block record.
+    UnrecordedMachine {
         machine: String,
         kind: String,
         zone: String,
@@ -182,13 +204,14 @@
 }
 
 impl PeerMessage {
-    /// The registration that a reply is meant for; none of a message that is no reply.
+    /// The registration that a reply is addressed to; `None` if the message is not a reply.
     ///
-    /// Statuses and questions are numbered within a process, and the address outlives it: a reply that is late reaches the
-    /// next process, or the next registration of the same one, which has sent other things under these numbers.
-    pub fn meant_for(&self) -> Option<u64> {
+    /// Statuses and queries are numbered within a process, while the address outlives it. A late reply may reach a later
+    /// process, or a later registration of the same process, which has used the same numbers for other messages.
+    pub fn target_registration(&self) -> Option<u64> {
         match self {
-            PeerMessage::Seen { asker, .. } | PeerMessage::Testimony { asker, .. } => Some(*asker),
+            PeerMessage::StatusConfirmation { requester_registration, .. }
+            | PeerMessage::Testimony { requester_registration, .. } => Some(*requester_registration),
             _ => None,
         }
     }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,4 +1,4 @@
-//! What workers report and what they are ordered.
+//! Reports of workers, and orders to them.
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -15,11 +15,13 @@
         TaskId { job: job.to_owned(), index }
     }
 
+    /// Parses the form `<job>/<index>`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.split_once('/')?;
         Some(TaskId { job: job.to_owned(), index: index.parse().ok()? })
     }
 
+    /// The form `<job>/<index>` that workers use.
     pub fn text(&self) -> String {
         format!("{}/{}", self.job, self.index)
     }
@@ -27,45 +29,59 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub enum TaskState {
+    /// The machine fetches the image.
     #[serde(rename = "fetching")]
     Fetching,
+    /// The task waits for the others of its gang.
     #[serde(rename = "waiting")]
     Waiting,
     #[serde(rename = "running")]
     Running,
+    /// The task saves its state before it stops.
     #[serde(rename = "saving")]
     Saving,
     #[serde(rename = "ended")]
     Ended,
 }
 
+/// Why a task ended, or why an order to start it was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 pub enum Cause {
     #[serde(rename = "done")]
     Done,
+    /// Stopped by an order.
     #[serde(rename = "stopped")]
     Stopped,
+    /// Another task of its gang ended.
     #[serde(rename = "peers")]
     Peers,
+    /// Its gang was not complete in time.
     #[serde(rename = "incomplete")]
     Alone,
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
+    /// The task did not fit into the machine's free resources.
     #[serde(rename = "full")]
     NoRoom,
+    /// Another attempt of the task was still on the machine.
     #[serde(rename = "in_use")]
     Busy,
+    /// The job or the task does not exist.
     #[serde(rename = "no_such")]
     Unknown,
-    /// A reason this version does not know: treated as a plain end.
+    /// A cause that this version does not know: the task is treated as ended for no particular reason.
     #[serde(other)]
     Other,
 }
 
+/// A task in a worker's report.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ReportedTask {
+    /// `<job>/<index>`, see [`TaskId::parse`].
     #[serde(rename = "Piece")]
     pub task: String,
+    /// Number of the start, which tells this attempt from other starts of the task.
     #[serde(rename = "Launch")]
     pub attempt: u64,
     #[serde(rename = "Status")]
@@ -74,30 +90,38 @@
     pub cause: Option<Cause>,
 }
 
+/// A worker's report on its machine and all tasks there.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Report {
     #[serde(rename = "Host")]
     pub machine: String,
+    /// The worker's address for direct orders.
     #[serde(rename = "Addr", default)]
     pub addr: String,
+    /// Name of the machine type.
     #[serde(rename = "Hull")]
     pub kind: String,
     #[serde(rename = "Berth")]
     pub zone: String,
     #[serde(rename = "Standby", default)]
     pub spot: bool,
+    /// Number of the worker's session: when its lease lapses or it restarts, it ends all tasks and begins a new session.
     #[serde(rename = "Watch")]
     pub session: u64,
+    /// Number of this message within the session, which orders reports and replies to direct orders.
     #[serde(rename = "Tally")]
     pub tally: u64,
+    /// The highest fencing token that the worker has received.
     #[serde(rename = "Helm", default)]
     pub token: u64,
+    /// Time until the cloud takes the machine back, if it has given notice.
     #[serde(rename = "WarningS", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "Pieces", default)]
     pub tasks: Vec<ReportedTask>,
 }
 
+/// An order to a worker. It applies only to the attempt that it names.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "Verb")]
 pub enum Order {
@@ -114,9 +138,11 @@
         task: String,
         #[serde(rename = "Launch")]
         attempt: u64,
+        /// Time that the task gets for saving its state.
         #[serde(rename = "LeewayS")]
         grace_s: f64,
     },
+    /// Removes an ended task from the worker's reports.
     #[serde(rename = "forget")]
     Forget {
         #[serde(rename = "Piece")]
@@ -126,7 +152,9 @@
     },
 }
 
-/// Orders sent to a worker's own address.
+/// Orders sent to a worker's own address, instead of in the answer to a report.
+///
+/// The worker rejects them if it has received a higher token or is in another session.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DirectOrders {
     #[serde(rename = "Helm")]
@@ -137,19 +165,20 @@
     pub orders: Vec<Order>,
 }
 
-/// What came of them.
+/// The outcome of direct orders.
 #[derive(Clone, Debug)]
 pub enum DirectReply {
-    /// Carried out, and how the worker stands after it.
+    /// The orders were carried out; the report shows the state after them.
     Done(Box<Report>),
-    /// Nothing was carried out: another token or session.
+    /// Nothing was carried out: the worker has a higher token or is in another session.
     Rejected(Box<Report>),
-    /// The worker was never reached.
+    /// The worker received nothing, or found the orders malformed.
     NotSent,
-    /// They may have been carried out, or may yet be.
+    /// The orders may have been carried out, or may still be.
     Unclear,
 }
 
+/// The answer to a worker's report.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ReportAnswer {
     #[serde(rename = "Helm")]
