--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client for one address, with kept-alive connections.
+//! A small HTTP/1.1 client for one address that keeps connections alive.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -10,17 +10,19 @@
 
 use crate::protocol::units::Micros;
 
-/// The largest response that is read.
-const MOST: usize = 16 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
+/// Why a request has no response.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum HttpError {
-    #[error("no connection")]
-    Unconnected,
-    #[error("no answer in time")]
+    /// The request was not sent.
+    #[error("could not connect")]
+    ConnectFailed,
+    #[error("no response in time")]
     Timeout,
-    #[error("the connection failed")]
-    Broken,
+    #[error("the request failed, or the response could not be read")]
+    ExchangeFailed,
 }
 
 #[derive(Debug)]
@@ -31,7 +33,7 @@
 
 #[derive(Clone, Debug)]
 pub struct HttpClient {
-    base: String,
+    base_url: String,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
@@ -46,39 +48,41 @@
             .pool_max_idle_per_host(2)
             .retry_canceled_requests(false)
             .build(connector);
-        HttpClient { base: format!("http://{addr}"), client }
+        HttpClient { base_url: format!("http://{addr}"), client }
     }
 
-    /// The same client for another address.
-    pub fn at(&self, addr: &str) -> Self {
-        HttpClient { base: format!("http://{addr}"), client: self.client.clone() }
+    /// A client for another address that shares the connection pool of this one.
+    pub fn with_addr(&self, addr: &str) -> Self {
+        HttpClient { base_url: format!("http://{addr}"), client: self.client.clone() }
     }
 
+    /// Sends a request and reads the response, all within `timeout`.
     pub async fn request(
         &self,
         method: &str,
         path: &str,
         body: Option<String>,
-        patience: Micros,
+        timeout: Micros,
     ) -> Result<HttpReply, HttpError> {
-        let host = self.base.trim_start_matches("http://");
+        let host = self.base_url.trim_start_matches("http://");
         let request = Request::builder()
             .method(method)
-            .uri(format!("{}{path}", self.base))
+            .uri(format!("{}{path}", self.base_url))
             .header(HOST, host)
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body.unwrap_or_default())))
-            .map_err(|_| HttpError::Broken)?;
+            .map_err(|_| HttpError::ExchangeFailed)?;
         let exchange = async {
             let response = self.client.request(request).await;
-            let response = response
-                .map_err(|e| if e.is_connect() { HttpError::Unconnected } else { HttpError::Broken })?;
+            let response = response.map_err(|e| {
+                if e.is_connect() { HttpError::ConnectFailed } else { HttpError::ExchangeFailed }
+            })?;
             let status = response.status().as_u16();
-            let body = Limited::new(response.into_body(), MOST).collect().await;
-            let body = body.map_err(|_| HttpError::Broken)?.to_bytes();
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
+            let body = body.map_err(|_| HttpError::ExchangeFailed)?.to_bytes();
             Ok(HttpReply { status, body })
         };
-        let limit = std::time::Duration::from_micros(patience.0);
+        let limit = std::time::Duration::from_micros(timeout.0);
         tokio::time::timeout(limit, exchange).await.unwrap_or(Err(HttpError::Timeout))
     }
 }
--- a/src/transport/cloud.rs
+++ b/src/transport/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud over HTTP.
+//! HTTP calls to the cloud.
 
 use serde_json::json;
 
@@ -6,9 +6,9 @@
 use crate::protocol::cloud::{CloudCall, CloudReply, MachineList, MachineNames, MachineTypes};
 use crate::protocol::units::Micros;
 
-const PATIENCE: Micros = Micros::from_secs(5);
+const CALL_TIMEOUT: Micros = Micros::from_secs(5);
 
-/// Makes one call and says what came of it.
+/// Makes one call and returns its outcome.
 pub async fn call(http: &HttpClient, call: CloudCall) -> CloudReply {
     let (method, path, body) = match &call {
         CloudCall::Types => ("GET", "/machine_types".to_owned(), None),
@@ -17,11 +17,11 @@
             ("POST", "/rentals/return".to_owned(), Some(json!({ "Hosts": machines }).to_string()))
         }
         CloudCall::List { after } => {
-            let from = if after.is_empty() { String::new() } else { format!("After={after}&") };
-            ("GET", format!("/rentals?{from}Most=500"), None)
+            let cursor = if after.is_empty() { String::new() } else { format!("After={after}&") };
+            ("GET", format!("/rentals?{cursor}Most=500"), None)
         }
     };
-    let Ok(reply) = http.request(method, &path, body, PATIENCE).await else {
+    let Ok(reply) = http.request(method, &path, body, CALL_TIMEOUT).await else {
         return CloudReply::Unclear;
     };
     let body = &reply.body[..];
@@ -36,7 +36,7 @@
         }
         (503, CloudCall::Rent(_)) if body.windows(11).any(|w| w == b"no capacity") => CloudReply::NoCapacity,
         (400, call) => {
-            tracing::error!(?call, "the cloud finds a call malformed");
+            tracing::error!(?call, "the cloud rejected a call as malformed");
             CloudReply::Rejected
         }
         _ => CloudReply::Unclear,
--- a/src/transport/links.rs
+++ b/src/transport/links.rs
@@ -1,4 +1,7 @@
-//! Links between controllers: one outgoing connection to each other member, `bitcode` in frames.
+//! Connections between controllers.
+//!
+//! Each controller opens one connection to every other one and sends its messages there. A frame is a length (`u32`, big
+//! endian) and the payload. The first frame contains the sender's name, each further one a `bitcode` message.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,45 +16,50 @@
 use crate::protocol::peer::PeerMessage;
 use crate::settings::{Member, Settings};
 
-const LARGEST: u32 = 4 << 20;
+/// Maximum size of a message.
+const MAX_FRAME_BYTES: u32 = 4 << 20;
 
-/// Outgoing side: messages wait here while a link is being made. Old ones are of no use, so the
-/// queue is short and overflow is dropped; every message is a state, not a step.
+/// Queues of messages to the other controllers.
+///
+/// Messages wait in a queue while its connection is being opened. The queues are short and messages that do not fit are
+/// dropped: every message describes a state, so old ones are of no use.
 pub struct Links {
-    out: HashMap<String, mpsc::Sender<bytes::Bytes>>,
+    queues: HashMap<String, mpsc::Sender<bytes::Bytes>>,
 }
 
 impl Links {
+    /// Starts a task for each other controller that keeps a connection to it until `stop` is cancelled.
     pub fn start(settings: &Settings, inputs: &mpsc::Sender<Input>, stop: &CancellationToken) -> Links {
-        let mut out = HashMap::new();
+        let mut queues = HashMap::new();
         for member in &settings.members {
             let (tx, rx) = mpsc::channel(16);
-            out.insert(member.member.clone(), tx);
-            let (me, to, stop) = (settings.member.clone(), member.clone(), stop.clone());
+            queues.insert(member.member.clone(), tx);
+            let (own_name, to, stop) = (settings.member.clone(), member.clone(), stop.clone());
             let inputs = inputs.clone();
             tokio::spawn(async move {
-                stop.run_until_cancelled(dial(me, to, rx, inputs)).await;
+                stop.run_until_cancelled(run_outgoing_link(own_name, to, rx, inputs)).await;
             });
         }
-        Links { out }
+        Links { queues }
     }
 
     pub fn send(&self, to: &str, message: &PeerMessage) {
-        if let Some(tx) = self.out.get(to) {
+        if let Some(tx) = self.queues.get(to) {
             let _ = tx.try_send(bitcode::encode(message).into());
         }
     }
 
     pub fn broadcast(&self, message: &PeerMessage) {
         let frame = bytes::Bytes::from(bitcode::encode(message));
-        for tx in self.out.values() {
+        for tx in self.queues.values() {
             let _ = tx.try_send(frame.clone());
         }
     }
 }
 
-async fn dial(
-    me: String,
+/// Keeps a connection to a member and sends the queued messages. Tells the controller when the member refuses connections.
+async fn run_outgoing_link(
+    own_name: String,
     to: Member,
     mut messages: mpsc::Receiver<bytes::Bytes>,
     inputs: mpsc::Sender<Input>,
@@ -59,7 +67,7 @@
     loop {
         let connected = tokio::time::timeout(Duration::from_secs(1), TcpStream::connect(&to.addr)).await;
         match connected {
-            Ok(Ok(stream)) => converse(&me, stream, &mut messages).await,
+            Ok(Ok(stream)) => send_until_closed(&own_name, stream, &mut messages).await,
             Ok(Err(e)) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
                 let _ = inputs.send(Input::Reply(Event::Refused(to.member.clone()))).await;
             }
@@ -72,30 +80,36 @@
     }
 }
 
-/// Sends messages until the link breaks or there will be no more.
-async fn converse(me: &str, mut stream: TcpStream, messages: &mut mpsc::Receiver<bytes::Bytes>) {
+/// Sends queued messages until the connection fails or the queue is closed.
+async fn send_until_closed(
+    own_name: &str,
+    mut stream: TcpStream,
+    messages: &mut mpsc::Receiver<bytes::Bytes>,
+) {
     let _ = stream.set_nodelay(true);
-    // What waited while there was no link is out of date.
+    // Messages queued while there was no connection are out of date.
     while messages.try_recv().is_ok() {}
-    let mut open = write(&mut stream, me.as_bytes()).await;
+    let mut open = write_frame(&mut stream, own_name.as_bytes()).await;
     while open {
         let Some(frame) = messages.recv().await else { return };
-        open = write(&mut stream, &frame).await;
+        open = write_frame(&mut stream, &frame).await;
     }
 }
 
-async fn write(stream: &mut TcpStream, frame: &[u8]) -> bool {
+/// Sends a frame; returns whether that succeeded.
+async fn write_frame(stream: &mut TcpStream, frame: &[u8]) -> bool {
     let mut bytes = Vec::with_capacity(frame.len() + 4);
     bytes.extend_from_slice(&(frame.len() as u32).to_be_bytes());
     bytes.extend_from_slice(frame);
-    // A cut takes packets without an error; a link that moves nothing is made anew.
+    // When the network is cut, packets are lost without an error: a connection that makes no progress is replaced.
     let sent = tokio::time::timeout(Duration::from_secs(3), stream.write_all(&bytes)).await;
     matches!(sent, Ok(Ok(())))
 }
 
-async fn read(stream: &mut TcpStream, largest: u32) -> Option<Vec<u8>> {
+/// Reads a frame; `None` if the connection failed or the frame is longer than `max_bytes`.
+async fn read_frame(stream: &mut TcpStream, max_bytes: u32) -> Option<Vec<u8>> {
     let length = stream.read_u32().await.ok()?;
-    if length > largest {
+    if length > max_bytes {
         return None;
     }
     let mut frame = vec![0; length as usize];
@@ -103,17 +117,20 @@
     Some(frame)
 }
 
-/// Incoming side. A newer link from the same member ends the older one. Newer is the one whose greeting is read last: one
-/// whose greeting was held up can still bring old messages after newer ones, so receivers compare the places of statuses.
+/// Accepts connections from other controllers and passes their messages on, until `stop` is cancelled.
+///
+/// A newer connection from a member replaces the older one. The newer one is that whose first frame was read later. A
+/// connection whose first frame was delayed can therefore deliver old messages after newer ones, so receivers compare the
+/// positions of statuses.
 pub async fn listen(
     listener: TcpListener,
     members: Vec<String>,
     inputs: mpsc::Sender<Input>,
     stop: CancellationToken,
 ) {
-    let newest: HashMap<String, watch::Sender<u64>> =
+    let latest_by_member: HashMap<String, watch::Sender<u64>> =
         members.into_iter().map(|m| (m, watch::channel(0).0)).collect();
-    let newest = std::sync::Arc::new(newest);
+    let latest_by_member = std::sync::Arc::new(latest_by_member);
     loop {
         let accepted = stop.run_until_cancelled(listener.accept()).await;
         let Some(accepted) = accepted else { return };
@@ -121,19 +138,20 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let (newest, inputs, stop) = (newest.clone(), inputs.clone(), stop.clone());
+        let (latest_by_member, inputs, stop) = (latest_by_member.clone(), inputs.clone(), stop.clone());
         tokio::spawn(async move {
-            let greeting = tokio::time::timeout(Duration::from_secs(5), read(&mut stream, 256)).await;
-            let Ok(Some(greeting)) = greeting else { return };
-            let from = String::from_utf8_lossy(&greeting).into_owned();
-            let Some(turn) = newest.get(&from) else { return };
-            let mine = *turn.borrow() + 1;
-            turn.send_replace(mine);
-            let mut turns = turn.subscribe();
-            let work = async {
-                while let Some(frame) = read(&mut stream, LARGEST).await {
+            let sender_name =
+                tokio::time::timeout(Duration::from_secs(5), read_frame(&mut stream, 256)).await;
+            let Ok(Some(sender_name)) = sender_name else { return };
+            let from = String::from_utf8_lossy(&sender_name).into_owned();
+            let Some(latest) = latest_by_member.get(&from) else { return };
+            let number = *latest.borrow() + 1;
+            latest.send_replace(number);
+            let mut replaced = latest.subscribe();
+            let receive = async {
+                while let Some(frame) = read_frame(&mut stream, MAX_FRAME_BYTES).await {
                     let Ok(message) = bitcode::decode::<PeerMessage>(&frame) else { return };
-                    if *turn.borrow() != mine
+                    if *latest.borrow() != number
                         || inputs.send(Input::Peer(from.clone(), message)).await.is_err()
                     {
                         return;
@@ -141,8 +159,10 @@
                 }
             };
             tokio::select! {
-                _ = work => {}
-                _ = turns.wait_for(|t| *t != mine) => tracing::info!(from, "a newer link takes the place of this one"),
+                _ = receive => {}
+                _ = replaced.wait_for(|latest| *latest != number) => {
+                    tracing::info!(from, "connection replaced by a newer one from the same controller")
+                }
                 _ = stop.cancelled() => {}
             }
         });
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of every kind. Nothing is decided here.
+//! Network connections and the main loop. All decisions are made by the controller in `coordination`.
 
 pub mod client;
 pub mod cloud;
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -1,4 +1,4 @@
-//! Runs a controller: carries its effects out and brings it the events.
+//! The main loop: passes events to the controller and executes the effects that it returns.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,52 +10,57 @@
 use super::client::HttpClient;
 use super::cloud;
 use super::links::{self, Links};
-use super::server::{self, Shared};
+use super::server::{self, ServerState};
 use super::workers;
-use crate::bookkeeping::client as store;
+use crate::bookkeeping::client as store_client;
 use crate::coordination::{Answer, Breach, Controller, Effect, Event, Removal, RequestId};
 use crate::protocol::peer::PeerMessage;
 use crate::protocol::units::Micros;
 use crate::settings::{Settings, Tuning};
 
-/// How often a controller is told that time has passed.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval of the tick events that drive the controller's timers.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
+/// Input of the main loop from connections and calls.
 #[derive(Debug)]
 pub enum Input {
+    /// An HTTP request, as an event, and the channel for its answer.
     Request(RequestId, Event, oneshot::Sender<Answer>),
+    /// A message from the named controller.
     Peer(String, PeerMessage),
+    /// The outcome of a call or of a connection attempt, as an event.
     Reply(Event),
 }
 
-/// What the HTTP side may know without asking the controller.
+/// State that the main loop publishes for HTTP handlers, which read it without a request to the controller.
 #[derive(Debug, Default)]
-pub struct Overview {
+pub struct PublishedState {
     pub healthy: bool,
-    pub text: String,
+    /// The metrics in text form.
+    pub metrics: String,
 }
 
-/// Runs until told to stop.
+/// Runs a controller until `stop` is cancelled.
 pub async fn run(settings: Settings, tuning: Tuning, stop: CancellationToken) -> std::io::Result<()> {
     let api = TcpListener::bind(&settings.api_addr).await?;
     let internal = TcpListener::bind(&settings.internal_addr).await?;
     let (inputs, mut incoming) = mpsc::channel(1_024);
-    let shared = Shared::new(inputs.clone());
-    // Room is left for the links and for the calls to the store and the cloud.
-    let most = settings.params.machine_limits.sockets.saturating_sub(24).max(8);
-    tokio::spawn(server::serve(api, server::router(shared.clone()), most, stop.clone()));
+    let server_state = ServerState::new(inputs.clone());
+    // 24 sockets are left for links to other controllers and for calls to the state service and the cloud.
+    let max_connections = settings.params.machine_limits.sockets.saturating_sub(24).max(8);
+    tokio::spawn(server::serve(api, server::router(server_state.clone()), max_connections, stop.clone()));
     tokio::spawn(links::listen(internal, settings.everyone(), inputs.clone(), stop.clone()));
     let links = Links::start(&settings, &inputs, &stop);
-    let state = HttpClient::new(&settings.external.state);
-    let cloud = HttpClient::new(&settings.external.cloud);
+    let store_http = HttpClient::new(&settings.external.state);
+    let cloud_http = HttpClient::new(&settings.external.cloud);
 
-    let worker = HttpClient::new("");
+    let worker_http = HttpClient::new("");
 
     let seed = rand::random();
     let mut controller = Controller::new(settings, tuning, seed);
-    let mut waiting: HashMap<RequestId, oneshot::Sender<Answer>> = HashMap::new();
+    let mut pending_answers: HashMap<RequestId, oneshot::Sender<Answer>> = HashMap::new();
     let start = Instant::now();
-    let mut ticker = tokio::time::interval(TICK);
+    let mut ticker = tokio::time::interval(TICK_INTERVAL);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut ticks = 0u64;
     loop {
@@ -65,7 +70,7 @@
             _ = ticker.tick() => Event::Tick,
             input = incoming.recv() => match input {
                 Some(Input::Request(request, event, tx)) => {
-                    waiting.insert(request, tx);
+                    pending_answers.insert(request, tx);
                     event
                 }
                 Some(Input::Peer(from, message)) => Event::Peer(from, message),
@@ -73,34 +78,34 @@
                 None => return Ok(()),
             },
         };
-        let tick = matches!(event, Event::Tick);
+        let is_tick = matches!(event, Event::Tick);
         let now = Micros(start.elapsed().as_micros() as u64);
         for effect in controller.handle(now, event) {
             match effect {
                 Effect::Answer(request, answer) => {
-                    if let Some(tx) = waiting.remove(&request) {
+                    if let Some(tx) = pending_answers.remove(&request) {
                         let _ = tx.send(answer);
                     }
                 }
                 Effect::Send(Some(to), message) => links.send(&to, &message),
                 Effect::Send(None, message) => links.broadcast(&message),
                 Effect::Orders { machine, addr, orders } => {
-                    let (http, inputs) = (worker.at(&addr), inputs.clone());
+                    let (http, inputs) = (worker_http.with_addr(&addr), inputs.clone());
                     tokio::spawn(async move {
-                        let reply = workers::send(&http, &orders).await;
+                        let reply = workers::send_orders(&http, &orders).await;
                         let event = Event::Worker { machine, token: orders.token, reply };
                         let _ = inputs.send(Input::Reply(event)).await;
                     });
                 }
                 Effect::Store(id, call) => {
-                    let (http, inputs) = (state.clone(), inputs.clone());
+                    let (http, inputs) = (store_http.clone(), inputs.clone());
                     tokio::spawn(async move {
-                        let reply = store::call(&http, call).await;
+                        let reply = store_client::call(&http, call).await;
                         let _ = inputs.send(Input::Reply(Event::Store(id, reply))).await;
                     });
                 }
                 Effect::Cloud(id, call) => {
-                    let (http, inputs) = (cloud.clone(), inputs.clone());
+                    let (http, inputs) = (cloud_http.clone(), inputs.clone());
                     tokio::spawn(async move {
                         let reply = cloud::call(&http, call).await;
                         let _ = inputs.send(Input::Reply(Event::Cloud(id, reply))).await;
@@ -108,108 +113,115 @@
                 }
             }
         }
-        if tick {
+        if is_tick {
             ticks += 1;
-            if let Ok(mut overview) = shared.overview.lock() {
-                overview.healthy = controller.healthy();
+            if let Ok(mut published) = server_state.published.lock() {
+                published.healthy = controller.healthy();
+                // Rendered once a second.
                 if ticks % 10 == 1 {
-                    overview.text = describe(&controller);
+                    published.metrics = render_metrics(&controller);
                 }
             }
+            // Every 10 seconds, drops requests that timed out or whose client has disconnected.
             if ticks.is_multiple_of(100) {
-                waiting.retain(|_, tx| !tx.is_closed());
+                pending_answers.retain(|_, tx| !tx.is_closed());
             }
         }
     }
 }
 
-/// The operators' page: one `name value` a line.
-fn describe(c: &Controller) -> String {
-    let (held, known) = c.machine_counts();
-    let n = &c.counters;
+/// Metrics in text form: one `name value` or `name{labels} value` per line.
+fn render_metrics(controller: &Controller) -> String {
+    let (machines_held, machines_known) = controller.machine_counts();
+    let counters = &controller.counters;
     let rows: [(&str, u64); 40] = [
-        ("healthy", c.healthy().into()),
-        ("entitled", c.entitled().into()),
-        ("leading", c.leading().into()),
-        ("knowledge_age_ms", c.knowledge_age().as_millis()),
-        ("machines_held", held as u64),
-        ("machines_known", known as u64),
-        ("machines_unaccounted", c.adopting() as u64),
-        ("machines_apart", c.machines_apart() as u64),
-        ("machines_deaf", c.machines_deaf() as u64),
-        ("jobs_live", c.job_count() as u64),
-        ("jobs_mistaken", c.jobs_mistaken() as u64),
-        ("store_calls_waiting", c.waiting_calls() as u64),
-        ("reports_total", n.reports),
-        ("reports_stale_total", n.reports_stale),
-        ("reports_odd_total", n.reports_odd),
-        ("placement_passes_total", n.passes),
-        ("task_starts_total", n.starts),
-        ("task_stops_total", n.stops),
-        ("task_completions_total", n.completions),
-        ("task_errors_total", n.task_errors),
-        ("machine_lapses_total", n.lapses),
-        ("jobs_accepted_total", n.accepted),
-        ("requests_deferred_total", n.deferred),
-        ("grants_total", n.grants),
-        ("grant_conflicts_total", n.grant_conflicts),
-        ("machines_rented_total", n.rentals),
-        ("rentals_refused_total", n.refusals),
-        ("machines_returned_total", n.returns),
-        ("rejoins_total", n.rejoins),
-        ("takeovers_total", n.takeovers),
-        ("takeovers_listed_total", n.takeovers_listed),
-        ("confirmations_owed", c.confirmations_owed().into()),
-        ("ends_unsettled", c.ends_unsettled() as u64),
-        ("records_unread", c.records_unread() as u64),
-        ("direct_starts_already_answered_total", n.starts_already_answered),
-        ("starts_held_back_total", n.starts_held_back),
-        ("replies_misdirected_total", n.replies_misdirected),
-        ("statuses_outdated_total", n.statuses_outdated),
-        ("store_failures_total", n.store_failures),
-        ("cloud_failures_total", n.cloud_failures),
+        ("healthy", controller.healthy().into()),
+        ("entitled", controller.entitled().into()),
+        ("leading", controller.leading().into()),
+        ("knowledge_age_ms", controller.knowledge_age().as_millis()),
+        ("machines_held", machines_held as u64),
+        ("machines_known", machines_known as u64),
+        ("machines_unaccounted", controller.adopting() as u64),
+        ("machines_apart", controller.machines_apart() as u64),
+        ("machines_deaf", controller.machines_deaf() as u64),
+        ("jobs_live", controller.job_count() as u64),
+        ("jobs_mistaken", controller.jobs_mistaken() as u64),
+        ("store_calls_waiting", controller.waiting_calls() as u64),
+        ("reports_total", counters.reports),
+        ("reports_stale_total", counters.reports_stale),
+        ("reports_odd_total", counters.reports_odd),
+        ("placement_passes_total", counters.passes),
+        ("task_starts_total", counters.starts),
+        ("task_stops_total", counters.stops),
+        ("task_completions_total", counters.completions),
+        ("task_errors_total", counters.task_errors),
+        ("machine_lapses_total", counters.lapses),
+        ("jobs_accepted_total", counters.accepted),
+        ("requests_deferred_total", counters.deferred),
+        ("grants_total", counters.grants),
+        ("grant_conflicts_total", counters.grant_conflicts),
+        ("machines_rented_total", counters.rentals),
+        ("rentals_refused_total", counters.refusals),
+        ("machines_returned_total", counters.returns),
+        ("rejoins_total", counters.rejoins),
+        ("takeovers_total", counters.takeovers),
+        ("takeovers_listed_total", counters.takeovers_listed),
+        ("confirmations_owed", controller.confirmations_owed().into()),
+        ("ends_unsettled", controller.ends_unsettled() as u64),
+        ("records_unread", controller.records_unread() as u64),
+        ("direct_starts_already_answered_total", counters.starts_already_answered),
+        ("starts_held_back_total", counters.starts_held_back),
+        ("replies_misdirected_total", counters.replies_misdirected),
+        ("statuses_outdated_total", counters.statuses_outdated),
+        ("store_failures_total", counters.store_failures),
+        ("cloud_failures_total", counters.cloud_failures),
     ];
     let mut text: String = rows.iter().map(|(name, value)| format!("marblewalk_{name} {value}\n")).collect();
-    // Names of classes are the users' own: quotes and line ends would make rows of them.
-    let name = |s: &str| s.replace(['"', '\\', '\n'], "_");
-    let (planned, appointments, flows) = c.at_the_door();
-    text += &format!("marblewalk_admission_plan_in_force {}\n", u64::from(planned));
-    text += &format!("marblewalk_admission_appointments {appointments}\n");
-    for (flow, row) in flows {
-        let labels = format!("team=\"{}\",class=\"{}\"", name(&flow.team), name(&flow.class));
-        for (what, n) in [("offered", row.offered), ("taken", row.taken), ("turned_away", row.turned_away)] {
-            text += &format!("marblewalk_submissions_{what}_total{{{labels}}} {n}\n");
+    // Users choose the names of classes: quotes, backslashes and line ends in them would break the format.
+    let escape = |s: &str| s.replace(['"', '\\', '\n'], "_");
+    let (plan_in_force, retry_slots, flows) = controller.at_the_door();
+    text += &format!("marblewalk_admission_plan_in_force {}\n", u64::from(plan_in_force));
+    text += &format!("marblewalk_admission_appointments {retry_slots}\n");
+    for (flow, flow_counters) in flows {
+        let labels = format!("team=\"{}\",class=\"{}\"", escape(&flow.team), escape(&flow.class));
+        for (outcome, count) in [
+            ("offered", flow_counters.offered),
+            ("taken", flow_counters.taken),
+            ("turned_away", flow_counters.turned_away),
+        ] {
+            text += &format!("marblewalk_submissions_{outcome}_total{{{labels}}} {count}\n");
         }
     }
-    for (reason, count) in c.jobs_waiting() {
+    for (reason, count) in controller.jobs_waiting() {
         text += &format!("marblewalk_jobs_waiting{{reason=\"{}\"}} {count}\n", reason.name());
     }
     for breach in Breach::all() {
-        let count = c.quota_breaches(breach);
+        let count = controller.quota_breaches(breach);
         text += &format!("marblewalk_quota_breaches_total{{rule=\"{}\"}} {count}\n", breach.name());
     }
     for ground in Removal::all() {
-        let count = c.removals(ground);
+        let count = controller.removals(ground);
         text += &format!("marblewalk_tasks_taken_for_gone_total{{ground=\"{}\"}} {count}\n", ground.name());
-        for (what, count) in [
-            ("contradicted", c.conclusions_contradicted(ground)),
-            ("questioned", c.conclusions_questioned(ground)),
+        for (outcome, count) in [
+            ("contradicted", controller.conclusions_contradicted(ground)),
+            ("questioned", controller.conclusions_questioned(ground)),
         ] {
-            text += &format!("marblewalk_conclusions_{what}_total{{ground=\"{}\"}} {count}\n", ground.name());
+            text +=
+                &format!("marblewalk_conclusions_{outcome}_total{{ground=\"{}\"}} {count}\n", ground.name());
         }
     }
-    text += &format!("marblewalk_conclusions_crowded_out_total {}\n", c.conclusions_crowded_out());
-    for (share, oldest) in c.pool_shares() {
+    text += &format!("marblewalk_conclusions_crowded_out_total {}\n", controller.conclusions_crowded_out());
+    for (share, oldest_wait_s) in controller.pool_shares() {
         let labels = format!(
             "team=\"{}\",class=\"{}\",rank=\"{}\"",
-            name(&share.team),
-            name(&share.class),
+            escape(&share.team),
+            escape(&share.class),
             share.rank
         );
         text += &format!("marblewalk_pool_wanted{{{labels}}} {:.1}\n", share.demand / 1e3);
         text += &format!("marblewalk_pool_share{{{labels}}} {:.1}\n", share.share / 1e3);
         text += &format!("marblewalk_pool_jobs{{{labels}}} {}\n", share.jobs);
-        text += &format!("marblewalk_pool_oldest_wait_seconds{{{labels}}} {oldest:.1}\n");
+        text += &format!("marblewalk_pool_oldest_wait_seconds{{{labels}}} {oldest_wait_s:.1}\n");
     }
     text
 }
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -101,7 +101,7 @@
         patience: Micros,
     ) -> Option<Told> {
         let sent = self.rig.now();
-        let to = self.client.at(&self.rig.nodes[node].api);
+        let to = self.client.with_addr(&self.rig.nodes[node].api);
         let reply = to.request(method, path, body, patience).await.ok()?;
         let text: Value = serde_json::from_slice(&reply.body).unwrap_or_default();
         let told = match (reply.status, text["Status"].as_str()) {
--- a/tests/soak/worker.rs
+++ b/tests/soak/worker.rs
@@ -151,7 +151,7 @@
                 (rng.random_range(1_000..10_000), rng.random_range(0..count))
             };
             tokio::time::sleep(Duration::from_millis(late)).await;
-            let to = client.at(&rig.nodes[node].api);
+            let to = client.with_addr(&rig.nodes[node].api);
             let _ = to.request("POST", "/v1/report", Some(text), Micros::from_millis(ANSWER_MS)).await;
         });
     }
@@ -159,7 +159,7 @@
         tokio::time::sleep(Duration::from_millis(ANSWER_MS)).await;
         return (next, 1_000);
     }
-    let to = client.at(&rig.nodes[due.target].api);
+    let to = client.with_addr(&rig.nodes[due.target].api);
     let patience = Micros::from_millis(ANSWER_MS);
     let Ok(reply) = to.request("POST", "/v1/report", Some(text), patience).await else {
         return (next, 1_000);
