--- a/src/protocol/job.rs
+++ b/src/protocol/job.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// A job as a user submits it. Amounts of resources and of time are per task.
+/// A job as a user submits it. Resources, run time and the time for saving state are per task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     #[serde(rename = "Uid")]
@@ -93,7 +93,6 @@
     /// Estimated run time; 0 if it is not known.
     #[serde(rename = "RuntimeS")]
     pub estimated_task_s: f64,
-    /// Interval between checkpoints.
     #[serde(rename = "MarkS")]
     pub checkpoint_s: f64,
     /// Time that a task needs for saving its state when it is stopped.
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,5 +1,5 @@
-//! Messages between controllers, encoded with `bitcode`. The encoding is positional: the order of fields and variants is
-//! part of the wire format.
+//! Messages between controllers, encoded with `bitcode`. The encoding is positional: the order of fields and variants
+//! is part of the wire format.
 
 use bitcode::{Decode, Encode};
 use marblewalk_admission::pool::Turn;
@@ -33,8 +33,10 @@
     pub token_renewal_needed: bool,
     /// Address for direct orders; empty if it is not known.
     pub addr: String,
+    /// A report or a reply of the machine has arrived under the present grant.
     pub up: bool,
-    /// No tasks are started on the machine, because tasks fail there that run elsewhere, or because it receives no answers.
+    /// No tasks are started on the machine, because jobs that run elsewhere fail there, or because it receives no
+    /// answers.
     pub quarantined: bool,
     /// The cloud has given notice that it will take the machine back.
     pub preemption_notice: bool,
@@ -80,21 +82,21 @@
 
 /// The status message that a controller regularly sends to all others.
 ///
-/// It normally contains only the machines whose state has changed since the previous status. A controller that has missed
-/// one sends a [`PeerMessage::ResyncRequest`] and receives a full status.
+/// It normally contains only the machines whose state has changed since the previous status. A controller that has
+/// missed one sends a [`PeerMessage::ResyncRequest`] and receives a full status.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Status {
-    /// Number of this broadcast status among those of the sender's present registration.
+    /// Number of the sender's last broadcast status under its present registration; that of this status if it is a
+    /// broadcast.
     pub sequence: u64,
-    /// How many statuses the sender has sent to single controllers since that broadcast. Such a status repeats the number
-    /// of the last broadcast.
+    /// How many statuses the sender has sent to single controllers since that broadcast.
     pub unicast_statuses: u32,
     /// `machines` contains all machines of the sender, not only the changed ones.
     pub full: bool,
     /// The status announces starts or withdrawals that wait for the receiver's confirmation.
     pub needs_confirmation: bool,
-    /// Revision of the sender's present view if every announcement before that view is confirmed, or known to be missing
-    /// by the controllers that have not confirmed it; otherwise 0.
+    /// Revision of the sender's present view if every announcement before that view is confirmed, or known to be
+    /// missing by the controllers that have not confirmed it; otherwise 0.
     pub confirmed_before_view: u64,
     /// The sender's clock when the status was made: the receiver converts the times in `machines` with it.
     pub clock: Micros,
@@ -175,8 +177,8 @@
         /// Number of the leader's round.
         round: u64,
         volumes: Vec<Volume>,
-        /// Machine and job class: room on the machine is kept for jobs of a class that must start sooner than a new machine
-        /// boots.
+        /// Machine and job class: room on the machine is kept for jobs of a class that must start sooner than a new
+        /// machine boots.
         fast_start_reservations: Vec<(String, String)>,
         /// Zone and job: room in the zone, or in all zones if it is empty, is held for a gang that fits nowhere yet.
         gang_reservations: Vec<(String, String)>,
@@ -189,8 +191,8 @@
     RatePlan(RatePlan),
     /// Machines and their addresses, as the cloud lists them.
     Addresses(Vec<(String, String)>),
-    /// Tells the leader that a machine reports to the sender, which does not own it: the machine may be unable to reach its
-    /// owner.
+    /// Tells the leader that a machine reports to the sender, which does not own it: the machine may be unable to reach
+    /// its owner.
     MisdirectedReport {
         machine: String,
     },
@@ -206,8 +208,8 @@
 impl PeerMessage {
     /// The registration that a reply is addressed to; `None` if the message is not a reply.
     ///
-    /// Statuses and queries are numbered within a process, while the address outlives it. A late reply may reach a later
-    /// process, or a later registration of the same process, which has used the same numbers for other messages.
+    /// Statuses and queries are numbered within a process, while the address outlives it. A late reply may reach a
+    /// later process, or a later registration of the same process, which has used the same numbers for other messages.
     pub fn target_registration(&self) -> Option<u64> {
         match self {
             PeerMessage::StatusConfirmation { requester_registration, .. }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,7 +1,7 @@
 //! Calls to the state service and its replies.
 //!
-//! The state service keeps keys with JSON values. Each transaction has a revision; the `stamp` of a key is the revision at
-//! which it was last written.
+//! The state service keeps keys with JSON values. Each transaction has a revision; the `stamp` of a key is the revision
+//! at which it was last written.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -55,7 +55,7 @@
     pub revision: u64,
 }
 
-/// A condition of a transaction: the key was last written at revision `stamp`.
+/// A condition of a transaction: the key was last written at revision `stamp`, or does not exist if that is 0.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     #[serde(rename = "Path")]
@@ -199,6 +199,7 @@
 /// The outcome of a call to the state service.
 #[derive(Clone, Debug)]
 pub enum StoreReply {
+    /// The value of a key and the revision at which it was last written.
     Found {
         value: Value,
         stamp: u64,
@@ -218,6 +219,7 @@
     },
     /// The lease was renewed or released.
     Renewed,
+    /// The changes under the watched prefix; none if there were no changes in time.
     News(ChangeBatch),
     /// The state service no longer keeps the changes after the requested revision.
     TooOld,
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -70,7 +70,7 @@
     /// The job or the task does not exist.
     #[serde(rename = "no_such")]
     Unknown,
-    /// A cause that this version does not know: the task is treated as ended for no particular reason.
+    /// A cause that this version does not know: the task counts as ended, neither completed nor failed.
     #[serde(other)]
     Other,
 }
@@ -105,10 +105,11 @@
     pub zone: String,
     #[serde(rename = "Standby", default)]
     pub spot: bool,
-    /// Number of the worker's session: when its lease lapses or it restarts, it ends all tasks and begins a new session.
+    /// Number of the worker's session: when its lease lapses or it restarts, it ends all tasks and begins a new
+    /// session.
     #[serde(rename = "Watch")]
     pub session: u64,
-    /// Number of this message within the session, which orders reports and replies to direct orders.
+    /// Number of this message. It increases within a session and orders reports and replies to direct orders.
     #[serde(rename = "Tally")]
     pub tally: u64,
     /// The highest fencing token that the worker has received.
--- a/src/transport/links.rs
+++ b/src/transport/links.rs
@@ -1,7 +1,7 @@
 //! Connections between controllers.
 //!
-//! Each controller opens one connection to every other one and sends its messages there. A frame is a length (`u32`, big
-//! endian) and the payload. The first frame contains the sender's name, each further one a `bitcode` message.
+//! Each controller opens one connection to every other one and sends its messages there. A frame is a length (`u32`,
+//! big endian) and the payload. The first frame contains the sender's name, each further one a `bitcode` message.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -43,12 +43,14 @@
         Links { queues }
     }
 
+    /// Queues a message for one controller.
     pub fn send(&self, to: &str, message: &PeerMessage) {
         if let Some(tx) = self.queues.get(to) {
             let _ = tx.try_send(bitcode::encode(message).into());
         }
     }
 
+    /// Queues a message for all other controllers.
     pub fn broadcast(&self, message: &PeerMessage) {
         let frame = bytes::Bytes::from(bitcode::encode(message));
         for tx in self.queues.values() {
@@ -57,7 +59,8 @@
     }
 }
 
-/// Keeps a connection to a member and sends the queued messages. Tells the controller when the member refuses connections.
+/// Keeps a connection to a member and sends the queued messages. Tells the controller when the member refuses
+/// connections.
 async fn run_outgoing_link(
     own_name: String,
     to: Member,
@@ -120,8 +123,8 @@
 /// Accepts connections from other controllers and passes their messages on, until `stop` is cancelled.
 ///
 /// A newer connection from a member replaces the older one. The newer one is that whose first frame was read later. A
-/// connection whose first frame was delayed can therefore deliver old messages after newer ones, so receivers compare the
-/// positions of statuses.
+/// connection whose first frame was delayed can therefore deliver old messages after newer ones, so receivers compare
+/// the positions of statuses.
 pub async fn listen(
     listener: TcpListener,
     members: Vec<String>,
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -54,6 +54,7 @@
     let store_http = HttpClient::new(&settings.external.state);
     let cloud_http = HttpClient::new(&settings.external.cloud);
 
+    // Each call sets the address of its worker.
     let worker_http = HttpClient::new("");
 
     let seed = rand::random();
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -57,8 +57,8 @@
         })
     }
 
-    /// Passes a request to the controller and waits for the answer. Defers the request if too many of its kind are pending,
-    /// the controller's input queue is full, or there is no answer in time.
+    /// Passes a request to the controller and waits for the answer. Defers the request if too many of its kind are
+    /// pending, the controller's input queue is full, or there is no answer in time.
     async fn call_controller(
         &self,
         pending: &Semaphore,
