--- a/src/bookkeeping/cache.rs
+++ b/src/bookkeeping/cache.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::protocol::job::Final;
+use crate::protocol::job::FinalState;
 
 /// Final states and numbers of tasks by job id. When it is full, the oldest entry is dropped.
 #[derive(Debug)]
 pub struct FinalStateCache {
     capacity: usize,
-    states: HashMap<String, (Final, u32)>,
+    states: HashMap<String, (FinalState, u32)>,
     insertion_order: VecDeque<String>,
 }
 
@@ -26,11 +26,11 @@
         self.states.len() >= self.capacity
     }
 
-    pub fn get(&self, job: &str) -> Option<(Final, u32)> {
+    pub fn get(&self, job: &str) -> Option<(FinalState, u32)> {
         self.states.get(job).copied()
     }
 
-    pub fn insert(&mut self, job: &str, state: Final, tasks: u32) {
+    pub fn insert(&mut self, job: &str, state: FinalState, tasks: u32) {
         if self.states.insert(job.to_owned(), (state, tasks)).is_none() {
             self.insertion_order.push_back(job.to_owned());
             if self.insertion_order.len() > self.capacity
@@ -50,10 +50,10 @@
     fn the_cache_is_bounded_and_drops_the_oldest() {
         let mut cache = FinalStateCache::new(3);
         for i in 0..10 {
-            cache.insert(&format!("j-{i}"), Final::Done, 1);
+            cache.insert(&format!("j-{i}"), FinalState::Done, 1);
         }
         assert_eq!(cache.get("j-6"), None);
-        assert_eq!(cache.get("j-7"), Some((Final::Done, 1)));
+        assert_eq!(cache.get("j-7"), Some((FinalState::Done, 1)));
         assert_eq!(cache.states.len(), cache.insertion_order.len());
     }
 }
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::protocol::job::Final;
+use crate::protocol::job::FinalState;
 
 /// Prefix of all keys that controllers watch.
 pub const WATCHED_PREFIX: &str = "c/";
@@ -132,7 +132,7 @@
 /// The final state of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    pub state: Final,
+    pub state: FinalState,
     /// Number of tasks of the job.
     pub tasks: u32,
 }
--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -104,7 +104,7 @@
             if let Some(planner) = planner {
                 planner.record_report(self.now, &self.settings.member, report.clone());
             }
-            self.effects.push(Effect::Send(None, PeerMessage::Door(report)));
+            self.effects.push(Effect::Send(None, PeerMessage::LoadReport(report)));
         }
         if self.leader_state.as_ref().is_some_and(|l| self.now >= l.plan_at) && self.entitled() {
             self.publish_rate_plan();
@@ -135,7 +135,7 @@
         lead.plan_at = self.now + PLAN_INTERVAL;
         let Some(planner) = &mut lead.planner else { return };
         let plan = planner.next_plan(self.now, &members, submissions);
-        self.effects.push(Effect::Send(None, PeerMessage::Plan(plan.clone())));
+        self.effects.push(Effect::Send(None, PeerMessage::RatePlan(plan.clone())));
         self.handle_rate_plan(&plan);
     }
 
--- a/src/coordination/eligibility.rs
+++ b/src/coordination/eligibility.rs
@@ -47,7 +47,7 @@
     /// paid for anyway.
     pub(super) fn excludes(self, spec: &JobSpec, machine: &Machine, room: Resources) -> bool {
         let unrestricted = self.overdue || self.is_spare(machine);
-        if spec.gpus > 0.0 || machine.supply.gpu == 0 || spec.types.is_some() || unrestricted {
+        if spec.gpus > 0.0 || machine.supply.gpu == 0 || spec.machine_types.is_some() || unrestricted {
             return false;
         }
         let accelerators_in_use = machine.tasks.values().any(|t| !t.ended() && t.need.gpu > 0);
@@ -73,7 +73,7 @@
 
 /// Whether a job's description allows a machine, without regard to where the job's other tasks are.
 pub(super) fn allows(spec: &JobSpec, machine: &Machine) -> bool {
-    spec.types.as_ref().is_none_or(|t| t.contains(&machine.row.kind))
+    spec.machine_types.as_ref().is_none_or(|t| t.contains(&machine.row.kind))
         && spec.zone.as_ref().is_none_or(|z| *z == machine.row.zone)
         && (spec.spot || !machine.row.spot)
         && spec.need().fits(machine.supply)
--- a/src/coordination/final_states.rs
+++ b/src/coordination/final_states.rs
@@ -20,8 +20,8 @@
 use crate::bookkeeping::budget::Urgency;
 use crate::bookkeeping::records::{self, FinalRecord};
 use crate::coordination::{Answer, Controller, Phase, Purpose, RequestId};
-use crate::protocol::job::{Final, JobState};
-use crate::protocol::peer::Ended;
+use crate::protocol::job::{FinalState, JobState};
+use crate::protocol::peer::EndedJob;
 use crate::protocol::store::{StoreCall, StoreReply};
 use crate::protocol::units::Micros;
 
@@ -41,7 +41,7 @@
 /// The end of a job that some other controllers may not know of.
 #[derive(Debug)]
 pub(crate) struct UnsettledEnd {
-    state: Final,
+    state: FinalState,
     tasks: u32,
     /// The revision that recorded the end, or a later one.
     revision: u64,
@@ -97,15 +97,15 @@
             return;
         }
         // Ends found by the scan were recorded a while ago. Only for withdrawals it must be certain that all know them.
-        if source == EndSource::Scan && end.state == Final::Done || self.known_to_all(revision, None) {
+        if source == EndSource::Scan && end.state == FinalState::Done || self.known_to_all(revision, None) {
             return;
         }
         if self.unsettled_ends.len() == self.tuning.final_cache.max(1) {
             self.unsettled_ends.shift_remove_index(0);
         }
         let settled_at = match end.state {
-            Final::Withdrawn => self.read_by_all_at(revision),
-            Final::Done => self.now + MAX_DONE_DELAY,
+            FinalState::Withdrawn => self.read_by_all_at(revision),
+            FinalState::Done => self.now + MAX_DONE_DELAY,
         };
         if self.now >= settled_at && !announce {
             return;
@@ -113,7 +113,7 @@
         let (state, tasks) = (end.state, end.tasks);
         let unsettled = UnsettledEnd { state, tasks, revision, settled_at, announce, announced_in_status: 0 };
         self.unsettled_ends.insert(id.to_owned(), unsettled);
-        if announce && state == Final::Withdrawn {
+        if announce && state == FinalState::Withdrawn {
             self.status_due_at = Some(self.now);
             self.next_follow_at = self.next_follow_at.map(|_| self.now);
         } else if announce {
@@ -124,7 +124,7 @@
     /// Applies an end announced by another controller. As an end is final, the job's tasks are stopped at once, without
     /// waiting for the change in the records, which the state service may not deliver to this controller for a long
     /// time.
-    pub(super) fn apply_peer_end(&mut self, ended: &Ended) {
+    pub(super) fn apply_peer_end(&mut self, ended: &EndedJob) {
         let end = FinalRecord { state: ended.state, tasks: ended.tasks };
         self.record_end(&ended.job, end, ended.revision, EndSource::Peer);
         self.retire(&ended.job);
@@ -145,7 +145,7 @@
             && !self.evicted_may_act()
             && others.all(|(member, registration)| {
                 received(member, *registration)
-                    || self.status_of(member, *registration).is_some_and(|s| s.applied >= revision)
+                    || self.status_of(member, *registration).is_some_and(|s| s.applied_revision >= revision)
             })
     }
 
@@ -164,7 +164,7 @@
         &mut self,
         request: RequestId,
         id: &str,
-        state: Final,
+        state: FinalState,
         tasks: u32,
         deadline: Micros,
     ) {
@@ -196,7 +196,7 @@
 
     /// The ends to announce in the next status. Every status announces new ones; a `regular` status repeats those that
     /// some controllers may not know of, because a status may be lost.
-    pub(super) fn ends_to_announce(&mut self, regular: bool) -> Vec<Ended> {
+    pub(super) fn ends_to_announce(&mut self, regular: bool) -> Vec<EndedJob> {
         if self.unsettled_ends.is_empty() {
             return Vec::new();
         }
@@ -218,7 +218,7 @@
 
     /// All ends that this controller announces, for a full broadcast status. Its receipt confirms all earlier statuses
     /// as well, so ends that do not fit have to be announced again.
-    pub(super) fn all_ends_for_broadcast(&mut self) -> Vec<Ended> {
+    pub(super) fn all_ends_for_broadcast(&mut self) -> Vec<EndedJob> {
         let mut unsettled = std::mem::take(&mut self.unsettled_ends);
         let chosen = select_ends(&unsettled, |s| s.announce);
         reannounce_unselected(&mut unsettled, &chosen);
@@ -232,7 +232,7 @@
     ///
     /// It has the number of the last broadcast, which the other controllers may have confirmed without receiving these
     /// ends. Therefore the ends are not marked as announced in it.
-    pub(super) fn all_ends_for_unicast(&mut self) -> Vec<Ended> {
+    pub(super) fn all_ends_for_unicast(&mut self) -> Vec<EndedJob> {
         let chosen = select_ends(&self.unsettled_ends, |s| s.announce);
         reannounce_unselected(&mut self.unsettled_ends, &chosen);
         to_ended_messages(&self.unsettled_ends, &chosen)
@@ -250,7 +250,7 @@
     pub(super) fn has_unconfirmed_withdrawals(&self) -> bool {
         self.unsettled_ends
             .values()
-            .any(|s| s.announce && s.state == Final::Withdrawn && !self.is_end_settled(s))
+            .any(|s| s.announce && s.state == FinalState::Withdrawn && !self.is_end_settled(s))
     }
 
     /// Another controller has received this one's statuses up to `sequence`.
@@ -266,7 +266,7 @@
     /// Resets announcements and acknowledgements, which do not carry over to the next registration.
     pub(super) fn reset_end_announcements(&mut self) {
         self.status_acks.clear();
-        self.unsettled_ends.retain(|_, s| s.state == Final::Withdrawn && s.settled_at > self.now);
+        self.unsettled_ends.retain(|_, s| s.state == FinalState::Withdrawn && s.settled_at > self.now);
         self.unsettled_ends.values_mut().for_each(|s| s.announced_in_status = 0);
     }
 
@@ -299,7 +299,7 @@
             self.now + Micros(SCAN_DELAY_PER_ENTRY.0 * page.entries.len() as u64);
         for entry in &page.entries {
             if let Some(id) = entry.key.strip_prefix(records::FINAL_STATES_PREFIX)
-                && let Ok(record) = entry.value.read::<FinalRecord>()
+                && let Ok(record) = entry.value.parse::<FinalRecord>()
             {
                 self.record_end(id, record, entry.stamp, EndSource::Scan);
             }
@@ -311,8 +311,8 @@
     }
 }
 
-pub(super) fn final_answer(id: &str, state: Final, tasks: u32) -> Answer {
-    let done = if state == Final::Done { tasks } else { 0 };
+pub(super) fn final_answer(id: &str, state: FinalState, tasks: u32) -> Answer {
+    let done = if state == FinalState::Done { tasks } else { 0 };
     Answer::Job { created: false, id: id.to_owned(), state: JobState::Final(state), done, running: 0 }
 }
 
@@ -334,9 +334,9 @@
 }
 
 /// The chosen ends in the form in which a status carries them.
-fn to_ended_messages(unsettled: &IndexMap<String, UnsettledEnd>, chosen: &[String]) -> Vec<Ended> {
+fn to_ended_messages(unsettled: &IndexMap<String, UnsettledEnd>, chosen: &[String]) -> Vec<EndedJob> {
     let ends = chosen.iter().filter_map(|id| Some((id, unsettled.get(id)?)));
-    ends.map(|(id, end)| Ended {
+    ends.map(|(id, end)| EndedJob {
         job: id.clone(),
         state: end.state,
         tasks: end.tasks,
--- a/src/coordination/fleet_demand.rs
+++ b/src/coordination/fleet_demand.rs
@@ -56,7 +56,7 @@
         let now = self.now;
         if let Some(lead) = &mut self.leader_state
             && spec.shape == Shape::Array
-            && spec.estimate_s > 0.0
+            && spec.estimated_task_s > 0.0
         {
             let (latest, times) = lead
                 .fleet
@@ -106,7 +106,8 @@
     /// Shortest boot time, in seconds, of the machine types that a job may use.
     pub(super) fn shortest_boot_s(&self, spec: &JobSpec) -> f64 {
         let suitable = |t: &&MachineType| {
-            spec.types.as_ref().is_none_or(|names| names.contains(&t.name)) && spec.need().fits(t.supply())
+            spec.machine_types.as_ref().is_none_or(|names| names.contains(&t.name))
+                && spec.need().fits(t.supply())
         };
         self.machine_types.values().filter(suitable).map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
--- a/src/coordination/fleet_scaling.rs
+++ b/src/coordination/fleet_scaling.rs
@@ -387,7 +387,7 @@
         let other_jobs = self.jobs.iter().filter(|(id, _)| !counted.contains(id));
         for (id, job) in other_jobs.filter(|(id, j)| self.worth_renting_for(id, j)) {
             let waiting = self.tasks_worth_starting(id, job).saturating_sub(job.placed());
-            if waiting > 0 && (job.spec.floor() == 1 || job.placements.is_empty()) {
+            if waiting > 0 && (job.spec.min_tasks() == 1 || job.placements.is_empty()) {
                 let zones = self.zone_headroom(id, job, std::iter::empty());
                 self.add_wanted(
                     &job.spec,
@@ -488,7 +488,7 @@
         wanted: &mut BTreeMap<(String, String, bool), f64>,
     ) {
         let need = spec.need();
-        let type_ok = |kind: &String| spec.types.as_ref().is_none_or(|t| t.contains(kind));
+        let type_ok = |kind: &String| spec.machine_types.as_ref().is_none_or(|t| t.contains(kind));
         let zone_ok = |zone: &String| spec.zone.as_ref().or(only).is_none_or(|z| z == zone);
         for (kind, zone, spot, room) in incoming.iter_mut() {
             if type_ok(kind) && zone_ok(zone) && (spec.spot || !*spot) {
@@ -502,8 +502,8 @@
         }
         // By the time a new machine has booted, occupied slots will have become free.
         let boot_s = self.shortest_boot_s(spec);
-        if spec.floor() == 1 && spec.estimate_s > 0.0 && boot_s.is_finite() {
-            let tasks_per_slot = boot_s / (spec.estimate_s + TYPICAL_FETCH_S);
+        if spec.min_tasks() == 1 && spec.estimated_task_s > 0.0 && boot_s.is_finite() {
+            let tasks_per_slot = boot_s / (spec.estimated_task_s + TYPICAL_FETCH_S);
             let left = freed_slots
                 .entry(need.gpu > 0)
                 .or_insert_with(|| self.occupied_slots(spec) as f64 * tasks_per_slot);
@@ -545,10 +545,10 @@
             return;
         };
         // A slot runs several short tasks in turn, and a machine is rented only for enough work.
-        let tasks_per_slot = if spec.floor() > 1 || spec.estimate_s <= 0.0 {
+        let tasks_per_slot = if spec.min_tasks() > 1 || spec.estimated_task_s <= 0.0 {
             1.0
         } else {
-            (MIN_WORK_PER_MACHINE_S / spec.estimate_s).max(1.0)
+            (MIN_WORK_PER_MACHINE_S / spec.estimated_task_s).max(1.0)
         };
         // If the cheapest suitable machines are refused, a more expensive one must have more work to do.
         let tasks_per_slot = if tasks_per_slot > 1.0 {
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -111,7 +111,7 @@
                 })
             });
             if stopped {
-                let grace = job.spec.save() + Micros::from_secs(1);
+                let grace = job.spec.save_time() + Micros::from_secs(1);
                 stops.extend(tasks.into_iter().map(|(m, t)| (m.clone(), t, grace)));
             }
         }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -410,8 +410,14 @@
         let surplus = self.find_surplus(&volumes);
         let reserved = self.gang_reservations.clone();
         self.apply_volumes(&volumes, kept.clone(), reserved.clone());
-        let message =
-            PeerMessage::Volumes { leader, round, volumes, kept, reserved, surplus: surplus.clone() };
+        let message = PeerMessage::Volumes {
+            leader_registration: leader,
+            round,
+            volumes,
+            fast_start_reservations: kept,
+            gang_reservations: reserved,
+            surplus: surplus.clone(),
+        };
         self.effects.push(Effect::Send(None, message));
         self.stop_surplus(&surplus);
         if self.leader_state.as_ref().is_some_and(|l| l.grant_in_flight) {
@@ -461,7 +467,7 @@
             for Volume { job: other, tasks: volume, .. } in volumes {
                 let Some(j) = self.jobs.get(other) else { continue };
                 let same_pool = (j.spec.gpus > 0.0) == (job.spec.gpus > 0.0);
-                let lower = j.spec.priority < job.spec.priority && j.spec.floor() == 1;
+                let lower = j.spec.priority < job.spec.priority && j.spec.min_tasks() == 1;
                 if !same_pool || !lower || lacking == 0 {
                     continue;
                 }
@@ -518,17 +524,17 @@
 
     /// Number of tasks of a class for which room is kept.
     pub(super) fn fast_start_slots(&self, spec: &JobSpec) -> usize {
-        2 * spec.floor() as usize
+        2 * spec.min_tasks() as usize
     }
 
     /// The last status that a member sent under its present registration, if any.
     pub(super) fn status_of(&self, member: &str, node: u64) -> Option<&crate::protocol::peer::Status> {
-        self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.stamp == node)
+        self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == node)
     }
 
     /// Whether every registered controller is known to have applied the store's changes up to this revision.
     pub(super) fn all_controllers_applied(&self, revision: u64) -> bool {
-        let applied = |m: &str, node| self.status_of(m, node).is_some_and(|s| s.applied >= revision);
+        let applied = |m: &str, node| self.status_of(m, node).is_some_and(|s| s.applied_revision >= revision);
         self.registrations
             .iter()
             .all(|(m, node)| (m == self.own_name() && self.applied_revision >= revision) || applied(m, *node))
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -93,7 +93,7 @@
         let Ok(value) = serde_json::to_value(record) else { return };
         let transaction = Transaction {
             conditions: vec![Condition::new(records::LEADER_KEY, 0), self.registration_condition()],
-            writes: vec![Write::leased(records::LEADER_KEY, value, lease.id)],
+            writes: vec![Write::put_with_lease(records::LEADER_KEY, value, lease.id)],
         };
         self.enqueue_store_call(
             Urgency::Entitlement,
@@ -134,8 +134,10 @@
             .collect();
         let timed_out = self.registrations.iter().filter(|(member, node)| {
             // A controller that has just registered may take long to load the records before its first status.
-            let heard =
-                self.peers.get(*member).filter(|p| p.status.as_ref().is_some_and(|s| s.stamp == **node));
+            let heard = self
+                .peers
+                .get(*member)
+                .filter(|p| p.status.as_ref().is_some_and(|s| s.registration == **node));
             let heard_at = heard.map(|p| p.last_heard.max(self.resumed_at));
             **member != self.settings.member
                 && heard_at.is_some_and(|at| self.now.since(at) > SILENCE_TIMEOUT)
@@ -208,10 +210,10 @@
             })
         };
         let agreed = |member: &String| {
-            other_statuses().all(|s| s.is_some_and(|s| s.unheard.contains(member)))
+            other_statuses().all(|s| s.is_some_and(|s| s.suspects.contains(member)))
                 && self.has_eviction_quorum(member, &suspects)
                 && (self.deserted_controllers().contains(member)
-                    || other_statuses().flatten().any(|s| s.deserted.contains(member)))
+                    || other_statuses().flatten().any(|s| s.deserted_controllers.contains(member)))
         };
         let min_interval = Micros::from_secs(30);
         let not_recently_evicted =
@@ -245,7 +247,7 @@
         if takes_over {
             let record = LeaderRecord { member: me, registration: lease.registration };
             let Ok(value) = serde_json::to_value(record) else { return };
-            transaction.writes.push(Write::leased(records::LEADER_KEY, value, lease.id));
+            transaction.writes.push(Write::put_with_lease(records::LEADER_KEY, value, lease.id));
         }
         tracing::warn!(member, "evicting controller: it is silent and its workers have failed over");
         self.next_eviction_at = self.now + Micros::from_millis(800);
@@ -290,7 +292,7 @@
                 let Ok(value) = serde_json::to_value(RegistrationRecord { lease }) else { return };
                 let transaction = Transaction {
                     conditions: vec![Condition::new(key.clone(), 0)],
-                    writes: vec![Write::leased(key, value, lease)],
+                    writes: vec![Write::put_with_lease(key, value, lease)],
                 };
                 self.enqueue_store_call(
                     Urgency::Entitlement,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -564,10 +564,9 @@
         }
         let fresh = Micros::from_secs(3);
         let reached_lately = self.now.since(self.last_store_reply_at) < fresh + Micros::from_secs(6);
-        let reached_by_others = self
-            .peers
-            .values()
-            .any(|p| self.now.since(p.last_heard) < fresh && p.status.as_ref().is_some_and(|s| s.store_ok));
+        let reached_by_others = self.peers.values().any(|p| {
+            self.now.since(p.last_heard) < fresh && p.status.as_ref().is_some_and(|s| s.store_reachable)
+        });
         reached_lately && self.now.since(self.last_store_reply_at) < fresh
             || !reached_by_others
             || (self.entitled() && reached_lately)
--- a/src/coordination/peer_statuses.rs
+++ b/src/coordination/peer_statuses.rs
@@ -62,7 +62,14 @@
         let confirm = self.mark_starts_announced()
             || self.announcements.has_unconfirmed()
             || self.has_unconfirmed_withdrawals();
-        let status = Status { whole, confirm, machines, tallies, over, ..self.base_status() };
+        let status = Status {
+            full: whole,
+            needs_confirmation: confirm,
+            machines,
+            tallies,
+            ended_jobs: over,
+            ..self.base_status()
+        };
         if self.leader_state.is_some() {
             let own = self.settings.member.clone();
             let status = Some(Status { machines: Vec::new(), tallies: Vec::new(), ..status.clone() });
@@ -82,7 +89,7 @@
             own.map(|m| Tally { machine: m.row.machine.clone(), session: m.session, tally: m.tally });
         let tallies = tallies.collect();
         let over = self.all_ends_for_unicast();
-        let status = Status { whole: true, machines, tallies, over, ..self.base_status() };
+        let status = Status { full: true, machines, tallies, ended_jobs: over, ..self.base_status() };
         self.effects.push(Effect::Send(Some(to), PeerMessage::Status(status)));
     }
 
@@ -153,11 +160,11 @@
         };
         status.token == m.row.token
             && status.resolved == m.resolved
-            && status.renew == m.token_renewal_needed
+            && status.token_renewal_needed == m.token_renewal_needed
             && status.up == m.up
-            && status.apart == m.quarantined
-            && status.notice == m.preemption_notice
-            && status.lost == m.unresponsive
+            && status.quarantined == m.quarantined
+            && status.preemption_notice == m.preemption_notice
+            && status.unresponsive == m.unresponsive
             && status.tasks.len() == m.tasks.len()
             && status.silent_since == self.unheard_since(m)
             && status.idle_since == Self::idle_since(m)
@@ -177,12 +184,12 @@
             machine: m.row.machine.clone(),
             token: m.row.token,
             resolved: m.resolved,
-            renew: m.token_renewal_needed,
+            token_renewal_needed: m.token_renewal_needed,
             addr: m.addr.clone(),
             up: m.up,
-            apart: m.quarantined,
-            notice: m.preemption_notice,
-            lost: m.unresponsive,
+            quarantined: m.quarantined,
+            preemption_notice: m.preemption_notice,
+            unresponsive: m.unresponsive,
             idle_since: Self::idle_since(m),
             silent_since: self.unheard_since(m),
             tasks: tasks.collect(),
@@ -193,23 +200,23 @@
     fn base_status(&mut self) -> Status {
         Status {
             sequence: self.status_sequence,
-            single: self.unicast_statuses,
-            whole: false,
-            confirm: false,
-            cleared: self.confirmed_before_view(),
+            unicast_statuses: self.unicast_statuses,
+            full: false,
+            needs_confirmation: false,
+            confirmed_before_view: self.confirmed_before_view(),
             clock: self.now,
-            applied: self.applied_revision,
-            stamp: self.lease.as_ref().map_or(0, |l| l.registration),
-            store_ok: self.now.since(self.last_store_reply_at) < Micros::from_secs(2),
-            adopted: !self.takeover_in_progress && self.in_view(),
+            applied_revision: self.applied_revision,
+            registration: self.lease.as_ref().map_or(0, |l| l.registration),
+            store_reachable: self.now.since(self.last_store_reply_at) < Micros::from_secs(2),
+            takeover_complete: !self.takeover_in_progress && self.in_view(),
             usage: self.usage_by_team(),
             usage_exact: self.usage_is_exact(),
             machines: Vec::new(),
             tallies: Vec::new(),
-            stops: self.take_peer_stop_requests(),
-            over: Vec::new(),
-            unheard: self.suspects(),
-            deserted: self.deserted_controllers(),
+            stop_requests: self.take_peer_stop_requests(),
+            ended_jobs: Vec::new(),
+            suspects: self.suspects(),
+            deserted_controllers: self.deserted_controllers(),
         }
     }
 
@@ -218,32 +225,41 @@
         if self.phase != Phase::Active {
             return;
         }
-        if message.meant_for().is_some_and(|registration| registration != self.incarnation().1) {
+        if message.target_registration().is_some_and(|registration| registration != self.incarnation().1) {
             self.counters.replies_misdirected += 1;
             return;
         }
         match message {
             PeerMessage::Status(status) => self.handle_peer_status(from, status),
-            PeerMessage::Again => self.send_full_status(from),
-            PeerMessage::Witness { stamp, question } => self.answer_witness_query((from, stamp), question),
-            PeerMessage::Testimony { stamp, question, machines, .. } => {
+            PeerMessage::ResyncRequest => self.send_full_status(from),
+            PeerMessage::WitnessQuery { registration: stamp, query: question } => {
+                self.answer_witness_query((from, stamp), question)
+            }
+            PeerMessage::Testimony { registration: stamp, query: question, machines, .. } => {
                 self.handle_testimony(&from, stamp, question, &machines);
             }
-            PeerMessage::Seen { stamp, sequence, .. } => {
+            PeerMessage::StatusConfirmation { registration: stamp, sequence, .. } => {
                 self.status_acknowledged((from.clone(), stamp), sequence);
                 self.handle_confirmation((from, stamp), sequence);
             }
-            PeerMessage::Door(word) => self.handle_load_report(&from, word),
-            PeerMessage::Plan(plan) => self.handle_rate_plan(&plan),
-            PeerMessage::Volumes { leader, volumes, kept, reserved, surplus, .. } => {
+            PeerMessage::LoadReport(word) => self.handle_load_report(&from, word),
+            PeerMessage::RatePlan(plan) => self.handle_rate_plan(&plan),
+            PeerMessage::Volumes {
+                leader_registration: leader,
+                volumes,
+                fast_start_reservations: kept,
+                gang_reservations: reserved,
+                surplus,
+                ..
+            } => {
                 if self.leader.as_ref().is_some_and(|l| l.0 == from && l.2 == leader) {
                     self.apply_volumes(&volumes, kept, reserved);
                     self.stop_surplus(&surplus);
                 }
             }
             PeerMessage::Addresses(list) => self.apply_addresses(&list),
-            PeerMessage::Heard { machine } => self.note_misdirected_report(machine, from),
-            PeerMessage::Stray { machine, kind, zone, spot } => {
+            PeerMessage::MisdirectedReport { machine } => self.note_misdirected_report(machine, from),
+            PeerMessage::UnrecordedMachine { machine, kind, zone, spot } => {
                 self.note_unrecorded_machine(machine, kind, zone, spot)
             }
         }
@@ -251,14 +267,14 @@
 
     /// Applies another controller's status, and confirms it or requests a full status if one was missed.
     fn handle_peer_status(&mut self, from: String, mut status: Status) {
-        let ended_jobs = std::mem::take(&mut status.over);
+        let ended_jobs = std::mem::take(&mut status.ended_jobs);
         // The end of a job is final, so it counts from any sender. The rest counts only under the sender's current
         // registration: a status of a former one, or of one not known here yet, is dropped.
         ended_jobs.iter().for_each(|ended| self.apply_peer_end(ended));
-        if self.registrations.get(&from) != Some(&status.stamp) {
+        if self.registrations.get(&from) != Some(&status.registration) {
             return;
         }
-        let life = (from.clone(), status.stamp);
+        let life = (from.clone(), status.registration);
         if !self.machine_knowledge.is_newest(&life, status.position()) {
             self.counters.statuses_outdated += 1;
             return;
@@ -271,17 +287,17 @@
             to_local_clock(&mut machine_status.silent_since);
         }
         let tallies = std::mem::take(&mut status.tallies);
-        let stops = std::mem::take(&mut status.stops);
+        let stops = std::mem::take(&mut status.stop_requests);
         // If this controller has read all records that the sender had read, a machine without a record here has been
         // removed since, and its status is dropped.
-        let read = status.applied <= self.applied_revision && !self.has_unreadable_blocks();
+        let read = status.applied_revision <= self.applied_revision && !self.has_unreadable_blocks();
         machines_told.retain(|told| !read || self.machines.contains_key(&told.machine));
         let any_told = !machines_told.is_empty();
         let peer = self.peers.entry(from.clone()).or_default();
-        let before = peer.status.as_ref().filter(|s| s.stamp == status.stamp);
+        let before = peer.status.as_ref().filter(|s| s.registration == status.registration);
         if before.is_none() {
             peer.machine_statuses.clear();
-        } else if status.whole {
+        } else if status.full {
             // A status under a grant that has not been read here is the only trace of the starts that this controller
             // has confirmed there. It is kept even if the full status lacks the machine, since the sender may have
             // handed the machine over since.
@@ -291,16 +307,24 @@
             };
             peer.machine_statuses.retain(|_, status| unread_grant(status));
         }
-        let hearing =
-            self.machine_knowledge.message_received(&life, status.sequence, status.whole, status.applied);
+        let hearing = self.machine_knowledge.message_received(
+            &life,
+            status.sequence,
+            status.full,
+            status.applied_revision,
+        );
         let reply = match hearing {
-            SequenceCheck::Contiguous if status.confirm || status.whole => {
+            SequenceCheck::Contiguous if status.needs_confirmation || status.full => {
                 let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
-                Some(PeerMessage::Seen { stamp, asker: status.stamp, sequence: status.sequence })
+                Some(PeerMessage::StatusConfirmation {
+                    registration: stamp,
+                    requester_registration: status.registration,
+                    sequence: status.sequence,
+                })
             }
             SequenceCheck::Gap if now.since(peer.resync_requested_at) >= MIN_RESYNC_INTERVAL => {
                 peer.resync_requested_at = now;
-                Some(PeerMessage::Again)
+                Some(PeerMessage::ResyncRequest)
             }
             _ => None,
         };
@@ -338,8 +362,9 @@
             return 0;
         };
         let told = peer.machine_statuses.get(&machine.row.machine).filter(|m| m.token == machine.row.token);
-        let status = peer.status.as_ref().filter(|s| s.stamp == machine.row.registration && told.is_some());
-        status.map_or(0, |s| s.applied)
+        let status =
+            peer.status.as_ref().filter(|s| s.registration == machine.row.registration && told.is_some());
+        status.map_or(0, |s| s.applied_revision)
     }
 
     /// Applies the machine status that a machine's owner sent before its grant was known here.
@@ -401,14 +426,14 @@
         if let Some(machine) = self.machines.get_mut(&told.machine) {
             machine.resolved = told.resolved;
             machine.ever_resolved |= told.resolved;
-            machine.token_renewal_needed = told.renew;
+            machine.token_renewal_needed = told.token_renewal_needed;
             if !told.addr.is_empty() {
                 machine.addr = told.addr.clone();
             }
             machine.up = told.up;
-            machine.quarantined = told.apart;
-            machine.preemption_notice = told.notice;
-            machine.unresponsive = told.lost;
+            machine.quarantined = told.quarantined;
+            machine.preemption_notice = told.preemption_notice;
+            machine.unresponsive = told.unresponsive;
             machine.silent_since = told.silent_since;
             machine.idle_since = told.idle_since.unwrap_or(self.now);
         }
--- a/src/coordination/progress.rs
+++ b/src/coordination/progress.rs
@@ -4,7 +4,7 @@
 use crate::bookkeeping::records::{self, FinalRecord};
 use crate::coordination::final_states::EndSource;
 use crate::coordination::{Controller, Purpose, backoff_policies};
-use crate::protocol::job::{Final, Shape};
+use crate::protocol::job::{FinalState, Shape};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::TaskId;
@@ -65,7 +65,7 @@
             if job.unfinished() == 0 && job.spec.shape != Shape::Service {
                 job.completion_in_flight = true;
                 let tasks = job.spec.tasks;
-                let record = FinalRecord { state: Final::Done, tasks };
+                let record = FinalRecord { state: FinalState::Done, tasks };
                 let Ok(value) = serde_json::to_value(record) else { continue };
                 let transaction = Transaction {
                     conditions: vec![live, Condition::new(records::final_state_key(&id), 0), registration],
@@ -101,7 +101,7 @@
     pub(super) fn handle_complete_reply(&mut self, id: String, tasks: u32, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => {
-                let end = FinalRecord { state: Final::Done, tasks };
+                let end = FinalRecord { state: FinalState::Done, tasks };
                 self.record_end(&id, end, revision, EndSource::Records);
                 // Does nothing if the change has already been applied.
                 self.retire(&id);
--- a/src/coordination/quota/shares.rs
+++ b/src/coordination/quota/shares.rs
@@ -85,7 +85,8 @@
     /// Whether every member has accounted for what it took over in the current view.
     fn all_members_adopted(&self) -> bool {
         let done = |m: &str, registration| {
-            self.status_of(m, registration).is_some_and(|s| s.adopted && s.applied >= self.view_revision)
+            self.status_of(m, registration)
+                .is_some_and(|s| s.takeover_complete && s.applied_revision >= self.view_revision)
         };
         self.view.members.iter().all(|(m, registration)| done(m, *registration))
     }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -10,7 +10,7 @@
 use crate::coordination::removal::RemovalGround;
 use crate::coordination::{Controller, Phase, backoff_policies};
 use crate::protocol::job::JobSpec;
-use crate::protocol::store::{Change, Entry, Json, StoreReply};
+use crate::protocol::store::{Change, Entry, RawJson, StoreReply};
 use crate::protocol::units::{Micros, Resources};
 use crate::protocol::worker::TaskId;
 
@@ -170,14 +170,14 @@
     }
 
     /// Applies a record that was loaded or changed.
-    fn apply_put(&mut self, key: &str, value: &Json, stamp: u64) {
+    fn apply_put(&mut self, key: &str, value: &RawJson, stamp: u64) {
         if !self.unreadable_keys.is_empty() {
             self.unreadable_keys.remove(key);
         }
         if let Some(job) = key.strip_prefix(records::LIVE_JOBS_PREFIX) {
             // A peer's message that the job has ended may have arrived before the change that accepted it.
             if !self.jobs.contains_key(job) && self.final_states.get(job).is_none() {
-                let spec = match value.read::<JobSpec>() {
+                let spec = match value.parse::<JobSpec>() {
                     Ok(spec) => spec,
                     Err(problem) => return self.mark_unreadable(key, &problem),
                 };
@@ -209,7 +209,7 @@
             let Ok(chunk) = chunk.parse::<usize>() else { return };
             self.done_keys.entry(job.to_owned()).or_default().insert(chunk, stamp);
             if let Some(j) = self.jobs.get_mut(job) {
-                j.merge_recorded(chunk, &value.read().unwrap_or_default());
+                j.merge_recorded(chunk, &value.parse().unwrap_or_default());
             }
         } else if let Some(member) = key.strip_prefix(records::REGISTRATIONS_PREFIX) {
             // Changes are followed from the revision of the list's first page, so they may replay a registration that
@@ -231,7 +231,7 @@
                 Err(problem) => self.mark_unreadable(key, &problem),
             }
         } else if let Some(request) = key.strip_prefix(records::RENTALS_PREFIX) {
-            if let Ok(rental) = value.read() {
+            if let Ok(rental) = value.parse() {
                 self.rentals.insert(request.to_owned(), (rental, stamp));
             }
             // The write of this rental's record had no reply and was given up, but was carried out after all. Unless
@@ -244,20 +244,20 @@
         } else if let Some(member) = key.strip_prefix(records::UNINFORMED_PREFIX) {
             self.apply_uninformed_record(member, value, stamp);
         } else if key == records::LEADER_KEY {
-            if let Ok(l) = value.read::<LeaderRecord>() {
+            if let Ok(l) = value.parse::<LeaderRecord>() {
                 self.leader = Some((l.member, l.registration, stamp));
                 self.leadership_changed();
             }
         } else if key == records::VIEW_KEY {
-            if let Ok(view) = value.read() {
+            if let Ok(view) = value.parse() {
                 self.view = view;
                 self.view_revision = stamp;
                 self.view_changed();
             }
         } else if key == records::TOKEN_COUNTER_KEY {
-            self.token_counter = (value.read().unwrap_or(0), stamp);
+            self.token_counter = (value.parse().unwrap_or(0), stamp);
         } else if key == records::QUOTA_KEY
-            && let Ok(quota) = value.read()
+            && let Ok(quota) = value.parse()
         {
             self.quota_record = (quota, stamp);
             self.check_shares();
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -137,7 +137,7 @@
         // What was on its way before has been answered.
         c.leader_state.as_mut().unwrap().grant_in_flight = false;
         assert!(c.grant(moves, vec![row.clone(), row.clone()], BTreeSet::new(), None));
-        let calls = c.handle(clock, Event::Peer(String::new(), PeerMessage::Again));
+        let calls = c.handle(clock, Event::Peer(String::new(), PeerMessage::ResyncRequest));
         let mut commits = calls.into_iter().filter_map(|e| match e {
             Effect::Store(id, StoreCall::Commit(t)) => Some((id, t)),
             _ => None,
@@ -500,7 +500,7 @@
         Change::Delete { key: records::registration_key(&member), stamp: stamp - 1 },
         put(stamp),
     ];
-    c.handle_follow_reply(c.now, StoreReply::News(News { revision: c.applied_revision + 1, changes }));
+    c.handle_follow_reply(c.now, StoreReply::News(ChangeBatch { revision: c.applied_revision + 1, changes }));
     assert_eq!(c.registrations.get(&member), Some(&stamp));
     c.machine_knowledge.message_received(&life, u64::MAX - 1, false, c.applied_revision);
     assert!(
--- a/src/coordination/user_requests.rs
+++ b/src/coordination/user_requests.rs
@@ -12,7 +12,7 @@
 use crate::coordination::final_states::EndSource;
 use crate::coordination::knowledge::Liveness;
 use crate::coordination::{Answer, Controller, IfNotFound, JobQuery, LookupGoal, Phase, Purpose, RequestId};
-use crate::protocol::job::{Final, JobSpec, JobState};
+use crate::protocol::job::{FinalState, JobSpec, JobState};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::TaskState;
@@ -107,13 +107,13 @@
         };
         let need = spec.need();
         let allowed = |t: &&crate::protocol::cloud::MachineType| {
-            spec.types.as_ref().is_none_or(|names| names.contains(&t.name))
+            spec.machine_types.as_ref().is_none_or(|names| names.contains(&t.name))
                 && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
         };
         if !self.machine_types.values().filter(allowed).any(|t| need.fits(t.supply())) {
             return Some("no allowed machine type is large enough for a task");
         }
-        let simultaneous = u64::from(spec.floor());
+        let simultaneous = u64::from(spec.min_tasks());
         let exceeds =
             |each: u64, limit: f64| limit > 0.0 && (each * simultaneous) as f64 > limit * 1e3 + 1e-6;
         if exceeds(need.cpu, team.cpus_max) || exceeds(need.gpu, team.gpus_max) {
@@ -293,7 +293,7 @@
 
     /// Replaces a job's live record with a final one, provided that it still has `record_revision`.
     fn commit_withdrawal(&mut self, query: JobQuery, record_revision: u64, tasks: u32) {
-        let record = FinalRecord { state: Final::Withdrawn, tasks };
+        let record = FinalRecord { state: FinalState::Withdrawn, tasks };
         let Ok(value) = serde_json::to_value(record) else {
             return self.answer(query.request, Answer::RetryLater(1));
         };
@@ -353,7 +353,7 @@
     pub(super) fn handle_withdraw_reply(&mut self, query: JobQuery, tasks: u32, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => {
-                let end = FinalRecord { state: Final::Withdrawn, tasks };
+                let end = FinalRecord { state: FinalState::Withdrawn, tasks };
                 self.record_end(&query.job, end, revision, EndSource::Records);
                 // The job's tasks are stopped wherever they are found, because no live job has them.
                 self.retire(&query.job);
--- a/src/coordination/worker_reports.rs
+++ b/src/coordination/worker_reports.rs
@@ -469,14 +469,14 @@
         if self.leader_state.is_some() {
             self.note_misdirected_report(machine.to_owned(), me);
         } else if let Some((leader, ..)) = &self.leader {
-            let heard = PeerMessage::Heard { machine: machine.to_owned() };
+            let heard = PeerMessage::MisdirectedReport { machine: machine.to_owned() };
             self.effects.push(Effect::Send(Some(leader.clone()), heard));
         }
     }
 
     /// Tells the leader that a machine has reported which is in no block, or has no owner.
     fn notify_leader_of_unrecorded_machine(&mut self, report: Report) {
-        let stray = PeerMessage::Stray {
+        let stray = PeerMessage::UnrecordedMachine {
             machine: report.machine.clone(),
             kind: report.kind.clone(),
             zone: report.zone.clone(),
