--- a/src/bookkeeping/mod.rs
+++ b/src/bookkeeping/mod.rs
@@ -1,7 +1,7 @@
 //! Records in the state service, the client for it, and the rate-limited queue of calls to it and to the cloud.
 
 pub mod blocks;
-pub mod budget;
-pub mod cache;
-pub mod client;
+pub mod call_queue;
+pub mod final_state_cache;
 pub mod records;
+pub mod store_client;
--- a/src/bookkeeping/client.rs
+++ b/src/bookkeeping/store_client.rs
@@ -5,7 +5,7 @@
 
 use crate::protocol::store::{StoreCall, StoreReply};
 use crate::protocol::units::Micros;
-use crate::transport::client::{HttpClient, HttpReply};
+use crate::transport::http_client::{HttpClient, HttpReply};
 
 /// Timeout of all calls but [`StoreCall::Follow`]. The service usually replies in milliseconds, at times in hundreds of
 /// milliseconds.
--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -8,7 +8,7 @@
 use marblewalk_admission::rate_plan::{LoadReport, RatePlan, Rates};
 use marblewalk_admission::submission_limiter::Capacity;
 
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::coordination::{Controller, Effect};
 use crate::protocol::peer::PeerMessage;
 use crate::protocol::units::Micros;
--- a/src/coordination/final_states.rs
+++ b/src/coordination/final_states.rs
@@ -17,7 +17,7 @@
 
 use indexmap::IndexMap;
 
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::bookkeeping::records::{self, FinalRecord};
 use crate::coordination::{Answer, Controller, Phase, Purpose, RequestId};
 use crate::protocol::job::{FinalState, JobState};
--- a/src/coordination/fleet_scaling.rs
+++ b/src/coordination/fleet_scaling.rs
@@ -4,7 +4,7 @@
 
 use marblewalk_retry::Backoff;
 
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::bookkeeping::records::{self, BlockRow};
 use crate::coordination::eligibility::allows;
 use crate::coordination::model::{Job, Machine, PlacedTask};
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -8,7 +8,7 @@
 use marblewalk_retry::Backoff;
 
 use crate::bookkeeping::blocks;
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::bookkeeping::records::{self, BlockRow, ViewRecord};
 use crate::coordination::backfill::Backfill;
 use crate::coordination::eligibility::allows;
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::bookkeeping::records::{self, LeaderRecord, RegistrationRecord};
 use crate::coordination::{Controller, Lease, Phase, Purpose, backoff_policies};
 use crate::protocol::store::{Condition, StoreCall, StoreReply, Transaction, Write};
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -57,8 +57,8 @@
 use rustc_hash::{FxBuildHasher, FxHashMap};
 
 use crate::bookkeeping::blocks::Block;
-use crate::bookkeeping::budget::{RateLimitedQueue, Urgency};
-use crate::bookkeeping::cache::FinalStateCache;
+use crate::bookkeeping::call_queue::{RateLimitedQueue, Urgency};
+use crate::bookkeeping::final_state_cache::FinalStateCache;
 use crate::bookkeeping::records::{QuotaRecord, UninformedRecord, ViewRecord};
 use crate::protocol::cloud::{CloudCall, MachineType, Rental};
 use crate::protocol::job::JobSpec;
--- a/src/coordination/progress.rs
+++ b/src/coordination/progress.rs
@@ -1,6 +1,6 @@
 //! Recording the completed tasks of own jobs.
 
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::bookkeeping::records::{self, FinalRecord};
 use crate::coordination::final_states::EndSource;
 use crate::coordination::{Controller, Purpose, backoff_policies};
--- a/src/coordination/quota/shares.rs
+++ b/src/coordination/quota/shares.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::bookkeeping::records::{self, Allotment, QuotaRecord};
 use crate::coordination::model::Job;
 use crate::coordination::quota::division::{MemberShare, StartUnit, UnitOrder, divide_limit};
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -4,7 +4,7 @@
 
 use marblewalk_retry::Backoff;
 
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::bookkeeping::records::{self, BlockRow};
 use crate::coordination::model::Machine;
 use crate::coordination::{CloudPurpose, Controller, Effect, Purpose, backoff_policies};
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -4,7 +4,7 @@
 
 use marblewalk_recovery::{Incarnation, QueryTarget};
 
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::bookkeeping::records::{self, UninformedRecord};
 use crate::coordination::eligibility::allows;
 use crate::coordination::model::Machine;
--- a/src/coordination/user_requests.rs
+++ b/src/coordination/user_requests.rs
@@ -7,7 +7,7 @@
 use marblewalk_admission::submission_limiter::SubmissionDecision;
 use rand::RngExt;
 
-use crate::bookkeeping::budget::Urgency;
+use crate::bookkeeping::call_queue::Urgency;
 use crate::bookkeeping::records::{self, FinalRecord};
 use crate::coordination::final_states::EndSource;
 use crate::coordination::knowledge::Liveness;
--- a/src/transport/cloud.rs
+++ b/src/transport/cloud_client.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use super::client::HttpClient;
+use super::http_client::HttpClient;
 use crate::protocol::cloud::{CloudCall, CloudReply, MachineList, MachineNames, MachineTypes};
 use crate::protocol::units::Micros;
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,8 +1,8 @@
 //! Network connections and the main loop. All decisions are made by the controller in `coordination`.
 
-pub mod client;
-pub mod cloud;
-pub mod links;
+pub mod cloud_client;
+pub mod http_client;
+pub mod peer_links;
 pub mod runtime;
 pub mod server;
-pub mod workers;
+pub mod worker_client;
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -7,12 +7,12 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-use super::client::HttpClient;
-use super::cloud;
-use super::links::{self, Links};
+use super::cloud_client;
+use super::http_client::HttpClient;
+use super::peer_links::{self, Links};
 use super::server::{self, ServerState};
-use super::workers;
-use crate::bookkeeping::client as store_client;
+use super::worker_client;
+use crate::bookkeeping::store_client;
 use crate::coordination::{Answer, Breach, Controller, Effect, Event, RemovalGround, RequestId};
 use crate::protocol::peer::PeerMessage;
 use crate::protocol::units::Micros;
@@ -49,7 +49,7 @@
     // 24 sockets are left for links to other controllers and for calls to the state service and the cloud.
     let max_connections = settings.params.machine_limits.sockets.saturating_sub(24).max(8);
     tokio::spawn(server::serve(api, server::router(server_state.clone()), max_connections, stop.clone()));
-    tokio::spawn(links::listen(internal, settings.controller_names(), inputs.clone(), stop.clone()));
+    tokio::spawn(peer_links::listen(internal, settings.controller_names(), inputs.clone(), stop.clone()));
     let links = Links::start(&settings, &inputs, &stop);
     let store_http = HttpClient::new(&settings.external.state);
     let cloud_http = HttpClient::new(&settings.external.cloud);
@@ -93,7 +93,7 @@
                 Effect::Orders { machine, addr, orders } => {
                     let (http, inputs) = (worker_http.with_addr(&addr), inputs.clone());
                     tokio::spawn(async move {
-                        let reply = workers::send_orders(&http, &orders).await;
+                        let reply = worker_client::send_orders(&http, &orders).await;
                         let event = Event::WorkerReply { machine, token: orders.token, reply };
                         let _ = inputs.send(Input::Reply(event)).await;
                     });
@@ -108,7 +108,7 @@
                 Effect::Cloud(id, call) => {
                     let (http, inputs) = (cloud_http.clone(), inputs.clone());
                     tokio::spawn(async move {
-                        let reply = cloud::call(&http, call).await;
+                        let reply = cloud_client::call(&http, call).await;
                         let _ = inputs.send(Input::Reply(Event::Cloud(id, reply))).await;
                     });
                 }
--- a/src/transport/workers.rs
+++ b/src/transport/worker_client.rs
@@ -1,6 +1,6 @@
 //! Direct orders, which are sent to workers' own addresses.
 
-use super::client::{HttpClient, HttpError};
+use super::http_client::{HttpClient, HttpError};
 use crate::protocol::units::Micros;
 use crate::protocol::worker::{DirectOrders, DirectReply};
 
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use marblewalk::protocol::units::Micros;
-use marblewalk::transport::client::HttpClient;
+use marblewalk::transport::http_client::HttpClient;
 use rand::RngExt;
 use rand::rngs::StdRng;
 use serde_json::{Value, json};
--- a/tests/soak/worker.rs
+++ b/tests/soak/worker.rs
@@ -10,7 +10,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
 use marblewalk::protocol::units::Micros;
-use marblewalk::transport::client::HttpClient;
+use marblewalk::transport::http_client::HttpClient;
 use rand::RngExt;
 use serde_json::Value;
 
