--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -4,33 +4,33 @@
 use std::process::{Command, Output};
 
 /// Runs `.ci/known-red` on a list with this text.
-fn read(mode: &str, name: &str, text: &str) -> Output {
+fn run_on_text(mode: &str, name: &str, text: &str) -> Output {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = folder.join(name);
     std::fs::write(&file, text).unwrap();
-    run(mode, &file)
+    run_script(mode, &file)
 }
 
-fn run(mode: &str, file: &Path) -> Output {
+fn run_script(mode: &str, file: &Path) -> Output {
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
     Command::new("bash").arg(script).arg(mode).arg(file).output().unwrap()
 }
 
-fn printed(output: &Output) -> String {
+fn successful_output(output: &Output) -> String {
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8(output.stdout.clone()).unwrap()
 }
 
 /// The message that a list is refused with.
-fn refused(name: &str, text: &str) -> String {
-    let output = read("entries", name, text);
+fn rejection_message(name: &str, text: &str) -> String {
+    let output = run_on_text("entries", name, text);
     assert_eq!(output.status.code(), Some(2), "{text}");
     let message = String::from_utf8(output.stderr).unwrap();
     assert_eq!(message.lines().count(), 1, "{message}");
     message.rsplit_once(&format!("{name}:")).unwrap().1.trim().to_owned()
 }
 
-const SOUND: &str = "\
+const VALID_LIST: &str = "\
 # Faults that stand.
 
 test: a::module::test_name
@@ -47,23 +47,23 @@
 
 #[test]
 fn entries_are_read_with_their_fields() {
-    let entries = printed(&read("entries", "sound.txt", SOUND));
+    let entries = successful_output(&run_on_text("entries", "sound.txt", VALID_LIST));
     let expected = "test\ta::module::test_name\t1, 2\ta job waits and waits\t52\n\
                     run\tcargo test --test soak -- --from 40\t40\ttwo jobs wait\t7\n";
     assert_eq!(entries, expected);
-    assert_eq!(printed(&read("tests", "sound.txt", SOUND)), "a::module::test_name\n");
+    assert_eq!(successful_output(&run_on_text("tests", "sound.txt", VALID_LIST)), "a::module::test_name\n");
 }
 
 #[test]
 fn an_empty_or_missing_list_has_no_entries() {
-    assert_eq!(printed(&read("entries", "empty.txt", "# none\n\n")), "");
-    assert_eq!(printed(&run("tests", Path::new("no-such-list.txt"))), "");
+    assert_eq!(successful_output(&run_on_text("entries", "empty.txt", "# none\n\n")), "");
+    assert_eq!(successful_output(&run_script("tests", Path::new("no-such-list.txt"))), "");
 }
 
 #[test]
 fn the_last_entry_needs_no_line_end() {
-    let text = SOUND.trim_end();
-    assert_eq!(printed(&read("entries", "no-line-end.txt", text)).lines().count(), 2);
+    let text = VALID_LIST.trim_end();
+    assert_eq!(successful_output(&run_on_text("entries", "no-line-end.txt", text)).lines().count(), 2);
 }
 
 #[test]
@@ -87,7 +87,7 @@
         ("what is this\n".to_owned(), "1: neither test, run, seed, seen nor issue"),
     ];
     for (n, (text, expected)) in cases.iter().enumerate() {
-        let message = refused(&format!("bad-{n}.txt"), text);
+        let message = rejection_message(&format!("bad-{n}.txt"), text);
         assert!(message.starts_with(expected), "{text}: {message}");
     }
 }
@@ -95,5 +95,5 @@
 /// The list of this repository is well-formed.
 #[test]
 fn the_list_of_this_repository_is_read() {
-    printed(&run("entries", &Path::new(env!("CARGO_MANIFEST_DIR")).join("KNOWN-RED.txt")));
+    successful_output(&run_script("entries", &Path::new(env!("CARGO_MANIFEST_DIR")).join("KNOWN-RED.txt")));
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -44,10 +44,10 @@
 /// What is played where nothing is said: in CI, beside other tests.
 const CI_SEEDS: u64 = 2;
 /// The most seeds of one command, and at once: each has three controllers and some forty sockets.
-const MOST_SEEDS: u64 = 10_000;
-const MOST_AT_ONCE: u64 = 16;
+const MAX_SEEDS: u64 = 10_000;
+const MAX_AT_ONCE: u64 = 16;
 /// Of its limit some team must have used so much at some time, in thousandths.
-const NEAR_LIMIT: u64 = 950;
+const MIN_PEAK_USAGE: u64 = 950;
 
 struct Arguments {
     seeds: u64,
@@ -56,19 +56,19 @@
 }
 
 /// Reads the arguments; those of the usual test runner are passed over. None: nothing is to be played.
-fn arguments() -> Result<Option<Arguments>, String> {
-    let mut read = Arguments { seeds: CI_SEEDS, from: 1, at_once: 2 };
+fn parse_arguments() -> Result<Option<Arguments>, String> {
+    let mut parsed = Arguments { seeds: CI_SEEDS, from: 1, at_once: 2 };
     let mut args = std::env::args().skip(1);
     while let Some(arg) = args.next() {
-        let mut number = |what: &str, least: u64, most: u64| {
+        let mut number = |flag: &str, min: u64, max: u64| {
             let text = args.next().unwrap_or_default();
-            let number = text.parse::<u64>().ok().filter(|n| (least..=most).contains(n));
-            number.ok_or(format!("{what}: a number from {least} to {most}, not \"{text}\""))
+            let number = text.parse::<u64>().ok().filter(|n| (min..=max).contains(n));
+            number.ok_or(format!("{flag}: a number from {min} to {max}, not \"{text}\""))
         };
         match arg.as_str() {
-            "--seeds" => read.seeds = number("--seeds", 1, MOST_SEEDS)?,
-            "--from" => read.from = number("--from", 0, u64::MAX >> 1)?,
-            "--at-once" => read.at_once = number("--at-once", 1, MOST_AT_ONCE)?,
+            "--seeds" => parsed.seeds = number("--seeds", 1, MAX_SEEDS)?,
+            "--from" => parsed.from = number("--from", 0, u64::MAX >> 1)?,
+            "--at-once" => parsed.at_once = number("--at-once", 1, MAX_AT_ONCE)?,
             "--skip" | "--test-threads" => drop(args.next()),
             "--list" => return Ok(None),
             // A filter for tests of other files.
@@ -76,102 +76,105 @@
             _ => {}
         }
     }
-    Ok(Some(read))
+    Ok(Some(parsed))
 }
 
-fn describe(outcome: &Outcome) {
-    let f = &outcome.figures;
+fn print_outcome(outcome: &Outcome) {
+    let stats = &outcome.statistics;
     println!(
         "seed {}: {} broken; {} starts, {} jobs accepted, {} done, {} unfinished, {} cancelled during faults, {} late starts, {} leaders, \
          peak {}.{}% of a limit, rig late by {} ms",
         outcome.seed,
-        outcome.broken.len(),
-        f.starts,
-        f.accepted,
-        f.done,
-        f.unfinished,
-        f.cancelled,
-        f.late_starts,
+        outcome.violations.len(),
+        stats.starts,
+        stats.accepted,
+        stats.done,
+        stats.unfinished,
+        stats.confirmed_cancellations,
+        stats.starts_after_cancellation,
         outcome.leaders,
-        f.peak / 10,
-        f.peak % 10,
-        outcome.late_ms
+        stats.peak_usage / 10,
+        stats.peak_usage % 10,
+        outcome.max_delay_ms
     );
-    if outcome.ports_taken {
+    if outcome.port_conflict {
         println!("  its ports were taken: it counts for nothing");
     }
-    for broken in outcome.broken.iter().take(12) {
-        println!("  {} at {} ms: {}", broken.rule, broken.at, broken.what);
+    for violation in outcome.violations.iter().take(12) {
+        println!("  {} at {} ms: {}", violation.rule, violation.at, violation.details);
     }
-    if !outcome.broken.is_empty() {
+    if !outcome.violations.is_empty() {
         println!(
             "  logs: {}; play the schedule again: --from {} --seeds 1",
             outcome.logs.display(),
             outcome.seed
         );
         for entry in &outcome.schedule {
-            println!("    {} ms, for {}: {:?}", entry.at, entry.lasts, entry.fault);
+            println!("    {} ms, for {}: {:?}", entry.at, entry.duration, entry.fault);
         }
     }
 }
 
 /// What a run is for took place in it.
-fn met(outcome: &Outcome) -> Result<(), String> {
-    let f = &outcome.figures;
-    let lacks = |what: &str| Err(format!("seed {}: {what}", outcome.seed));
-    if f.peak < NEAR_LIMIT {
-        return lacks("no team came within a twentieth of a limit");
+fn check_coverage(outcome: &Outcome) -> Result<(), String> {
+    let stats = &outcome.statistics;
+    let missing = |what: &str| Err(format!("seed {}: {what}", outcome.seed));
+    if stats.peak_usage < MIN_PEAK_USAGE {
+        return missing("no team came within a twentieth of a limit");
     }
     if outcome.leaders < 2 {
-        return lacks("the leader did not change");
+        return missing("the leader did not change");
     }
-    if f.cancelled == 0 {
-        return lacks("no cancellation was confirmed during the faults");
+    if stats.confirmed_cancellations == 0 {
+        return missing("no cancellation was confirmed during the faults");
     }
     Ok(())
 }
 
-async fn play_all(arguments: &Arguments) -> std::io::Result<bool> {
-    let stamp = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis());
-    let folder = std::env::temp_dir().join(format!("marblewalk-soak-{}-{stamp}", std::process::id()));
+async fn run_all(arguments: &Arguments) -> std::io::Result<bool> {
+    let started_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis());
+    let folder = std::env::temp_dir().join(format!("marblewalk-soak-{}-{started_ms}", std::process::id()));
     let seeds = arguments.from..arguments.from.saturating_add(arguments.seeds);
-    let mut waiting = seeds.clone();
-    let mut playing = JoinSet::new();
-    let (mut rules, mut unmet, mut stalled, mut over) = (BTreeMap::new(), Vec::new(), 0, 0);
+    let mut pending_seeds = seeds.clone();
+    let mut running = JoinSet::new();
+    let (mut violations_by_rule, mut coverage_failures, mut stalled_runs, mut finished) =
+        (BTreeMap::new(), Vec::new(), 0, 0);
     loop {
-        while playing.len() < arguments.at_once as usize
-            && let Some(seed) = waiting.next()
+        while running.len() < arguments.at_once as usize
+            && let Some(seed) = pending_seeds.next()
         {
-            playing.spawn(run::play(seed, folder.join(seed.to_string())));
+            running.spawn(run::run_seed(seed, folder.join(seed.to_string())));
         }
-        let Some(outcome) = playing.join_next().await else { break };
+        let Some(outcome) = running.join_next().await else { break };
         let outcome = outcome.map_err(std::io::Error::other)??;
-        over += 1;
-        describe(&outcome);
-        println!("  {over} of {} played", arguments.seeds);
-        stalled += u64::from(outcome.late_ms > run::STALL_MS);
-        if outcome.ports_taken {
-            unmet.push(format!("seed {}: its ports were taken", outcome.seed));
+        finished += 1;
+        print_outcome(&outcome);
+        println!("  {finished} of {} played", arguments.seeds);
+        stalled_runs += u64::from(outcome.max_delay_ms > run::STALL_MS);
+        if outcome.port_conflict {
+            coverage_failures.push(format!("seed {}: its ports were taken", outcome.seed));
             continue;
         }
-        for broken in &outcome.broken {
-            *rules.entry(broken.rule).or_insert(0u64) += 1;
+        for violation in &outcome.violations {
+            *violations_by_rule.entry(violation.rule).or_insert(0u64) += 1;
         }
-        if let Err(what) = met(&outcome) {
-            unmet.push(what);
+        if let Err(what) = check_coverage(&outcome) {
+            coverage_failures.push(what);
         }
-        if outcome.broken.is_empty() {
+        if outcome.violations.is_empty() {
             let _ = std::fs::remove_dir_all(&outcome.logs);
         }
     }
-    println!("{over} seeds; broken by rule: {rules:?}; {stalled} runs in which the rig itself stood still");
-    unmet.iter().for_each(|what| println!("not met: {what}"));
+    println!(
+        "{finished} seeds; broken by rule: {violations_by_rule:?}; {stalled_runs} runs in which the rig itself stood still"
+    );
+    coverage_failures.iter().for_each(|what| println!("not met: {what}"));
     let _ = std::fs::remove_dir(&folder);
-    Ok(rules.is_empty() && unmet.is_empty())
+    Ok(violations_by_rule.is_empty() && coverage_failures.is_empty())
 }
 
 fn main() -> ExitCode {
-    let arguments = match arguments() {
+    let arguments = match parse_arguments() {
         Ok(Some(arguments)) => arguments,
         Ok(None) => return ExitCode::SUCCESS,
         Err(problem) => {
@@ -180,8 +183,8 @@
         }
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let sound = runtime.and_then(|runtime| runtime.block_on(play_all(&arguments)));
-    match sound {
+    let passed = runtime.and_then(|runtime| runtime.block_on(run_all(&arguments)));
+    match passed {
         Ok(true) => {
             println!("test result: ok. {} passed; 0 failed", arguments.seeds);
             ExitCode::SUCCESS
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -18,13 +18,13 @@
 use crate::worker;
 
 /// How long a new machine is missing in the list.
-const LAG_MS: u64 = 800;
+const LIST_LAG_MS: u64 = 800;
 
 pub fn router(rig: Arc<Rig>) -> Router {
     Router::new()
-        .route("/machine_types", get(types))
-        .route("/rentals", get(list).post(rent))
-        .route("/rentals/return", post(give_back))
+        .route("/machine_types", get(list_machine_types))
+        .route("/rentals", get(list_rentals).post(rent))
+        .route("/rentals/return", post(return_machines))
         .with_state(rig)
 }
 
@@ -32,28 +32,28 @@
     (status, body.to_string()).into_response()
 }
 
-async fn types(State(rig): State<Arc<Rig>>) -> Response {
+async fn list_machine_types(State(rig): State<Arc<Rig>>) -> Response {
     let fleet = rig.fleet.lock().unwrap();
-    let kind = |k: &fleet::Kind| {
-        let price = if k.has.gpu > 0 { 5.0 } else { 1.0 };
-        json!({"Name": k.name, "Cpus": k.has.cpu as f64 / 1e3, "Cards": k.has.gpu as f64 / 1e3, "MemoryGb": 512.0,
+    let entry = |k: &fleet::MachineType| {
+        let price = if k.capacity.gpu > 0 { 5.0 } else { 1.0 };
+        json!({"Name": k.name, "Cpus": k.capacity.cpu as f64 / 1e3, "Cards": k.capacity.gpu as f64 / 1e3, "MemoryGb": 512.0,
             "CacheGb": 50.0, "FetchGbPerS": 5.0, "Rate": price, "SpotPrice": price / 2.0, "StartupS": 1.0,
             "Berths": ["east", "west"]})
     };
-    reply(StatusCode::OK, json!({"Hulls": fleet.kinds.iter().map(kind).collect::<Vec<_>>()}))
+    reply(StatusCode::OK, json!({"Hulls": fleet.machine_types.iter().map(entry).collect::<Vec<_>>()}))
 }
 
 async fn rent(State(rig): State<Arc<Rig>>, body: Bytes) -> Response {
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
     let text = |name: &str| body[name].as_str().unwrap_or_default().to_owned();
-    let (charter, kind, zone) = (text("Charter"), text("Hull"), text("Berth"));
-    let known = rig.fleet.lock().unwrap().charters.get(&charter).cloned();
-    if let Some(names) = known {
+    let (rental, machine_type, zone) = (text("Charter"), text("Hull"), text("Berth"));
+    let known_machines = rig.fleet.lock().unwrap().rentals.get(&rental).cloned();
+    if let Some(names) = known_machines {
         return reply(StatusCode::OK, json!({"Hosts": names}));
     }
     let wanted = body["HowMany"].as_u64().unwrap_or(0).min(50) as usize;
-    let there = rig.fleet.lock().unwrap().machines.values().filter(|m| !m.dead).count();
-    let count = wanted.min(rig.fleet.lock().unwrap().capacity.saturating_sub(there));
+    let existing = rig.fleet.lock().unwrap().machines.values().filter(|m| !m.dead).count();
+    let count = wanted.min(rig.fleet.lock().unwrap().max_machines.saturating_sub(existing));
     if count == 0 {
         return reply(StatusCode::SERVICE_UNAVAILABLE, json!({"error": "no capacity"}));
     }
@@ -61,43 +61,48 @@
     for _ in 0..count {
         let Ok(listener) = TcpListener::bind("127.0.0.1:0").await else { continue };
         let Ok(addr) = listener.local_addr() else { continue };
-        let boots = rand::rng().random_range(200..1_800);
+        let boot_ms = rand::rng().random_range(200..1_800);
         let spot = body["Standby"].as_bool().unwrap_or(false);
         let now = rig.now();
-        let name = rig.fleet.lock().unwrap().add(now, &kind, &zone, spot, addr.to_string(), boots);
-        let own = worker::router(rig.clone(), name.clone());
-        tokio::spawn(async move { axum::serve(listener, own).await });
-        tokio::spawn(worker::work(rig.clone(), name.clone()));
+        let name =
+            rig.fleet.lock().unwrap().add_machine(now, &machine_type, &zone, spot, addr.to_string(), boot_ms);
+        let endpoint = worker::router(rig.clone(), name.clone());
+        tokio::spawn(async move { axum::serve(listener, endpoint).await });
+        tokio::spawn(worker::run_worker(rig.clone(), name.clone()));
         names.push(name);
     }
-    rig.fleet.lock().unwrap().charters.insert(charter, names.clone());
+    rig.fleet.lock().unwrap().rentals.insert(rental, names.clone());
     reply(StatusCode::OK, json!({"Hosts": names}))
 }
 
-async fn give_back(State(rig): State<Arc<Rig>>, body: Bytes) -> Response {
+async fn return_machines(State(rig): State<Arc<Rig>>, body: Bytes) -> Response {
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
     let now = rig.now();
     let mut fleet = rig.fleet.lock().unwrap();
     let mut history = rig.history.lock().unwrap();
     for name in body["Hosts"].as_array().into_iter().flatten().filter_map(Value::as_str) {
-        fleet.remove(&mut history, name, now);
+        fleet.remove_machine(&mut history, name, now);
     }
     reply(StatusCode::OK, json!({}))
 }
 
-async fn list(State(rig): State<Arc<Rig>>, Query(query): Query<BTreeMap<String, String>>) -> Response {
+async fn list_rentals(
+    State(rig): State<Arc<Rig>>,
+    Query(query): Query<BTreeMap<String, String>>,
+) -> Response {
     let after = query.get("After").cloned().unwrap_or_default();
-    let most: usize = query.get("Most").and_then(|m| m.parse().ok()).unwrap_or(500).min(500);
+    let limit: usize = query.get("Most").and_then(|m| m.parse().ok()).unwrap_or(500).min(500);
     let now = rig.now();
     let fleet = rig.fleet.lock().unwrap();
-    let listed = fleet.machines.values().filter(|m| !m.dead && m.name > after && m.rented_at + LAG_MS < now);
+    let listed =
+        fleet.machines.values().filter(|m| !m.dead && m.name > after && m.rented_at + LIST_LAG_MS < now);
     let row = |m: &fleet::Machine| {
-        let status = if m.up(now) { "running" } else { "starting" };
-        json!({"Uid": m.name, "Addr": m.addr, "Hull": m.kind, "Berth": m.zone, "Standby": m.spot, "Status": status,
+        let status = if m.is_up(now) { "running" } else { "starting" };
+        json!({"Uid": m.name, "Addr": m.addr, "Hull": m.machine_type, "Berth": m.zone, "Standby": m.spot, "Status": status,
             "HeldS": (now - m.rented_at) as f64 / 1e3})
     };
-    let mut rows: Vec<Value> = listed.take(most + 1).map(row).collect();
-    let more = rows.len() > most;
-    rows.truncate(most);
+    let mut rows: Vec<Value> = listed.take(limit + 1).map(row).collect();
+    let more = rows.len() > limit;
+    rows.truncate(limit);
     reply(StatusCode::OK, json!({"Hosts": rows, "More": more}))
 }
--- a/tests/soak/controllers.rs
+++ b/tests/soak/controllers.rs
@@ -9,7 +9,7 @@
 
 use crate::history::Ms;
 
-struct Process {
+struct ControllerProcess {
     child: Option<Child>,
     /// When it is to be started again.
     start_at: Ms,
@@ -19,7 +19,7 @@
 
 /// Kills what is left of the controllers when the soak ends, also when it is killed: it reads from a pipe which of them
 /// run, and the pipe is closed by then.
-const WATCHDOG: &str = r#"
+const WATCHDOG_SCRIPT: &str = r#"
 trap '' INT TERM
 ids=
 while read -r verb id; do
@@ -36,85 +36,95 @@
 "#;
 
 /// All controllers. Whatever is left of them is killed when this is dropped.
-pub struct Processes {
-    all: Vec<Mutex<Process>>,
+pub struct ControllerProcesses {
+    all: Vec<Mutex<ControllerProcess>>,
     watchdog: Mutex<Child>,
     /// Which controllers run, for the watchdog.
-    told: Mutex<Option<ChildStdin>>,
+    watchdog_input: Mutex<Option<ChildStdin>>,
     /// A controller has ended since its port was in use.
-    ports_taken: AtomicBool,
+    port_conflict: AtomicBool,
 }
 
-impl Processes {
+impl ControllerProcesses {
     /// Nothing is started yet.
-    pub fn new(folder: &Path, settings: &[String]) -> std::io::Result<Processes> {
+    pub fn new(folder: &Path, settings: &[String]) -> std::io::Result<ControllerProcesses> {
         let mut all = Vec::new();
         for (n, text) in settings.iter().enumerate() {
             let path = folder.join(format!("n-{n}.toml"));
             std::fs::write(&path, text)?;
             let log = folder.join(format!("n-{n}.log"));
-            all.push(Mutex::new(Process { child: None, start_at: 0, settings: path, log }));
+            all.push(Mutex::new(ControllerProcess { child: None, start_at: 0, settings: path, log }));
         }
-        let mut watchdog =
-            Command::new("sh").arg("-c").arg(WATCHDOG).stdin(Stdio::piped()).stderr(Stdio::null()).spawn()?;
-        let told = Mutex::new(watchdog.stdin.take());
-        Ok(Processes { all, watchdog: Mutex::new(watchdog), told, ports_taken: AtomicBool::new(false) })
+        let mut watchdog = Command::new("sh")
+            .arg("-c")
+            .arg(WATCHDOG_SCRIPT)
+            .stdin(Stdio::piped())
+            .stderr(Stdio::null())
+            .spawn()?;
+        let watchdog_input = Mutex::new(watchdog.stdin.take());
+        Ok(ControllerProcesses {
+            all,
+            watchdog: Mutex::new(watchdog),
+            watchdog_input,
+            port_conflict: AtomicBool::new(false),
+        })
     }
 
     /// Whether a controller has ended since its port was in use.
-    pub fn ports_taken(&self) -> bool {
-        self.ports_taken.load(Ordering::Relaxed)
+    pub fn port_conflict(&self) -> bool {
+        self.port_conflict.load(Ordering::Relaxed)
     }
 
-    fn tell_watchdog(&self, verb: &str, child: &Child) {
-        if let Some(pipe) = self.told.lock().unwrap().as_mut() {
+    fn notify_watchdog(&self, verb: &str, child: &Child) {
+        if let Some(pipe) = self.watchdog_input.lock().unwrap().as_mut() {
             let _ = writeln!(pipe, "{verb} {}", child.id());
         }
     }
 
     /// Ends a process and waits until it has ended.
-    fn end(&self, child: &mut Child) {
+    fn kill_and_wait(&self, child: &mut Child) {
         let _ = child.kill();
         let _ = child.wait();
-        self.tell_watchdog("ended", child);
+        self.notify_watchdog("ended", child);
     }
 
     /// Whether a controller has a process, paused or not.
-    pub fn runs(&self, node: usize) -> bool {
+    pub fn has_process(&self, node: usize) -> bool {
         self.all[node].lock().unwrap().child.is_some()
     }
 
     /// Starts those that are due; names those that have ended by themselves.
-    pub fn look(&self, now: Ms) -> Vec<String> {
-        let mut ended = Vec::new();
+    pub fn poll(&self, now: Ms) -> Vec<String> {
+        let mut exits = Vec::new();
         for (n, process) in self.all.iter().enumerate() {
             let mut process = process.lock().unwrap();
             if let Some(child) = &mut process.child
                 && let Ok(Some(status)) = child.try_wait()
             {
-                ended.push(format!("n-{n} at {now}: {status}"));
-                self.tell_watchdog("ended", child);
+                exits.push(format!("n-{n} at {now}: {status}"));
+                self.notify_watchdog("ended", child);
                 let log = std::fs::read_to_string(&process.log).unwrap_or_default();
-                let taken = log.lines().last().is_some_and(|line| line.contains("Address already in use"));
-                self.ports_taken.fetch_or(taken, Ordering::Relaxed);
+                let port_in_use =
+                    log.lines().last().is_some_and(|line| line.contains("Address already in use"));
+                self.port_conflict.fetch_or(port_in_use, Ordering::Relaxed);
                 process.child = None;
                 process.start_at = now + 500;
             }
             if process.child.is_none() && now >= process.start_at {
                 process.child = start(&process).ok();
                 if let Some(child) = &process.child {
-                    self.tell_watchdog("started", child);
+                    self.notify_watchdog("started", child);
                 }
             }
         }
-        ended
+        exits
     }
 
     /// Kills a controller, which is started again after so long.
     pub fn kill(&self, node: usize, now: Ms, away: Ms) {
         let mut process = self.all[node].lock().unwrap();
         if let Some(mut child) = process.child.take() {
-            self.end(&mut child);
+            self.kill_and_wait(&mut child);
             process.start_at = now + away;
         }
     }
@@ -132,22 +142,22 @@
         for process in &self.all {
             let child = process.lock().unwrap().child.take();
             if let Some(mut child) = child {
-                self.end(&mut child);
+                self.kill_and_wait(&mut child);
             }
         }
     }
 }
 
-impl Drop for Processes {
+impl Drop for ControllerProcesses {
     fn drop(&mut self) {
         self.kill_all();
         // Its pipe is closed, so that it ends.
-        drop(self.told.lock().unwrap().take());
+        drop(self.watchdog_input.lock().unwrap().take());
         let _ = self.watchdog.lock().unwrap().wait();
     }
 }
 
-fn start(process: &Process) -> std::io::Result<Child> {
+fn start(process: &ControllerProcess) -> std::io::Result<Child> {
     let log: File = OpenOptions::new().create(true).append(true).open(&process.log)?;
     Command::new(env!("CARGO_BIN_EXE_marblewalk"))
         .arg("--config")
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -6,14 +6,14 @@
 use rand::RngExt;
 use serde_json::{Value, json};
 
-use crate::history::{Amount, History, JobFacts, Look, Ms, Room, Stay};
+use crate::history::{Amount, CapacitySnapshot, History, JobFacts, MachineCapacity, Ms, TaskRun};
 
 /// How often workers' tasks are looked after.
 pub const STEP_MS: Ms = 20;
 
 /// The workers' settings, as the controllers have them.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct WorkerSettings {
     pub report_ms: Ms,
     pub lease_ms: Ms,
     pub gang_wait_ms: Ms,
@@ -21,14 +21,14 @@
 
 /// How a job's tasks behave.
 #[derive(Clone, Debug)]
-pub struct Behaviour {
+pub struct JobBehaviour {
     pub facts: JobFacts,
     pub run_ms: Ms,
-    pub stow_ms: Ms,
+    pub save_ms: Ms,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
+enum TaskState {
     Fetching,
     Waiting,
     Running,
@@ -36,37 +36,37 @@
     Ended,
 }
 
-impl Phase {
+impl TaskState {
     fn name(self) -> &'static str {
         match self {
-            Phase::Fetching => "fetching",
-            Phase::Waiting => "waiting",
-            Phase::Running => "running",
-            Phase::Saving => "saving",
-            Phase::Ended => "ended",
+            TaskState::Fetching => "fetching",
+            TaskState::Waiting => "waiting",
+            TaskState::Running => "running",
+            TaskState::Saving => "saving",
+            TaskState::Ended => "ended",
         }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Task {
-    phase: Phase,
+    state: TaskState,
     cause: Option<&'static str>,
     /// When the present phase ends by itself.
-    next: Ms,
+    state_ends_at: Ms,
     /// Its entry in the history, once it has its image.
-    stay: Option<usize>,
+    run: Option<usize>,
 }
 
 /// A gang's task: its machine, phase, and when that ends.
-type Member = (String, Key, Phase, Ms);
+type GangMember = (String, TaskKey, TaskState, Ms);
 
 /// Job, task number and attempt.
-type Key = (String, u32, u64);
+type TaskKey = (String, u32, u64);
 
 pub struct Machine {
     pub name: String,
-    pub kind: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub addr: String,
@@ -74,241 +74,257 @@
     pub up_at: Ms,
     pub dead: bool,
     pub session: u64,
-    tally: u64,
+    report_count: u64,
     pub token: u64,
     /// When the last report that was answered had been sent, or the session began.
-    pub renewed: Ms,
-    tasks: BTreeMap<Key, Task>,
-    pub target: usize,
+    pub lease_renewed_at: Ms,
+    tasks: BTreeMap<TaskKey, Task>,
+    pub target_node: usize,
     pub changed: bool,
     pub hung_until: Ms,
     pub cut_until: Ms,
-    pub deaf_until: Ms,
-    pub mute_until: Ms,
+    pub not_receiving_until: Ms,
+    pub not_sending_until: Ms,
 }
 
 impl Machine {
-    pub fn up(&self, now: Ms) -> bool {
+    pub fn is_up(&self, now: Ms) -> bool {
         !self.dead && now >= self.up_at
     }
 
-    pub fn acts(&self, now: Ms) -> bool {
-        self.up(now) && now >= self.hung_until
+    pub fn is_active(&self, now: Ms) -> bool {
+        self.is_up(now) && now >= self.hung_until
     }
 
     /// Jobs with tasks that run here.
-    pub fn runs(&self) -> impl Iterator<Item = &String> {
-        self.tasks.iter().filter(|(_, t)| t.phase == Phase::Running).map(|(key, _)| &key.0)
+    pub fn running_jobs(&self) -> impl Iterator<Item = &String> {
+        self.tasks.iter().filter(|(_, t)| t.state == TaskState::Running).map(|(key, _)| &key.0)
     }
 
-    fn end(&mut self, history: &mut History, key: &Key, cause: &'static str, at: Ms) {
+    fn end_task(&mut self, history: &mut History, key: &TaskKey, cause: &'static str, at: Ms) {
         let Some(task) = self.tasks.get_mut(key) else { return };
-        (task.phase, task.cause) = (Phase::Ended, Some(cause));
-        if let Some(stay) = task.stay.take() {
-            history.stays[stay].until = Some(at);
+        (task.state, task.cause) = (TaskState::Ended, Some(cause));
+        if let Some(run) = task.run.take() {
+            history.task_runs[run].ended_at = Some(at);
         }
         self.changed = true;
     }
 
     /// Past its lease it ends and forgets all tasks: they are gone as of the lease's end, whenever that is noticed.
-    pub fn lapse(&mut self, history: &mut History, now: Ms, lease: Ms) {
-        let end = self.renewed + lease;
+    pub fn expire_lease(&mut self, history: &mut History, now: Ms, lease_ms: Ms) {
+        let end = self.lease_renewed_at + lease_ms;
         if now <= end {
             return;
         }
         for task in self.tasks.values_mut() {
-            if let Some(stay) = task.stay.take() {
-                history.stays[stay].until = Some(end.max(history.stays[stay].from));
+            if let Some(run) = task.run.take() {
+                history.task_runs[run].ended_at = Some(end.max(history.task_runs[run].started_at));
             }
         }
         self.tasks.clear();
         self.session += 1;
-        (self.renewed, self.changed) = (now, true);
+        (self.lease_renewed_at, self.changed) = (now, true);
     }
 
-    pub fn report(&mut self) -> Value {
-        self.tally += 1;
-        let pieces: Vec<Value> = self
+    pub fn next_report(&mut self) -> Value {
+        self.report_count += 1;
+        let entries: Vec<Value> = self
             .tasks
             .iter()
             .map(|((job, index, attempt), t)| {
-                let mut piece =
-                    json!({"Piece": format!("{job}/{index}"), "Launch": attempt, "Status": t.phase.name()});
+                let mut entry =
+                    json!({"Piece": format!("{job}/{index}"), "Launch": attempt, "Status": t.state.name()});
                 if let Some(cause) = t.cause {
-                    piece["Cause"] = cause.into();
+                    entry["Cause"] = cause.into();
                 }
-                piece
+                entry
             })
             .collect();
-        json!({"Host": self.name, "Addr": self.addr, "Hull": self.kind, "Berth": self.zone, "Standby": self.spot,
-            "Watch": self.session, "Tally": self.tally, "Helm": self.token, "WarningS": null, "Pieces": pieces})
+        json!({"Host": self.name, "Addr": self.addr, "Hull": self.machine_type, "Berth": self.zone, "Standby": self.spot,
+            "Watch": self.session, "Tally": self.report_count, "Helm": self.token, "WarningS": null, "Pieces": entries})
     }
 }
 
 /// A kind of machine, and what a machine of it has.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct MachineType {
     pub name: &'static str,
-    pub has: Amount,
+    pub capacity: Amount,
 }
 
 /// All machines that were ever rented, and the jobs that users have uploaded.
 pub struct Fleet {
-    pub terms: Terms,
-    pub kinds: Vec<Kind>,
+    pub settings: WorkerSettings,
+    pub machine_types: Vec<MachineType>,
     pub machines: BTreeMap<String, Machine>,
-    pub jobs: BTreeMap<String, Behaviour>,
-    pub charters: BTreeMap<String, Vec<String>>,
-    pub capacity: usize,
+    pub jobs: BTreeMap<String, JobBehaviour>,
+    pub rentals: BTreeMap<String, Vec<String>>,
+    pub max_machines: usize,
     /// From now on no task runs for longer than that.
-    pub runs_at_most: Ms,
+    pub max_run_ms: Ms,
 }
 
 impl Fleet {
-    pub fn new(terms: Terms, kinds: Vec<Kind>, capacity: usize) -> Fleet {
-        let (machines, jobs, charters) = Default::default();
-        Fleet { terms, kinds, machines, jobs, charters, capacity, runs_at_most: Ms::MAX }
+    pub fn new(settings: WorkerSettings, machine_types: Vec<MachineType>, max_machines: usize) -> Fleet {
+        let (machines, jobs, rentals) = Default::default();
+        Fleet { settings, machine_types, machines, jobs, rentals, max_machines, max_run_ms: Ms::MAX }
     }
 
     /// A machine is rented; its name.
-    pub fn add(&mut self, now: Ms, kind: &str, zone: &str, spot: bool, addr: String, boots: Ms) -> String {
+    pub fn add_machine(
+        &mut self,
+        now: Ms,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        addr: String,
+        boot_ms: Ms,
+    ) -> String {
         let name = format!("m-{:06}", self.machines.len() + 1);
         let machine = Machine {
             name: name.clone(),
-            kind: kind.to_owned(),
+            machine_type: machine_type.to_owned(),
             zone: zone.to_owned(),
             spot,
             addr,
             rented_at: now,
-            up_at: now + boots,
+            up_at: now + boot_ms,
             dead: false,
             session: 1,
-            tally: 0,
+            report_count: 0,
             token: 0,
-            renewed: now + boots,
+            lease_renewed_at: now + boot_ms,
             tasks: BTreeMap::new(),
-            target: self.machines.len(),
+            target_node: self.machines.len(),
             changed: true,
             hung_until: 0,
             cut_until: 0,
-            deaf_until: 0,
-            mute_until: 0,
+            not_receiving_until: 0,
+            not_sending_until: 0,
         };
         self.machines.insert(name.clone(), machine);
         name
     }
 
     /// A machine is gone, and everything on it.
-    pub fn remove(&mut self, history: &mut History, name: &str, now: Ms) {
-        let lease = self.terms.lease_ms;
+    pub fn remove_machine(&mut self, history: &mut History, name: &str, now: Ms) {
+        let lease_ms = self.settings.lease_ms;
         let Some(machine) = self.machines.get_mut(name).filter(|m| !m.dead) else { return };
-        machine.lapse(history, now, lease);
+        machine.expire_lease(history, now, lease_ms);
         machine.dead = true;
         for task in machine.tasks.values_mut() {
-            if let Some(stay) = task.stay.take() {
-                history.stays[stay].until = Some(now);
+            if let Some(run) = task.run.take() {
+                history.task_runs[run].ended_at = Some(now);
             }
         }
         machine.tasks.clear();
     }
 
     /// What a task of a job would take that is on a machine.
-    fn used(&self, machine: &Machine) -> Amount {
-        let here = machine.tasks.iter().filter(|(_, t)| t.phase != Phase::Ended);
+    fn used_resources(&self, machine: &Machine) -> Amount {
+        let here = machine.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended);
         let needs = here.filter_map(|(key, _)| self.jobs.get(&key.0)).map(|j| j.facts.need);
         needs.fold(Amount::default(), |a, b| Amount { cpu: a.cpu + b.cpu, gpu: a.gpu + b.gpu })
     }
 
     /// What is free on each machine that is up at this moment.
-    pub fn look(&self, now: Ms) -> Look {
+    pub fn capacity_snapshot(&self, now: Ms) -> CapacitySnapshot {
         let free = |m: &Machine| {
-            let has = self.kinds.iter().find(|k| k.name == m.kind).map(|k| k.has).unwrap_or_default();
-            let used = self.used(m);
-            let free =
-                Amount { cpu: has.cpu.saturating_sub(used.cpu), gpu: has.gpu.saturating_sub(used.gpu) };
-            Room { machine: m.name.clone(), zone: m.zone.clone(), spot: m.spot, free }
+            let capacity = self
+                .machine_types
+                .iter()
+                .find(|k| k.name == m.machine_type)
+                .map(|k| k.capacity)
+                .unwrap_or_default();
+            let used = self.used_resources(m);
+            let free = Amount {
+                cpu: capacity.cpu.saturating_sub(used.cpu),
+                gpu: capacity.gpu.saturating_sub(used.gpu),
+            };
+            MachineCapacity { machine: m.name.clone(), zone: m.zone.clone(), spot: m.spot, free }
         };
-        let rooms = self.machines.values().filter(|m| m.up(now)).map(free).collect();
-        Look { at: now, rooms }
+        let machines = self.machines.values().filter(|m| m.is_up(now)).map(free).collect();
+        CapacitySnapshot { at: now, machines }
     }
 
     /// Time passes: images arrive, tasks end, leases run out, gangs begin and fail.
     pub fn advance(&mut self, history: &mut History, now: Ms) {
-        let (terms, most) = (self.terms, self.runs_at_most);
-        let run = |job: &Behaviour| if job.facts.service { Ms::MAX } else { job.run_ms.min(most) };
-        for machine in self.machines.values_mut().filter(|m| m.acts(now)) {
-            machine.lapse(history, now, terms.lease_ms);
-            let due: Vec<Key> = machine
+        let (settings, max_run) = (self.settings, self.max_run_ms);
+        let run_ms = |job: &JobBehaviour| if job.facts.service { Ms::MAX } else { job.run_ms.min(max_run) };
+        for machine in self.machines.values_mut().filter(|m| m.is_active(now)) {
+            machine.expire_lease(history, now, settings.lease_ms);
+            let due: Vec<TaskKey> = machine
                 .tasks
                 .iter()
-                .filter(|(_, t)| t.phase != Phase::Ended && t.next <= now)
+                .filter(|(_, t)| t.state != TaskState::Ended && t.state_ends_at <= now)
                 .map(|(k, _)| k.clone())
                 .collect();
             for key in due {
                 let Some(job) = self.jobs.get(&key.0) else { continue };
                 let Some(task) = machine.tasks.get_mut(&key) else { continue };
-                match task.phase {
-                    Phase::Fetching => {
-                        history.stays.push(Stay {
+                match task.state {
+                    TaskState::Fetching => {
+                        history.task_runs.push(TaskRun {
                             job: key.0.clone(),
                             index: key.1,
                             machine: machine.name.clone(),
-                            kind: machine.kind.clone(),
+                            machine_type: machine.machine_type.clone(),
                             zone: machine.zone.clone(),
                             spot: machine.spot,
-                            from: now,
-                            until: None,
+                            started_at: now,
+                            ended_at: None,
                         });
-                        task.stay = Some(history.stays.len() - 1);
-                        let again = history.completed.get(&key.0).is_some_and(|c| c.contains_key(&key.1));
-                        if again {
+                        task.run = Some(history.task_runs.len() - 1);
+                        let already_completed =
+                            history.completed.get(&key.0).is_some_and(|c| c.contains_key(&key.1));
+                        if already_completed {
                             // The result is kept.
-                            machine.end(history, &key, "done", now);
+                            machine.end_task(history, &key, "done", now);
                             continue;
                         }
-                        let (phase, next) = if job.facts.gang {
-                            (Phase::Waiting, now + terms.gang_wait_ms)
+                        let (state, state_ends_at) = if job.facts.gang {
+                            (TaskState::Waiting, now + settings.gang_wait_ms)
                         } else {
-                            (Phase::Running, now.saturating_add(run(job)))
+                            (TaskState::Running, now.saturating_add(run_ms(job)))
                         };
-                        (task.phase, task.next) = (phase, next);
+                        (task.state, task.state_ends_at) = (state, state_ends_at);
                         machine.changed = true;
                     }
-                    Phase::Waiting => machine.end(history, &key, "incomplete", now),
+                    TaskState::Waiting => machine.end_task(history, &key, "incomplete", now),
                     // Gangs complete together.
-                    Phase::Running if job.facts.gang => {}
-                    Phase::Running => {
+                    TaskState::Running if job.facts.gang => {}
+                    TaskState::Running => {
                         let completed = history.completed.entry(key.0.clone()).or_default();
                         completed.entry(key.1).or_insert(now);
-                        machine.end(history, &key, "done", now);
+                        machine.end_task(history, &key, "done", now);
                     }
-                    Phase::Saving => machine.end(history, &key, "stopped", now),
-                    Phase::Ended => {}
+                    TaskState::Saving => machine.end_task(history, &key, "stopped", now),
+                    TaskState::Ended => {}
                 }
             }
         }
-        self.gangs(history, now);
+        self.advance_gangs(history, now);
     }
 
     /// From now on no task runs for longer than that, but for services.
-    pub fn hurry(&mut self, now: Ms, most: Ms) {
-        self.runs_at_most = most;
+    pub fn limit_run_time(&mut self, now: Ms, max_run: Ms) {
+        self.max_run_ms = max_run;
         for machine in self.machines.values_mut() {
-            for (key, task) in machine.tasks.iter_mut().filter(|(_, t)| t.phase == Phase::Running) {
+            for (key, task) in machine.tasks.iter_mut().filter(|(_, t)| t.state == TaskState::Running) {
                 if self.jobs.get(&key.0).is_some_and(|j| !j.facts.service) {
-                    task.next = task.next.min(now + most);
+                    task.state_ends_at = task.state_ends_at.min(now + max_run);
                 }
             }
         }
     }
 
     /// Gangs begin when all their tasks wait, complete together, and fail together.
-    fn gangs(&mut self, history: &mut History, now: Ms) {
-        let mut gangs: BTreeMap<(String, u64), Vec<Member>> = BTreeMap::new();
+    fn advance_gangs(&mut self, history: &mut History, now: Ms) {
+        let mut gangs: BTreeMap<(String, u64), Vec<GangMember>> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| !m.dead) {
-            for (key, task) in machine.tasks.iter().filter(|(_, t)| t.phase != Phase::Ended) {
+            for (key, task) in machine.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended) {
                 if self.jobs.get(&key.0).is_some_and(|j| j.facts.gang) {
-                    let member = (machine.name.clone(), key.clone(), task.phase, task.next);
+                    let member = (machine.name.clone(), key.clone(), task.state, task.state_ends_at);
                     gangs.entry((key.0.clone(), key.2)).or_default().push(member);
                 }
             }
@@ -316,34 +332,35 @@
         for ((job, _), members) in gangs {
             let Some(behaviour) = self.jobs.get(&job) else { continue };
             let size = behaviour.facts.tasks as usize;
-            let count = |phase: Phase| members.iter().filter(|m| m.2 == phase).count();
-            let acts = |name: &String| self.machines.get(name).is_some_and(|m| m.acts(now));
-            let all_act = members.iter().all(|m| acts(&m.0));
-            let run = behaviour.run_ms.min(self.runs_at_most);
-            let running = count(Phase::Running);
-            if count(Phase::Waiting) == size && all_act {
+            let count = |state: TaskState| members.iter().filter(|m| m.2 == state).count();
+            let is_active = |name: &String| self.machines.get(name).is_some_and(|m| m.is_active(now));
+            let all_active = members.iter().all(|m| is_active(&m.0));
+            let run_ms = behaviour.run_ms.min(self.max_run_ms);
+            let running = count(TaskState::Running);
+            if count(TaskState::Waiting) == size && all_active {
                 for (name, key, ..) in &members {
                     let Some(machine) = self.machines.get_mut(name) else { continue };
                     if let Some(task) = machine.tasks.get_mut(key) {
-                        (task.phase, task.next) = (Phase::Running, now + run);
+                        (task.state, task.state_ends_at) = (TaskState::Running, now + run_ms);
                         machine.changed = true;
                     }
                 }
-            } else if running == size && all_act && members.iter().all(|m| m.3 <= now) {
+            } else if running == size && all_active && members.iter().all(|m| m.3 <= now) {
                 let completed = history.completed.entry(job.clone()).or_default();
                 for (_, key, ..) in &members {
                     completed.entry(key.1).or_insert(now);
                 }
                 for (name, key, ..) in &members {
                     if let Some(machine) = self.machines.get_mut(name) {
-                        machine.end(history, key, "done", now);
+                        machine.end_task(history, key, "done", now);
                     }
                 }
             } else if running > 0 && running < size {
-                let ends: Vec<_> = members.iter().filter(|m| m.2 == Phase::Running && acts(&m.0)).collect();
-                for (name, key, ..) in ends {
+                let to_end: Vec<_> =
+                    members.iter().filter(|m| m.2 == TaskState::Running && is_active(&m.0)).collect();
+                for (name, key, ..) in to_end {
                     if let Some(machine) = self.machines.get_mut(name) {
-                        machine.end(history, key, "peers", now);
+                        machine.end_task(history, key, "peers", now);
                     }
                 }
             }
@@ -351,30 +368,30 @@
     }
 
     /// A worker carries out a command.
-    fn obey(&mut self, history: &mut History, name: &str, order: &Value, now: Ms) {
+    fn execute_order(&mut self, history: &mut History, name: &str, order: &Value, now: Ms) {
         let Some((job, index)) = order["Piece"].as_str().and_then(|p| p.split_once('/')) else { return };
         let Ok(index) = index.parse::<u32>() else { return };
-        let key: Key = (job.to_owned(), index, order["Launch"].as_u64().unwrap_or(0));
+        let key: TaskKey = (job.to_owned(), index, order["Launch"].as_u64().unwrap_or(0));
         match order["Verb"].as_str() {
-            Some("run") => self.start(name, key, now),
+            Some("run") => self.start_task(name, key, now),
             Some("kill") => {
-                let stow = self.jobs.get(job).map_or(0, |j| j.stow_ms);
-                let leeway = (order["LeewayS"].as_f64().unwrap_or(0.0) * 1e3) as Ms;
+                let save = self.jobs.get(job).map_or(0, |j| j.save_ms);
+                let grace = (order["LeewayS"].as_f64().unwrap_or(0.0) * 1e3) as Ms;
                 let Some(machine) = self.machines.get_mut(name) else { return };
                 let Some(task) = machine.tasks.get_mut(&key) else { return };
-                match task.phase {
-                    Phase::Ended => {}
-                    Phase::Running if stow > 0 && leeway >= stow => {
-                        (task.phase, task.next) = (Phase::Saving, now + stow);
+                match task.state {
+                    TaskState::Ended => {}
+                    TaskState::Running if save > 0 && grace >= save => {
+                        (task.state, task.state_ends_at) = (TaskState::Saving, now + save);
                         machine.changed = true;
                     }
-                    Phase::Saving if leeway > 0 => {}
-                    _ => machine.end(history, &key, "stopped", now),
+                    TaskState::Saving if grace > 0 => {}
+                    _ => machine.end_task(history, &key, "stopped", now),
                 }
             }
             Some("forget") => {
                 let Some(machine) = self.machines.get_mut(name) else { return };
-                if machine.tasks.get(&key).is_some_and(|t| t.phase == Phase::Ended) {
+                if machine.tasks.get(&key).is_some_and(|t| t.state == TaskState::Ended) {
                     machine.tasks.remove(&key);
                     machine.changed = true;
                 }
@@ -383,24 +400,30 @@
         }
     }
 
-    fn start(&mut self, name: &str, key: Key, now: Ms) {
+    fn start_task(&mut self, name: &str, key: TaskKey, now: Ms) {
         let Some(machine) = self.machines.get(name) else { return };
         if machine.tasks.contains_key(&key) {
             return;
         }
-        let refused = |cause| Task { phase: Phase::Ended, cause: Some(cause), next: 0, stay: None };
-        let has = self.kinds.iter().find(|k| k.name == machine.kind).map(|k| k.has).unwrap_or_default();
-        let used = self.used(machine);
-        let fits = |need: Amount| used.cpu + need.cpu <= has.cpu && used.gpu + need.gpu <= has.gpu;
-        let other =
-            machine.tasks.iter().any(|(k, t)| (&k.0, k.1) == (&key.0, key.1) && t.phase != Phase::Ended);
+        let rejected =
+            |cause| Task { state: TaskState::Ended, cause: Some(cause), state_ends_at: 0, run: None };
+        let capacity = self
+            .machine_types
+            .iter()
+            .find(|k| k.name == machine.machine_type)
+            .map(|k| k.capacity)
+            .unwrap_or_default();
+        let used = self.used_resources(machine);
+        let fits = |need: Amount| used.cpu + need.cpu <= capacity.cpu && used.gpu + need.gpu <= capacity.gpu;
+        let other_attempt =
+            machine.tasks.iter().any(|(k, t)| (&k.0, k.1) == (&key.0, key.1) && t.state != TaskState::Ended);
         let task = match self.jobs.get(&key.0).filter(|j| key.1 < j.facts.tasks) {
-            None => refused("no_such"),
-            Some(_) if other => refused("in_use"),
-            Some(job) if !fits(job.facts.need) => refused("full"),
+            None => rejected("no_such"),
+            Some(_) if other_attempt => rejected("in_use"),
+            Some(job) if !fits(job.facts.need) => rejected("full"),
             Some(_) => {
-                let fetch = rand::rng().random_range(50..900);
-                Task { phase: Phase::Fetching, cause: None, next: now + fetch, stay: None }
+                let fetch_ms = rand::rng().random_range(50..900);
+                Task { state: TaskState::Fetching, cause: None, state_ends_at: now + fetch_ms, run: None }
             }
         };
         if let Some(machine) = self.machines.get_mut(name) {
@@ -409,33 +432,33 @@
         }
     }
 
-    pub fn obey_all(&mut self, history: &mut History, name: &str, orders: &Value, now: Ms) {
+    pub fn execute_orders(&mut self, history: &mut History, name: &str, orders: &Value, now: Ms) {
         for order in orders.as_array().into_iter().flatten() {
-            self.obey(history, name, order, now);
+            self.execute_order(history, name, order, now);
         }
     }
 
     /// Commands that came to a worker's own address: the status and its report.
-    pub fn direct(
+    pub fn handle_direct_orders(
         &mut self,
         history: &mut History,
         name: &str,
         body: &Value,
         now: Ms,
     ) -> (StatusCode, Value) {
-        let lease = self.terms.lease_ms;
+        let lease_ms = self.settings.lease_ms;
         let Some(machine) = self.machines.get_mut(name) else { return (StatusCode::NOT_FOUND, json!({})) };
-        machine.lapse(history, now, lease);
+        machine.expire_lease(history, now, lease_ms);
         let (Some(token), Some(session)) = (body["Helm"].as_u64(), body["Watch"].as_u64()) else {
             return (StatusCode::BAD_REQUEST, json!({"error": "Helm or Watch is missing"}));
         };
         if token < machine.token || session != machine.session {
-            return (StatusCode::CONFLICT, machine.report());
+            return (StatusCode::CONFLICT, machine.next_report());
         }
         machine.changed |= token > machine.token;
         machine.token = token;
-        self.obey_all(history, name, &body["Orders"], now);
-        let report = self.machines.get_mut(name).map(Machine::report).unwrap_or_default();
+        self.execute_orders(history, name, &body["Orders"], now);
+        let report = self.machines.get_mut(name).map(Machine::next_report).unwrap_or_default();
         (StatusCode::OK, report)
     }
 }
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -34,21 +34,21 @@
 
 /// A task on a machine.
 #[derive(Clone, Debug)]
-pub struct Stay {
+pub struct TaskRun {
     pub job: String,
     pub index: u32,
     pub machine: String,
-    pub kind: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub from: Ms,
+    pub started_at: Ms,
     /// None while it is there.
-    pub until: Option<Ms>,
+    pub ended_at: Option<Ms>,
 }
 
 /// What a user was told of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum AnswerKind {
     Live,
     Done,
     Withdrawn,
@@ -64,12 +64,12 @@
     pub job: String,
     pub sent: Ms,
     pub at: Ms,
-    pub told: Told,
+    pub kind: AnswerKind,
 }
 
 /// What is free on a machine.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct MachineCapacity {
     pub machine: String,
     pub zone: String,
     pub spot: bool,
@@ -78,9 +78,9 @@
 
 /// The machines that were up at a moment.
 #[derive(Clone, Debug)]
-pub struct Look {
+pub struct CapacitySnapshot {
     pub at: Ms,
-    pub rooms: Vec<Room>,
+    pub machines: Vec<MachineCapacity>,
 }
 
 /// A run.
@@ -90,39 +90,39 @@
     pub limits: BTreeMap<String, Amount>,
     pub cancel_ms: Ms,
     pub jobs: BTreeMap<String, JobFacts>,
-    pub stays: Vec<Stay>,
+    pub task_runs: Vec<TaskRun>,
     /// When each task of a job first completed.
     pub completed: BTreeMap<String, BTreeMap<u32, Ms>>,
     pub answers: Vec<Answer>,
     /// When users first asked to cancel a job.
-    pub cancels: BTreeMap<String, Ms>,
+    pub cancel_requested_at: BTreeMap<String, Ms>,
     /// What was free on the machines, from moment to moment.
-    pub looks: Vec<Look>,
+    pub snapshots: Vec<CapacitySnapshot>,
     /// Controllers that ended though nobody had ended them.
-    pub ended: Vec<String>,
+    pub unexpected_exits: Vec<String>,
     /// From then on nothing more befalls anybody.
-    pub calm_from: Ms,
-    pub over_at: Ms,
+    pub faults_end: Ms,
+    pub run_ended_at: Ms,
 }
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: &'static str,
     pub at: Ms,
-    pub what: String,
+    pub details: String,
 }
 
 /// What a run met, beside broken rules.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct Statistics {
     /// The largest part of any limit that was used, in thousandths.
-    pub peak: u64,
+    pub peak_usage: u64,
     pub starts: usize,
     /// Confirmed cancellations before the calm.
-    pub cancelled: usize,
+    pub confirmed_cancellations: usize,
     /// Starts after a confirmed cancellation.
-    pub late_starts: usize,
+    pub starts_after_cancellation: usize,
     pub accepted: usize,
     pub done: usize,
     /// Jobs that were not cancelled and not done when the run was over.
@@ -130,82 +130,86 @@
 }
 
 /// How long a job may go without an answered question in calm.
-const FORGOTTEN: Ms = 20_000;
+const MAX_UNANSWERED: Ms = 20_000;
 /// How long a job may wait in calm while its team has room for one more of its tasks. Whether a machine would have fitted
 /// is not judged: there are more to be rented than any limit can use.
-const NEGLECTED: Ms = 25_000;
+const MAX_WAIT_WITHIN_LIMITS: Ms = 25_000;
 
 impl History {
-    fn broken(rule: &'static str, at: Ms, what: String) -> Broken {
-        Broken { rule, at, what }
+    fn violation(rule: &'static str, at: Ms, details: String) -> Violation {
+        Violation { rule, at, details }
     }
 
     /// Every broken rule, the earliest first.
-    pub fn judge(&self) -> Vec<Broken> {
+    pub fn find_violations(&self) -> Vec<Violation> {
         let mut all = Vec::new();
-        all.extend(self.twice());
-        all.extend(self.limits_exceeded());
-        all.extend(self.misplaced());
-        all.extend(self.cancelled_still_there());
-        all.extend(self.wrong_answers());
-        all.extend(self.left_over());
-        if self.stays.is_empty() {
-            all.push(Self::broken("nothing_ran", self.over_at, "no task was started".into()));
+        all.extend(self.find_concurrent_runs());
+        all.extend(self.find_limit_violations());
+        all.extend(self.find_misplaced_runs());
+        all.extend(self.find_runs_after_cancellation());
+        all.extend(self.find_wrong_answers());
+        all.extend(self.find_unresolved_jobs());
+        if self.task_runs.is_empty() {
+            all.push(Self::violation("nothing_ran", self.run_ended_at, "no task was started".into()));
         }
-        all.extend(self.ended.iter().map(|who| Self::broken("ended", self.over_at, who.clone())));
-        all.sort_by_key(|b| b.at);
+        all.extend(
+            self.unexpected_exits
+                .iter()
+                .map(|exit| Self::violation("ended", self.run_ended_at, exit.clone())),
+        );
+        all.sort_by_key(|v| v.at);
         all
     }
 
-    fn end(&self, stay: &Stay) -> Ms {
-        stay.until.unwrap_or(self.over_at)
+    fn run_end(&self, run: &TaskRun) -> Ms {
+        run.ended_at.unwrap_or(self.run_ended_at)
     }
 
-    fn there(&self, stay: &Stay, at: Ms) -> bool {
-        stay.from <= at && at < self.end(stay)
+    fn is_present_at(&self, run: &TaskRun, at: Ms) -> bool {
+        run.started_at <= at && at < self.run_end(run)
     }
 
     /// A task starts on a machine while it is on another.
-    fn twice(&self) -> Vec<Broken> {
-        let mut of: BTreeMap<(&str, u32), Vec<&Stay>> = BTreeMap::new();
-        for stay in &self.stays {
-            of.entry((&stay.job, stay.index)).or_default().push(stay);
+    fn find_concurrent_runs(&self) -> Vec<Violation> {
+        let mut by_key: BTreeMap<(&str, u32), Vec<&TaskRun>> = BTreeMap::new();
+        for run in &self.task_runs {
+            by_key.entry((&run.job, run.index)).or_default().push(run);
         }
-        let mut broken = Vec::new();
-        for ((job, index), stays) in of {
-            for (n, stay) in stays.iter().enumerate() {
-                let other = stays.iter().enumerate().find(|(m, other)| {
+        let mut violations = Vec::new();
+        for ((job, index), task_runs) in by_key {
+            for (n, run) in task_runs.iter().enumerate() {
+                let other = task_runs.iter().enumerate().find(|(m, other)| {
                     *m != n
-                        && other.machine != stay.machine
-                        && other.from <= stay.from
-                        && self.there(other, stay.from)
+                        && other.machine != run.machine
+                        && other.started_at <= run.started_at
+                        && self.is_present_at(other, run.started_at)
                 });
                 if let Some((_, other)) = other {
-                    let what = format!("{job}/{index} on {} and {}", other.machine, stay.machine);
-                    broken.push(Self::broken("ran_twice", stay.from, what));
+                    let details = format!("{job}/{index} on {} and {}", other.machine, run.machine);
+                    violations.push(Self::violation("ran_twice", run.started_at, details));
                 }
             }
         }
-        broken
+        violations
     }
 
     /// What a team uses, each time that it changes.
     fn usage(&self, team: &str) -> Vec<(Ms, Amount)> {
         let mut changes: Vec<(Ms, bool, Amount)> = Vec::new();
-        for stay in &self.stays {
-            let Some(job) = self.jobs.get(&stay.job).filter(|j| j.team == team) else { continue };
-            let end = self.end(stay);
-            if end > stay.from {
-                changes.push((stay.from, true, job.need));
+        for run in &self.task_runs {
+            let Some(job) = self.jobs.get(&run.job).filter(|j| j.team == team) else { continue };
+            let end = self.run_end(run);
+            if end > run.started_at {
+                changes.push((run.started_at, true, job.need));
                 changes.push((end, false, job.need));
             }
         }
         // What ends at a moment ends before what begins then.
-        changes.sort_by_key(|(at, begins, _)| (*at, *begins));
+        changes.sort_by_key(|(at, is_start, _)| (*at, *is_start));
         let mut used = Amount::default();
         let mut usage = Vec::new();
-        for (at, begins, need) in changes {
-            if begins {
+        for (at, is_start, need) in changes {
+            if is_start {
                 used = Amount { cpu: used.cpu + need.cpu, gpu: used.gpu + need.gpu };
             } else {
                 used = Amount { cpu: used.cpu - need.cpu, gpu: used.gpu - need.gpu };
@@ -215,145 +219,152 @@
         usage
     }
 
-    fn limits_exceeded(&self) -> Vec<Broken> {
-        let mut broken = Vec::new();
+    fn find_limit_violations(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for (team, limit) in &self.limits {
-            let beyond = |used: &Amount| {
+            let exceeds = |used: &Amount| {
                 limit.cpu > 0 && used.cpu > limit.cpu || limit.gpu > 0 && used.gpu > limit.gpu
             };
             // Once for each time that it is exceeded, however it goes on from there.
             let mut exceeded = false;
             for (at, used) in self.usage(team) {
-                if beyond(&used) && !exceeded {
-                    let what = format!("{team} uses {used:?} of {limit:?}");
-                    broken.push(Self::broken("quota", at, what));
+                if exceeds(&used) && !exceeded {
+                    let details = format!("{team} uses {used:?} of {limit:?}");
+                    violations.push(Self::violation("quota", at, details));
                 }
-                exceeded = beyond(&used);
+                exceeded = exceeds(&used);
             }
         }
-        broken
+        violations
     }
 
-    fn misplaced(&self) -> Vec<Broken> {
-        let mut broken = Vec::new();
-        for stay in &self.stays {
-            let Some(job) = self.jobs.get(&stay.job) else { continue };
-            let with: Vec<&Stay> =
-                self.stays.iter().filter(|s| s.job == stay.job && self.there(s, stay.from)).collect();
-            let zones: BTreeSet<&str> = with.iter().map(|s| s.zone.as_str()).collect();
-            let here = with.iter().filter(|s| s.zone == stay.zone).count();
-            let wrong = job.kinds.as_ref().is_some_and(|kinds| !kinds.contains(&stay.kind))
-                || job.zone.as_ref().is_some_and(|zone| *zone != stay.zone)
-                || !job.spot && stay.spot
+    fn find_misplaced_runs(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for run in &self.task_runs {
+            let Some(job) = self.jobs.get(&run.job) else { continue };
+            let concurrent: Vec<&TaskRun> = self
+                .task_runs
+                .iter()
+                .filter(|r| r.job == run.job && self.is_present_at(r, run.started_at))
+                .collect();
+            let zones: BTreeSet<&str> = concurrent.iter().map(|r| r.zone.as_str()).collect();
+            let in_same_zone = concurrent.iter().filter(|r| r.zone == run.zone).count();
+            let wrong = job.kinds.as_ref().is_some_and(|kinds| !kinds.contains(&run.machine_type))
+                || job.zone.as_ref().is_some_and(|zone| *zone != run.zone)
+                || !job.spot && run.spot
                 || job.one_zone && zones.len() > 1
-                || job.spread && here > job.tasks.div_ceil(2) as usize;
+                || job.spread && in_same_zone > job.tasks.div_ceil(2) as usize;
             if wrong {
-                let what = format!("{}/{} on {} in {}", stay.job, stay.index, stay.machine, stay.zone);
-                broken.push(Self::broken("wrong_place", stay.from, what));
+                let details = format!("{}/{} on {} in {}", run.job, run.index, run.machine, run.zone);
+                violations.push(Self::violation("wrong_place", run.started_at, details));
             }
         }
-        broken
+        violations
     }
 
     /// When a job's user was first told that it is cancelled.
-    fn confirmed(&self, job: &str) -> Option<Ms> {
-        let told = self.answers.iter().filter(|a| a.job == job && a.told == Told::Withdrawn);
-        told.map(|a| a.at).min()
+    fn cancellation_confirmed_at(&self, job: &str) -> Option<Ms> {
+        let withdrawn = self.answers.iter().filter(|a| a.job == job && a.kind == AnswerKind::Withdrawn);
+        withdrawn.map(|a| a.at).min()
     }
 
-    fn confirmations(&self) -> BTreeMap<&str, Ms> {
+    fn confirmed_cancellations(&self) -> BTreeMap<&str, Ms> {
         let jobs: BTreeSet<&str> =
-            self.answers.iter().filter(|a| a.told == Told::Withdrawn).map(|a| a.job.as_str()).collect();
-        jobs.into_iter().filter_map(|job| Some((job, self.confirmed(job)?))).collect()
+            self.answers.iter().filter(|a| a.kind == AnswerKind::Withdrawn).map(|a| a.job.as_str()).collect();
+        jobs.into_iter().filter_map(|job| Some((job, self.cancellation_confirmed_at(job)?))).collect()
     }
 
-    fn cancelled_still_there(&self) -> Vec<Broken> {
-        let confirmed = self.confirmations();
-        let mut broken = Vec::new();
-        for stay in &self.stays {
-            let Some(at) = confirmed.get(stay.job.as_str()) else { continue };
-            let last = at + self.cancel_ms;
-            if self.end(stay) > last {
-                let what =
-                    format!("{}/{} on {} until {}", stay.job, stay.index, stay.machine, self.end(stay));
-                broken.push(Self::broken("ran_cancelled", last.max(stay.from), what));
+    fn find_runs_after_cancellation(&self) -> Vec<Violation> {
+        let confirmed = self.confirmed_cancellations();
+        let mut violations = Vec::new();
+        for run in &self.task_runs {
+            let Some(at) = confirmed.get(run.job.as_str()) else { continue };
+            let deadline = at + self.cancel_ms;
+            if self.run_end(run) > deadline {
+                let details =
+                    format!("{}/{} on {} until {}", run.job, run.index, run.machine, self.run_end(run));
+                violations.push(Self::violation("ran_cancelled", deadline.max(run.started_at), details));
             }
         }
-        broken
+        violations
     }
 
-    fn wrong_answers(&self) -> Vec<Broken> {
-        let mut broken = Vec::new();
-        let mut of: BTreeMap<&str, Vec<&Answer>> = BTreeMap::new();
+    fn find_wrong_answers(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        let mut by_key: BTreeMap<&str, Vec<&Answer>> = BTreeMap::new();
         for answer in &self.answers {
-            of.entry(&answer.job).or_default().push(answer);
+            by_key.entry(&answer.job).or_default().push(answer);
         }
-        for (job, answers) in of {
+        for (job, answers) in by_key {
             let facts = self.jobs.get(job);
-            let first =
-                |which: fn(Told) -> bool| answers.iter().filter(|a| which(a.told)).map(|a| a.at).min();
-            let accepted = first(|t| matches!(t, Told::Live | Told::Done | Told::Withdrawn));
-            let done = first(|t| t == Told::Done);
-            let withdrawn = first(|t| t == Told::Withdrawn);
+            let first = |matches: fn(AnswerKind) -> bool| {
+                answers.iter().filter(|a| matches(a.kind)).map(|a| a.at).min()
+            };
+            let accepted =
+                first(|t| matches!(t, AnswerKind::Live | AnswerKind::Done | AnswerKind::Withdrawn));
+            let done = first(|t| t == AnswerKind::Done);
+            let withdrawn = first(|t| t == AnswerKind::Withdrawn);
             for a in &answers {
-                let what = |why: &str| format!("{job}: {:?} to a question of {}: {why}", a.told, a.sent);
-                let known = matches!(a.told, Told::Live | Told::Done | Told::Withdrawn);
+                let details = |why: &str| format!("{job}: {:?} to a question of {}: {why}", a.kind, a.sent);
+                let known = matches!(a.kind, AnswerKind::Live | AnswerKind::Done | AnswerKind::Withdrawn);
                 if facts.is_none() && known {
-                    broken.push(Self::broken("invented", a.at, what("nobody submitted it")));
+                    violations.push(Self::violation("invented", a.at, details("nobody submitted it")));
                 }
                 if !known && facts.is_some() && accepted.is_some_and(|at| a.sent > at) {
-                    broken.push(Self::broken("forgotten", a.at, what("it had been accepted")));
+                    violations.push(Self::violation("forgotten", a.at, details("it had been accepted")));
                 }
-                let older = match a.told {
-                    Told::Live => done.or(withdrawn).is_some_and(|at| a.sent > at),
-                    Told::Done => withdrawn.is_some(),
-                    Told::Withdrawn => done.is_some() || self.cancels.get(job).is_none_or(|at| *at > a.at),
+                let contradicts = match a.kind {
+                    AnswerKind::Live => done.or(withdrawn).is_some_and(|at| a.sent > at),
+                    AnswerKind::Done => withdrawn.is_some(),
+                    AnswerKind::Withdrawn => {
+                        done.is_some() || self.cancel_requested_at.get(job).is_none_or(|at| *at > a.at)
+                    }
                     _ => false,
                 };
-                if older {
-                    broken.push(Self::broken(
+                if contradicts {
+                    violations.push(Self::violation(
                         "went_back",
                         a.at,
-                        what("it had been told otherwise, or not asked for"),
+                        details("it had been told otherwise, or not asked for"),
                     ));
                 }
-                if a.told == Told::Done
+                if a.kind == AnswerKind::Done
                     && let Some(facts) = facts
                 {
-                    let ended =
+                    let completed_tasks =
                         self.completed.get(job).map_or(0, |c| c.values().filter(|at| **at <= a.at).count());
-                    if ended < facts.tasks as usize {
-                        broken.push(Self::broken(
+                    if completed_tasks < facts.tasks as usize {
+                        violations.push(Self::violation(
                             "not_done",
                             a.at,
-                            what(&format!("{ended} tasks had completed")),
+                            details(&format!("{completed_tasks} tasks had completed")),
                         ));
                     }
                 }
             }
         }
-        broken
+        violations
     }
 
     /// Jobs whose users were told that they are accepted, and not yet that they are over.
-    pub fn undecided(&self) -> BTreeSet<&String> {
-        let told = |which: fn(Told) -> bool| -> BTreeSet<&String> {
-            self.answers.iter().filter(|a| which(a.told)).map(|a| &a.job).collect()
+    pub fn unresolved_jobs(&self) -> BTreeSet<&String> {
+        let jobs_with = |matches: fn(AnswerKind) -> bool| -> BTreeSet<&String> {
+            self.answers.iter().filter(|a| matches(a.kind)).map(|a| &a.job).collect()
         };
-        let over = told(|t| matches!(t, Told::Done | Told::Withdrawn));
-        told(|t| t == Told::Live).difference(&over).copied().collect()
+        let ended = jobs_with(|t| matches!(t, AnswerKind::Done | AnswerKind::Withdrawn));
+        jobs_with(|t| t == AnswerKind::Live).difference(&ended).copied().collect()
     }
 
     /// Of these, the jobs that nobody has asked to cancel and that are no services.
-    fn open_jobs(&self) -> Vec<(&String, &JobFacts)> {
-        let undecided = self.undecided();
-        let jobs = self.jobs.iter().filter(|(job, f)| undecided.contains(job) && !f.service);
-        jobs.filter(|(job, _)| !self.cancels.contains_key(*job)).collect()
+    fn unfinished_jobs(&self) -> Vec<(&String, &JobFacts)> {
+        let unresolved_jobs = self.unresolved_jobs();
+        let jobs = self.jobs.iter().filter(|(job, f)| unresolved_jobs.contains(job) && !f.service);
+        jobs.filter(|(job, _)| !self.cancel_requested_at.contains_key(*job)).collect()
     }
 
     /// Whether a team would have had room under its limits from a moment on for what a job starts with: one more task, or
     /// all of a gang. A gang runs whole or not at all and its tasks complete together, so that none is done while it waits.
-    fn has_room_since(&self, facts: &JobFacts, since: Ms) -> bool {
+    fn fits_limits_since(&self, facts: &JobFacts, since: Ms) -> bool {
         let Some(limit) = self.limits.get(&facts.team) else { return true };
         let tasks = if facts.gang { u64::from(facts.tasks) } else { 1 };
         let need = Amount { cpu: facts.need.cpu * tasks, gpu: facts.need.gpu * tasks };
@@ -368,79 +379,86 @@
     }
 
     /// Which machines have had room for a task of a job from a moment on, and how many were up at least.
-    fn rooms_since(&self, facts: &JobFacts, since: Ms) -> String {
-        let fits = |room: &Room| {
-            room.free.cpu >= facts.need.cpu
-                && room.free.gpu >= facts.need.gpu
-                && facts.zone.as_ref().is_none_or(|zone| *zone == room.zone)
-                && (facts.spot || !room.spot)
+    fn describe_capacity_since(&self, facts: &JobFacts, since: Ms) -> String {
+        let fits = |machine: &MachineCapacity| {
+            machine.free.cpu >= facts.need.cpu
+                && machine.free.gpu >= facts.need.gpu
+                && facts.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+                && (facts.spot || !machine.spot)
         };
-        let looks: Vec<&Look> = self.looks.iter().filter(|look| look.at >= since).collect();
-        let up = looks.iter().map(|look| look.rooms.len()).min().unwrap_or(0);
-        let fitting = looks.iter().map(|look| -> BTreeSet<&str> {
-            look.rooms.iter().filter(|room| fits(room)).map(|room| room.machine.as_str()).collect()
+        let snapshots: Vec<&CapacitySnapshot> =
+            self.snapshots.iter().filter(|snapshot| snapshot.at >= since).collect();
+        let min_up = snapshots.iter().map(|snapshot| snapshot.machines.len()).min().unwrap_or(0);
+        let fitting = snapshots.iter().map(|snapshot| -> BTreeSet<&str> {
+            snapshot
+                .machines
+                .iter()
+                .filter(|machine| fits(machine))
+                .map(|machine| machine.machine.as_str())
+                .collect()
         });
-        let throughout = fitting.reduce(|all, now| &all & &now).unwrap_or_default();
-        format!("of {up} machines up at least, room in all {} looks on {throughout:?}", looks.len())
+        let throughout = fitting.reduce(|all, next| &all & &next).unwrap_or_default();
+        format!("of {min_up} machines up at least, room in all {} looks on {throughout:?}", snapshots.len())
     }
 
     /// Once it is calm each accepted job is answered for, and none waits while its team has room for it.
-    fn left_over(&self) -> Vec<Broken> {
-        let mut broken = Vec::new();
-        for job in self.undecided().into_iter().filter(|job| self.jobs.contains_key(*job)) {
+    fn find_unresolved_jobs(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for job in self.unresolved_jobs().into_iter().filter(|job| self.jobs.contains_key(*job)) {
             let answers = self.answers.iter().filter(|a| a.job == *job);
-            let heard = answers.map(|a| a.at).max().unwrap_or_default().max(self.calm_from);
-            if self.over_at.saturating_sub(heard) > FORGOTTEN {
-                broken.push(Self::broken(
+            let last_answer = answers.map(|a| a.at).max().unwrap_or_default().max(self.faults_end);
+            if self.run_ended_at.saturating_sub(last_answer) > MAX_UNANSWERED {
+                violations.push(Self::violation(
                     "forgotten",
-                    self.over_at,
-                    format!("{job}: no answer since {heard}"),
+                    self.run_ended_at,
+                    format!("{job}: no answer since {last_answer}"),
                 ));
             }
         }
-        let since = self.over_at.saturating_sub(NEGLECTED);
-        if since < self.calm_from {
-            return broken;
+        let since = self.run_ended_at.saturating_sub(MAX_WAIT_WITHIN_LIMITS);
+        if since < self.faults_end {
+            return violations;
         }
-        for (job, facts) in self.open_jobs() {
-            let there = self.stays.iter().any(|s| s.job == *job && self.end(s) > since);
-            if !there && self.has_room_since(facts, since) {
-                let rooms = self.rooms_since(facts, since);
-                let what = format!("{job} has waited since {since} at least: {facts:?}; {rooms}");
-                broken.push(Self::broken("neglected", self.over_at, what));
+        for (job, facts) in self.unfinished_jobs() {
+            let was_present = self.task_runs.iter().any(|r| r.job == *job && self.run_end(r) > since);
+            if !was_present && self.fits_limits_since(facts, since) {
+                let capacity = self.describe_capacity_since(facts, since);
+                let details = format!("{job} has waited since {since} at least: {facts:?}; {capacity}");
+                violations.push(Self::violation("neglected", self.run_ended_at, details));
             }
         }
-        broken
+        violations
     }
 
     /// What the run met.
-    pub fn figures(&self) -> Figures {
-        let mut peak = 0;
+    pub fn statistics(&self) -> Statistics {
+        let mut peak_usage = 0;
         for (team, limit) in &self.limits {
             for (_, used) in self.usage(team) {
-                let part = |used: u64, limit: u64| (used * 1000).checked_div(limit).unwrap_or(0);
-                peak = peak.max(part(used.cpu, limit.cpu)).max(part(used.gpu, limit.gpu));
+                let fraction = |used: u64, limit: u64| (used * 1000).checked_div(limit).unwrap_or(0);
+                peak_usage = peak_usage.max(fraction(used.cpu, limit.cpu)).max(fraction(used.gpu, limit.gpu));
             }
         }
-        let confirmed = self.confirmations();
-        let after = |s: &&Stay| confirmed.get(s.job.as_str()).is_some_and(|at| s.from > *at);
-        let told = |which: Told| -> usize {
-            self.answers.iter().filter(|a| a.told == which).map(|a| &a.job).collect::<BTreeSet<_>>().len()
+        let confirmed = self.confirmed_cancellations();
+        let is_after_cancellation =
+            |r: &&TaskRun| confirmed.get(r.job.as_str()).is_some_and(|at| r.started_at > *at);
+        let jobs_with = |kind: AnswerKind| -> usize {
+            self.answers.iter().filter(|a| a.kind == kind).map(|a| &a.job).collect::<BTreeSet<_>>().len()
         };
         let accepted: BTreeSet<&String> = self
             .answers
             .iter()
-            .filter(|a| !matches!(a.told, Told::Unknown | Told::Refused))
+            .filter(|a| !matches!(a.kind, AnswerKind::Unknown | AnswerKind::Refused))
             .map(|a| &a.job)
             .collect();
-        Figures {
-            peak,
-            starts: self.stays.len(),
-            cancelled: confirmed.values().filter(|at| **at < self.calm_from).count(),
-            late_starts: self.stays.iter().filter(after).count(),
+        Statistics {
+            peak_usage,
+            starts: self.task_runs.len(),
+            confirmed_cancellations: confirmed.values().filter(|at| **at < self.faults_end).count(),
+            starts_after_cancellation: self.task_runs.iter().filter(is_after_cancellation).count(),
             accepted: accepted.len(),
-            done: told(Told::Done),
-            unfinished: self.open_jobs().len(),
+            done: jobs_with(AnswerKind::Done),
+            unfinished: self.unfinished_jobs().len(),
         }
     }
 }
--- a/tests/soak/ports.rs
+++ b/tests/soak/ports.rs
@@ -18,12 +18,12 @@
 }
 
 /// Claims an address.
-pub async fn claim() -> std::io::Result<ClaimedAddress> {
+pub async fn claim_address() -> std::io::Result<ClaimedAddress> {
     let count = PORTS.end - PORTS.start;
-    let first = (std::process::id() % u32::from(count)) as u16;
+    let offset = (std::process::id() % u32::from(count)) as u16;
     for _ in 0..count {
         let n = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
-        let address = format!("127.0.0.1:{}", PORTS.start + (first.wrapping_add(n) % count));
+        let address = format!("127.0.0.1:{}", PORTS.start + (offset.wrapping_add(n) % count));
         let Ok(claim) = UdpSocket::bind(&address) else { continue };
         if TcpListener::bind(&address).await.is_ok() {
             return Ok(ClaimedAddress { address, _claim: claim });
--- a/tests/soak/rig.rs
+++ b/tests/soak/rig.rs
@@ -21,51 +21,51 @@
 /// The faults that hold at this moment.
 #[derive(Default)]
 pub struct Faults {
-    next: u64,
+    last_number: u64,
     active: Vec<(u64, Fault)>,
 }
 
 impl Faults {
     /// A fault begins; its number.
     pub fn begin(&mut self, fault: Fault) -> u64 {
-        self.next += 1;
-        self.active.push((self.next, fault));
-        self.next
+        self.last_number += 1;
+        self.active.push((self.last_number, fault));
+        self.last_number
     }
 
     pub fn end(&mut self, number: u64) {
         self.active.retain(|(n, _)| *n != number);
     }
 
-    fn any(&self, which: impl Fn(&Fault) -> bool) -> bool {
-        self.active.iter().any(|(_, fault)| which(fault))
+    fn is_active(&self, matches_fault: impl Fn(&Fault) -> bool) -> bool {
+        self.active.iter().any(|(_, fault)| matches_fault(fault))
     }
 
     /// Whether the state service refuses a controller.
     pub fn store_refuses(&self, node: usize) -> bool {
-        self.any(|f| matches!(f, Fault::StoreRefuses { node: n } if n.is_none_or(|n| n == node)))
+        self.is_active(|f| matches!(f, Fault::StoreRefuses { node: n } if n.is_none_or(|n| n == node)))
     }
 
     /// Whether some of a controller's calls to the state service get no answer.
-    pub fn store_loses(&self, node: usize) -> bool {
-        self.any(|f| matches!(f, Fault::StoreLoses { node: n } if *n == node))
+    pub fn store_drops_calls(&self, node: usize) -> bool {
+        self.is_active(|f| matches!(f, Fault::StoreLoses { node: n } if *n == node))
     }
 
     /// Whether workers' reports do not reach a controller.
-    pub fn workers_cut(&self, node: usize) -> bool {
-        self.any(|f| matches!(f, Fault::Workers { node: n } if *n == node))
+    pub fn worker_reports_cut(&self, node: usize) -> bool {
+        self.is_active(|f| matches!(f, Fault::Workers { node: n } if *n == node))
     }
 
     pub fn late_commands(&self) -> bool {
-        self.any(|f| *f == Fault::LateCommands)
+        self.is_active(|f| *f == Fault::LateCommands)
     }
 
     pub fn late_reports(&self) -> bool {
-        self.any(|f| *f == Fault::LateReports)
+        self.is_active(|f| *f == Fault::LateReports)
     }
 
     /// How what one controller sends to another is cut, if it is. A reset comes before what only waits.
-    pub fn link(&self, from: usize, to: usize) -> Option<Cut> {
+    pub fn link_cut(&self, from: usize, to: usize) -> Option<Cut> {
         let cuts = self.active.iter().filter_map(|(_, fault)| match fault {
             Fault::Peers { from: f, to: t, how } if (*f, *t) == (from, to) => Some(*how),
             Fault::Alone { node, how } if [from, to].contains(node) => Some(*how),
@@ -83,11 +83,11 @@
     pub history: Mutex<History>,
     pub store: Mutex<Store>,
     /// The store has changed.
-    pub changed: Notify,
+    pub store_changed: Notify,
     pub fleet: Mutex<Fleet>,
     pub faults: Mutex<Faults>,
     /// By how much the rig itself was late at worst.
-    late: AtomicU64,
+    max_delay: AtomicU64,
 }
 
 impl Rig {
@@ -98,10 +98,10 @@
             nodes,
             history: Mutex::new(history),
             store: Mutex::default(),
-            changed: Notify::new(),
+            store_changed: Notify::new(),
             fleet: Mutex::new(fleet),
             faults: Mutex::default(),
-            late: AtomicU64::new(0),
+            max_delay: AtomicU64::new(0),
         }
     }
 
@@ -110,17 +110,17 @@
         self.start.elapsed().as_millis() as Ms
     }
 
-    pub async fn until(&self, at: Ms) {
-        let left = at.saturating_sub(self.now());
-        tokio::time::sleep(Duration::from_millis(left)).await;
+    pub async fn sleep_until(&self, at: Ms) {
+        let remaining = at.saturating_sub(self.now());
+        tokio::time::sleep(Duration::from_millis(remaining)).await;
     }
 
     /// Notes how late the rig was with something due at this moment.
-    pub fn note_late(&self, due: Ms) {
-        self.late.fetch_max(self.now().saturating_sub(due), Ordering::Relaxed);
+    pub fn record_delay(&self, due: Ms) {
+        self.max_delay.fetch_max(self.now().saturating_sub(due), Ordering::Relaxed);
     }
 
-    pub fn latest(&self) -> Ms {
-        self.late.load(Ordering::Relaxed)
+    pub fn max_delay(&self) -> Ms {
+        self.max_delay.load(Ordering::Relaxed)
     }
 }
--- a/tests/soak/schedule.rs
+++ b/tests/soak/schedule.rs
@@ -56,42 +56,50 @@
 
 /// A fault from one moment to another.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ScheduledFault {
     pub at: Ms,
-    pub lasts: Ms,
+    pub duration: Ms,
     pub fault: Fault,
 }
 
 /// When the first fault comes, and the last one begins.
-pub const FIRST: Ms = 6_000;
-pub const LAST: Ms = 26_000;
+pub const FIRST_FAULT: Ms = 6_000;
+pub const LAST_FAULT_START: Ms = 26_000;
 
 /// The schedule of a seed for so many controllers.
-pub fn draw(seed: u64, nodes: usize) -> Vec<Entry> {
+pub fn generate(seed: u64, nodes: usize) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut entries = Vec::new();
-    let mut at = FIRST;
-    while at < LAST {
-        let lasts = rng.random_range(1_000..9_000);
-        let fault = one(&mut rng, nodes);
-        entries.push(Entry { at, lasts, fault });
+    let mut at = FIRST_FAULT;
+    while at < LAST_FAULT_START {
+        let duration = rng.random_range(1_000..9_000);
+        let fault = random_fault(&mut rng, nodes);
+        entries.push(ScheduledFault { at, duration, fault });
         // Two or three overlap.
         at += rng.random_range(700..2_400);
     }
     // Every run has a series of leaders, and cancellations while it lasts.
-    let begin = rng.random_range(FIRST..LAST - 10_000);
+    let first_failover = rng.random_range(FIRST_FAULT..LAST_FAULT_START - 10_000);
     for n in 0..3 {
         let away = rng.random_range(100..2_500);
-        entries.push(Entry { at: begin + 3_500 * n, lasts: 0, fault: Fault::KillLeader { away } });
+        entries.push(ScheduledFault {
+            at: first_failover + 3_500 * n,
+            duration: 0,
+            fault: Fault::KillLeader { away },
+        });
         let hang = if rng.random_bool(0.5) { rng.random_range(1_000..8_000) } else { 0 };
         let fault = Fault::Cancel { count: rng.random_range(2..6), hang };
-        entries.push(Entry { at: begin + 3_500 * n + rng.random_range(0..600), lasts: 0, fault });
+        entries.push(ScheduledFault {
+            at: first_failover + 3_500 * n + rng.random_range(0..600),
+            duration: 0,
+            fault,
+        });
     }
     entries.sort_by_key(|e| e.at);
     entries
 }
 
-fn one(rng: &mut StdRng, nodes: usize) -> Fault {
+fn random_fault(rng: &mut StdRng, nodes: usize) -> Fault {
     let node = rng.random_range(0..nodes);
     let to = (node + rng.random_range(1..nodes)) % nodes;
     let how = if rng.random_bool(0.5) { Cut::Hold } else { Cut::Reset };
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -11,40 +11,40 @@
 use rand::rngs::StdRng;
 use serde_json::{Value, json};
 
-use crate::fleet::Behaviour;
-use crate::history::{Amount, Answer, JobFacts, Ms, Told};
+use crate::fleet::JobBehaviour;
+use crate::history::{Amount, Answer, AnswerKind, JobFacts, Ms};
 use crate::rig::Rig;
 
 /// How long a user waits for the answer to a question, and to a submission or cancellation.
-const QUESTION: Micros = Micros::from_millis(2_000);
-const REQUEST: Micros = Micros::from_millis(5_000);
+const QUERY_TIMEOUT: Micros = Micros::from_millis(2_000);
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(5_000);
 
 /// A job and its request.
 #[derive(Clone)]
 pub struct Job {
     pub id: String,
     pub body: Value,
-    pub behaviour: Behaviour,
+    pub behaviour: JobBehaviour,
     /// Its user cancels it that long after it was accepted.
     pub cancel_after: Option<Ms>,
 }
 
 /// Jobs whose users are to cancel them now.
 #[derive(Default)]
-pub struct CalledOff(std::sync::Mutex<BTreeMap<String, Arc<AtomicBool>>>);
+pub struct CancelSignals(std::sync::Mutex<BTreeMap<String, Arc<AtomicBool>>>);
 
-impl CalledOff {
+impl CancelSignals {
     fn flag(&self, id: &str) -> Arc<AtomicBool> {
         self.0.lock().unwrap().entry(id.to_owned()).or_default().clone()
     }
 
-    pub fn call_off(&self, id: &str) {
+    pub fn request(&self, id: &str) {
         self.flag(id).store(true, Ordering::Relaxed);
     }
 }
 
 /// A job of any shape for a team.
-pub fn draw(rng: &mut StdRng, n: u32, team: &str) -> Job {
+pub fn random_job(rng: &mut StdRng, n: u32, team: &str) -> Job {
     let id = format!("j-{n:06}");
     let shape = ["sweep", "sweep", "sweep", "ensemble", "ensemble", "standing"][rng.random_range(0..6)];
     let tasks: u32 = match shape {
@@ -58,13 +58,13 @@
     let zone = rng.random_bool(0.1).then(|| "west".to_owned());
     let spot = rng.random_bool(0.5);
     let run_ms = rng.random_range(1_500..9_000);
-    let stow_ms = if rng.random_bool(0.4) { 300 } else { 0 };
+    let save_ms = if rng.random_bool(0.4) { 300 } else { 0 };
     let rank = ["idle", "normal", "normal", "urgent"][rng.random_range(0..4)];
     let body = json!({"Uid": id, "Jobclass": "any", "Crew": team, "Shape": shape, "Rank": rank, "Pieces": tasks,
         "Cpus": f64::from(cpus), "Cards": f64::from(gpus), "MemoryGb": 1.0, "Kit": format!("img-{}", n % 4),
         "SizeGb": 1.0, "Hulls": null, "Berth": zone, "OneZone": one_zone, "Apart": spread, "Standby": spot,
         "RuntimeS": if shape == "standing" { 0.0 } else { run_ms as f64 / 1e3 }, "MarkS": 1.0,
-        "StowS": stow_ms as f64 / 1e3, "DueS": null});
+        "StowS": save_ms as f64 / 1e3, "DueS": null});
     let facts = JobFacts {
         team: team.to_owned(),
         tasks,
@@ -78,7 +78,7 @@
         gang: shape == "ensemble",
     };
     let run_ms = if shape == "standing" { Ms::MAX } else { run_ms };
-    let behaviour = Behaviour { facts, run_ms, stow_ms };
+    let behaviour = JobBehaviour { facts, run_ms, save_ms };
     let cancel_after = rng.random_bool(0.3).then(|| rng.random_range(0..8_000));
     Job { id, body, behaviour, cancel_after }
 }
@@ -92,67 +92,70 @@
 
 impl User {
     /// Asks one controller and notes what it says; none if that is no answer.
-    async fn ask(
+    async fn send_request(
         &self,
         node: usize,
         method: &str,
         path: &str,
         body: Option<String>,
-        patience: Micros,
-    ) -> Option<Told> {
+        timeout: Micros,
+    ) -> Option<AnswerKind> {
         let sent = self.rig.now();
         let to = self.client.with_addr(&self.rig.nodes[node].api);
-        let reply = to.request(method, path, body, patience).await.ok()?;
+        let reply = to.request(method, path, body, timeout).await.ok()?;
         let text: Value = serde_json::from_slice(&reply.body).unwrap_or_default();
-        let told = match (reply.status, text["Status"].as_str()) {
-            (200 | 201, Some("done")) => Told::Done,
-            (200 | 201, Some("withdrawn")) => Told::Withdrawn,
-            (200 | 201, Some(_)) => Told::Live,
-            (404, _) => Told::Unknown,
-            (400 | 422, _) => Told::Refused,
+        let kind = match (reply.status, text["Status"].as_str()) {
+            (200 | 201, Some("done")) => AnswerKind::Done,
+            (200 | 201, Some("withdrawn")) => AnswerKind::Withdrawn,
+            (200 | 201, Some(_)) => AnswerKind::Live,
+            (404, _) => AnswerKind::Unknown,
+            (400 | 422, _) => AnswerKind::Refused,
             _ => return None,
         };
         let at = self.rig.now();
-        let answer = Answer { job: self.job.id.clone(), sent, at, told };
+        let answer = Answer { job: self.job.id.clone(), sent, at, kind };
         self.rig.history.lock().unwrap().answers.push(answer);
-        Some(told)
+        Some(kind)
     }
 
-    fn anywhere(&self) -> usize {
+    fn random_node(&self) -> usize {
         rand::rng().random_range(0..self.rig.nodes.len())
     }
 
-    async fn submit(&self, node: usize) -> Option<Told> {
-        self.ask(node, "POST", "/api/jobs", Some(self.job.body.to_string()), REQUEST).await
+    async fn submit(&self, node: usize) -> Option<AnswerKind> {
+        self.send_request(node, "POST", "/api/jobs", Some(self.job.body.to_string()), REQUEST_TIMEOUT).await
     }
 
-    async fn question(&self, node: usize) -> Option<Told> {
-        self.ask(node, "GET", &format!("/api/jobs/{}", self.job.id), None, QUESTION).await
+    async fn query(&self, node: usize) -> Option<AnswerKind> {
+        self.send_request(node, "GET", &format!("/api/jobs/{}", self.job.id), None, QUERY_TIMEOUT).await
     }
 
-    async fn withdraw(&self, node: usize) -> Option<Told> {
+    async fn withdraw(&self, node: usize) -> Option<AnswerKind> {
         let path = format!("/api/jobs/{}/withdraw", self.job.id);
-        self.ask(node, "POST", &path, Some("{}".into()), REQUEST).await
+        self.send_request(node, "POST", &path, Some("{}".into()), REQUEST_TIMEOUT).await
     }
 
     /// Asks every controller and repeats its submission there, all at once.
-    async fn look_everywhere(&self) {
+    async fn query_and_resubmit_everywhere(&self) {
         let nodes = 0..self.rig.nodes.len();
-        let all = nodes.map(|node| async move {
-            tokio::join!(self.question(node), self.submit(node));
+        let requests = nodes.map(|node| async move {
+            tokio::join!(self.query(node), self.submit(node));
         });
-        let mut all: Vec<_> = all.map(Box::pin).collect();
-        for one in &mut all {
-            one.await;
+        let mut requests: Vec<_> = requests.map(Box::pin).collect();
+        for request in &mut requests {
+            request.await;
         }
     }
 
     /// Cancels the job, wherever it gets through; false if nobody has answered by then.
     async fn cancel(&self, until: Ms) -> bool {
         let now = self.rig.now();
-        self.rig.history.lock().unwrap().cancels.entry(self.job.id.clone()).or_insert(now);
+        self.rig.history.lock().unwrap().cancel_requested_at.entry(self.job.id.clone()).or_insert(now);
         while self.rig.now() < until {
-            if matches!(self.withdraw(self.anywhere()).await, Some(Told::Withdrawn | Told::Done)) {
+            if matches!(
+                self.withdraw(self.random_node()).await,
+                Some(AnswerKind::Withdrawn | AnswerKind::Done)
+            ) {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(500)).await;
@@ -160,10 +163,10 @@
         false
     }
 
-    async fn accepted(&self, until: Ms) -> bool {
+    async fn submit_until_accepted(&self, until: Ms) -> bool {
         while self.rig.now() < until {
-            match self.submit(self.anywhere()).await {
-                Some(Told::Refused | Told::Unknown) => return false,
+            match self.submit(self.random_node()).await {
+                Some(AnswerKind::Refused | AnswerKind::Unknown) => return false,
                 Some(_) => return true,
                 None => tokio::time::sleep(Duration::from_millis(700)).await,
             }
@@ -173,7 +176,7 @@
 }
 
 /// A user's dealings with one job, until it is over or the run is.
-pub async fn follow(rig: Arc<Rig>, job: Job, off: Arc<CalledOff>, until: Ms) {
+pub async fn run_user(rig: Arc<Rig>, job: Job, cancel_signals: Arc<CancelSignals>, until: Ms) {
     {
         let mut fleet = rig.fleet.lock().unwrap();
         let mut history = rig.history.lock().unwrap();
@@ -182,14 +185,14 @@
     }
     let service = job.behaviour.facts.service;
     let user = User { rig, client: HttpClient::new(""), job };
-    if !user.accepted(until).await {
+    if !user.submit_until_accepted(until).await {
         return;
     }
-    let looks = rand::rng().random_bool(0.3);
-    if looks {
-        user.look_everywhere().await;
+    let checks_all_controllers = rand::rng().random_bool(0.3);
+    if checks_all_controllers {
+        user.query_and_resubmit_everywhere().await;
     }
-    let off = off.flag(&user.job.id);
+    let cancel_signal = cancel_signals.flag(&user.job.id);
     let accepted = user.rig.now();
     let cancels_at = user.job.cancel_after.map_or(Ms::MAX, |after| accepted + after);
     loop {
@@ -197,33 +200,33 @@
         if now >= until {
             return;
         }
-        let calm = user.rig.history.lock().unwrap().calm_from;
-        let ends_service = service && calm > 0 && now > calm;
-        let over = if off.load(Ordering::Relaxed) || now >= cancels_at || ends_service {
+        let faults_end = user.rig.history.lock().unwrap().faults_end;
+        let service_due_to_end = service && faults_end > 0 && now > faults_end;
+        let ended = if cancel_signal.load(Ordering::Relaxed) || now >= cancels_at || service_due_to_end {
             user.cancel(until).await
         } else {
-            matches!(user.question(user.anywhere()).await, Some(Told::Done | Told::Withdrawn))
+            matches!(user.query(user.random_node()).await, Some(AnswerKind::Done | AnswerKind::Withdrawn))
         };
-        if over {
+        if ended {
             break;
         }
         let pause = rand::rng().random_range(300..1_000);
-        let left = cancels_at.saturating_sub(user.rig.now()).max(1);
-        tokio::time::sleep(Duration::from_millis(pause.min(left))).await;
+        let remaining = cancels_at.saturating_sub(user.rig.now()).max(1);
+        tokio::time::sleep(Duration::from_millis(pause.min(remaining))).await;
     }
-    if looks {
-        user.look_everywhere().await;
+    if checks_all_controllers {
+        user.query_and_resubmit_everywhere().await;
     }
     // It asks again now and then.
     while user.rig.now() < until {
         let pause = rand::rng().random_range(2_000..5_000);
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        user.question(user.anywhere()).await;
+        user.query(user.random_node()).await;
     }
 }
 
 /// Somebody who asks about jobs that nobody has submitted.
-pub async fn ask_about_nothing(rig: Arc<Rig>, until: Ms) {
+pub async fn query_unknown_job(rig: Arc<Rig>, until: Ms) {
     let facts = JobFacts {
         team: String::new(),
         tasks: 1,
@@ -236,11 +239,11 @@
         service: true,
         gang: false,
     };
-    let behaviour = Behaviour { facts, run_ms: 0, stow_ms: 0 };
+    let behaviour = JobBehaviour { facts, run_ms: 0, save_ms: 0 };
     let job = Job { id: "j-999999".into(), body: Value::Null, behaviour, cancel_after: None };
     let user = User { rig, client: HttpClient::new(""), job };
     while user.rig.now() < until {
-        user.question(user.anywhere()).await;
+        user.query(user.random_node()).await;
         tokio::time::sleep(Duration::from_millis(1_500)).await;
     }
 }
--- a/tests/soak/worker.rs
+++ b/tests/soak/worker.rs
@@ -19,131 +19,149 @@
 use crate::rig::Rig;
 
 /// How long a worker waits for the answer to a report, and drops one that comes later.
-const ANSWER_MS: Ms = 4_000;
+const ANSWER_TIMEOUT_MS: Ms = 4_000;
 
 /// A worker's own address.
 #[derive(Clone)]
-struct Own {
+struct WorkerEndpoint {
     rig: Arc<Rig>,
     name: String,
 }
 
 /// Serves a worker's own address.
 pub fn router(rig: Arc<Rig>, name: String) -> Router {
-    Router::new().route("/orders", post(orders)).route("/show", get(show)).with_state(Own { rig, name })
+    Router::new()
+        .route("/orders", post(handle_orders))
+        .route("/show", get(handle_show))
+        .with_state(WorkerEndpoint { rig, name })
 }
 
-impl Own {
+impl WorkerEndpoint {
     /// Until when nothing gets through to the worker, if so, and whether what was sent is carried out then.
-    fn held(&self, now: Ms) -> Option<(Ms, bool)> {
+    fn blocked_until(&self, now: Ms) -> Option<(Ms, bool)> {
         let fleet = self.rig.fleet.lock().unwrap();
         let machine = fleet.machines.get(&self.name)?;
-        if !machine.up(now) {
+        if !machine.is_up(now) {
             return Some((now + 60_000, false));
         }
-        if machine.deaf_until > now {
-            return Some((machine.deaf_until, false));
+        if machine.not_receiving_until > now {
+            return Some((machine.not_receiving_until, false));
         }
         let until = machine.hung_until.max(machine.cut_until);
         (until > now).then_some((until, true))
     }
 
-    fn carry_out(&self, body: &Value) -> (StatusCode, Value) {
+    fn execute(&self, body: &Value) -> (StatusCode, Value) {
         let now = self.rig.now();
         let mut fleet = self.rig.fleet.lock().unwrap();
         let mut history = self.rig.history.lock().unwrap();
-        fleet.direct(&mut history, &self.name, body, now)
+        fleet.handle_direct_orders(&mut history, &self.name, body, now)
     }
 }
 
-async fn orders(State(own): State<Own>, body: Bytes) -> Response {
+async fn handle_orders(State(endpoint): State<WorkerEndpoint>, body: Bytes) -> Response {
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
-    let now = own.rig.now();
-    let late = own.rig.faults.lock().unwrap().late_commands() && rand::rng().random_bool(0.3);
-    let held = own.held(now).or_else(|| late.then(|| (now + rand::rng().random_range(1_000..8_000), true)));
-    if let Some((until, done)) = held {
+    let now = endpoint.rig.now();
+    let delayed_by_fault =
+        endpoint.rig.faults.lock().unwrap().late_commands() && rand::rng().random_bool(0.3);
+    let blocked = endpoint
+        .blocked_until(now)
+        .or_else(|| delayed_by_fault.then(|| (now + rand::rng().random_range(1_000..8_000), true)));
+    if let Some((until, executes)) = blocked {
         // Also when the sender has given up meanwhile.
-        let (later, rig) = (own.clone(), own.rig.clone());
+        let (delayed, rig) = (endpoint.clone(), endpoint.rig.clone());
         tokio::spawn(async move {
-            rig.until(until).await;
-            let reachable = later.held(rig.now()).is_none();
-            if done && reachable {
-                later.carry_out(&body);
+            rig.sleep_until(until).await;
+            let reachable = delayed.blocked_until(rig.now()).is_none();
+            if executes && reachable {
+                delayed.execute(&body);
             }
         });
         tokio::time::sleep(Duration::from_secs(10)).await;
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
-    let (status, report) = own.carry_out(&body);
+    let (status, report) = endpoint.execute(&body);
     (status, report.to_string()).into_response()
 }
 
-async fn show(State(own): State<Own>) -> Response {
-    if own.held(own.rig.now()).is_some() {
+async fn handle_show(State(endpoint): State<WorkerEndpoint>) -> Response {
+    if endpoint.blocked_until(endpoint.rig.now()).is_some() {
         tokio::time::sleep(Duration::from_secs(10)).await;
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
-    let report = own.rig.fleet.lock().unwrap().machines.get_mut(&own.name).map(Machine::report);
+    let report =
+        endpoint.rig.fleet.lock().unwrap().machines.get_mut(&endpoint.name).map(Machine::next_report);
     report.unwrap_or_default().to_string().into_response()
 }
 
 /// A report to send: to which controller, its text, and whether it gets there.
-struct Due {
-    target: usize,
+struct PendingReport {
+    target_node: usize,
     body: Value,
     session: u64,
     sent: Ms,
-    arrives: bool,
+    reaches_target: bool,
 }
 
 /// A worker's life: it reports until its machine is gone.
-pub async fn work(rig: Arc<Rig>, name: String) {
+pub async fn run_worker(rig: Arc<Rig>, name: String) {
     let client = HttpClient::new("");
     let mut next = 0;
-    let mut last = 0;
+    let mut last_report_at = 0;
     loop {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let due = {
+        let pending = {
             let now = rig.now();
             let mut fleet = rig.fleet.lock().unwrap();
-            let terms = fleet.terms;
+            let settings = fleet.settings;
             let Some(machine) = fleet.machines.get_mut(&name) else { return };
             if machine.dead {
                 return;
             }
-            let changed = machine.changed && now >= last + 500;
-            if !machine.acts(now) || now < next && !changed {
+            let changed = machine.changed && now >= last_report_at + 500;
+            if !machine.is_active(now) || now < next && !changed {
                 continue;
             }
             let mut history = rig.history.lock().unwrap();
-            machine.lapse(&mut history, now, terms.lease_ms);
+            machine.expire_lease(&mut history, now, settings.lease_ms);
             machine.changed = false;
-            let spread = rand::rng().random_range(terms.report_ms * 3 / 4..terms.report_ms * 5 / 4);
-            (last, next) = (now, now + spread);
-            let target = machine.target % rig.nodes.len();
-            let cut = machine.cut_until > now || machine.mute_until > now;
-            let arrives = !cut && !rig.faults.lock().unwrap().workers_cut(target);
-            Due { target, body: machine.report(), session: machine.session, sent: now, arrives }
+            let interval = rand::rng().random_range(settings.report_ms * 3 / 4..settings.report_ms * 5 / 4);
+            (last_report_at, next) = (now, now + interval);
+            let target_node = machine.target_node % rig.nodes.len();
+            let cut = machine.cut_until > now || machine.not_sending_until > now;
+            let reaches_target = !cut && !rig.faults.lock().unwrap().worker_reports_cut(target_node);
+            PendingReport {
+                target_node,
+                body: machine.next_report(),
+                session: machine.session,
+                sent: now,
+                reaches_target,
+            }
         };
-        let (moved, wait) = report(&rig, &client, &name, due).await;
-        if let Some(target) = moved {
+        let (new_target, delay_ms) = send_report(&rig, &client, &name, pending).await;
+        if let Some(target) = new_target {
             let mut fleet = rig.fleet.lock().unwrap();
             if let Some(machine) = fleet.machines.get_mut(&name) {
-                machine.target = target;
+                machine.target_node = target;
             }
         }
-        if wait > 0 {
-            next = rig.now() + wait;
+        if delay_ms > 0 {
+            next = rig.now() + delay_ms;
         }
     }
 }
 
 /// Sends a report and takes its answer: where to report next, if elsewhere, and how soon.
-async fn report(rig: &Arc<Rig>, client: &HttpClient, name: &str, due: Due) -> (Option<usize>, Ms) {
+async fn send_report(
+    rig: &Arc<Rig>,
+    client: &HttpClient,
+    name: &str,
+    pending: PendingReport,
+) -> (Option<usize>, Ms) {
     let count = rig.nodes.len();
-    let next = Some((due.target + 1) % count);
-    let text = due.body.to_string();
-    if due.arrives && rig.faults.lock().unwrap().late_reports() && rand::rng().random_bool(0.3) {
+    let next = Some((pending.target_node + 1) % count);
+    let text = pending.body.to_string();
+    if pending.reaches_target && rig.faults.lock().unwrap().late_reports() && rand::rng().random_bool(0.3) {
         let (rig, client, text) = (rig.clone(), client.clone(), text.clone());
         tokio::spawn(async move {
             let (late, node) = {
@@ -152,46 +170,47 @@
             };
             tokio::time::sleep(Duration::from_millis(late)).await;
             let to = client.with_addr(&rig.nodes[node].api);
-            let _ = to.request("POST", "/v1/report", Some(text), Micros::from_millis(ANSWER_MS)).await;
+            let _ =
+                to.request("POST", "/v1/report", Some(text), Micros::from_millis(ANSWER_TIMEOUT_MS)).await;
         });
     }
-    if !due.arrives {
-        tokio::time::sleep(Duration::from_millis(ANSWER_MS)).await;
+    if !pending.reaches_target {
+        tokio::time::sleep(Duration::from_millis(ANSWER_TIMEOUT_MS)).await;
         return (next, 1_000);
     }
-    let to = client.with_addr(&rig.nodes[due.target].api);
-    let patience = Micros::from_millis(ANSWER_MS);
-    let Ok(reply) = to.request("POST", "/v1/report", Some(text), patience).await else {
+    let to = client.with_addr(&rig.nodes[pending.target_node].api);
+    let timeout = Micros::from_millis(ANSWER_TIMEOUT_MS);
+    let Ok(reply) = to.request("POST", "/v1/report", Some(text), timeout).await else {
         return (next, 1_000);
     };
     let answer: Value = serde_json::from_slice(&reply.body).unwrap_or_default();
     let now = rig.now();
     let mut fleet = rig.fleet.lock().unwrap();
     let mut history = rig.history.lock().unwrap();
-    let lease = fleet.terms.lease_ms;
+    let lease_ms = fleet.settings.lease_ms;
     let Some(machine) = fleet.machines.get_mut(name) else { return (None, 0) };
-    let lost = machine.deaf_until > now || machine.cut_until > now || !machine.acts(now);
-    if lost || now - due.sent > ANSWER_MS {
+    let answer_lost = machine.not_receiving_until > now || machine.cut_until > now || !machine.is_active(now);
+    if answer_lost || now - pending.sent > ANSWER_TIMEOUT_MS {
         return (next, 1_000);
     }
-    machine.lapse(&mut history, now, lease);
+    machine.expire_lease(&mut history, now, lease_ms);
     match reply.status {
         200 => {
             let token = answer["Helm"].as_u64();
             // Dropped; the worker stays.
-            if machine.session != due.session || token.is_none_or(|t| t < machine.token) {
+            if machine.session != pending.session || token.is_none_or(|t| t < machine.token) {
                 return (None, 0);
             }
             let token = token.unwrap_or_default();
             machine.changed |= token > machine.token;
-            (machine.token, machine.renewed) = (token, due.sent);
-            fleet.obey_all(&mut history, name, &answer["Orders"], now);
+            (machine.token, machine.lease_renewed_at) = (token, pending.sent);
+            fleet.execute_orders(&mut history, name, &answer["Orders"], now);
             (None, 0)
         }
         421 => {
-            let named =
+            let owner =
                 answer["Harbour"].as_str().and_then(|to| to.strip_prefix("n-")?.parse::<usize>().ok());
-            match named.filter(|to| *to != due.target && *to < count) {
+            match owner.filter(|to| *to != pending.target_node && *to < count) {
                 Some(to) => (Some(to), rand::rng().random_range(1..500)),
                 None => (next, 1_000),
             }
