--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,9 +1,9 @@
-//! The list of known faults: what `.ci/known-red` reads from it and what it refuses.
+//! Tests of `.ci/known-red`, which parses the list of known faults and rejects malformed lists.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Runs `.ci/known-red` on a list with this text.
+/// Runs `.ci/known-red` on a list with the given text.
 fn run_on_text(mode: &str, name: &str, text: &str) -> Output {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = folder.join(name);
@@ -21,7 +21,7 @@
     String::from_utf8(output.stdout.clone()).unwrap()
 }
 
-/// The message that a list is refused with.
+/// The error message for a malformed list, without the file name.
 fn rejection_message(name: &str, text: &str) -> String {
     let output = run_on_text("entries", name, text);
     assert_eq!(output.status.code(), Some(2), "{text}");
@@ -92,7 +92,7 @@
     }
 }
 
-/// The list of this repository is well-formed.
+/// The list in this repository is well-formed.
 #[test]
 fn the_list_of_this_repository_is_read() {
     successful_output(&run_script("entries", &Path::new(env!("CARGO_MANIFEST_DIR")).join("KNOWN-RED.txt")));
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,12 +1,17 @@
-//! Soak: real controllers over loopback, with stand-ins for all around them, under faults drawn from seeds.
+//! Soak test: real controller processes over loopback, with simulated surroundings and seeded random faults.
 //!
-//! `cargo test --release --test soak -- --seeds 50` plays fifty seeds; `--from N` begins elsewhere, `--at-once N` says how
-//! many at a time. A seed's schedule of faults is the same each time; how the processes interleave is not. Without
-//! arguments the seeds of CI are played. It ends with 1 if a rule was broken, and with 2 for arguments that make no sense.
+//! The workers, the users, the state service, the cloud and the network between controllers are simulated in this
+//! process.
 //!
-//! What is judged is the workers' view of what ran and the users' answers (`soak/history.rs`, tested by itself in
-//! `soak_judge.rs`). Not judged: whether anything was quick enough, and waiting for 90 s in calm, for which a run is too
-//! short: here a job is neglected of which nothing has run for the last 25 s of calm though its team had room for it.
+//! `cargo test --release --test soak -- --seeds 50` runs fifty seeds; `--from N` sets the first seed and `--at-once N`
+//! the number of concurrent runs. Without arguments the seeds for CI run. A seed always produces the same schedule of
+//! faults, but the interleaving of the processes differs from run to run. The exit code is 1 if a rule was broken or a
+//! run did not reach the required coverage, and 2 for invalid arguments.
+//!
+//! The checks use what the workers ran and what the users were answered (`soak/history.rs`, which `soak_judge.rs` tests
+//! separately). Latency is not checked. A wait of 90 s without faults is not checked either, as a run is too short for
+//! it: here a job is neglected if none of its tasks ran during the last 25 s of the run, with the faults over, though
+//! its team's limits allowed a start.
 
 #[path = "soak/cloud.rs"]
 mod cloud;
@@ -41,12 +46,12 @@
 
 use run::Outcome;
 
-/// What is played where nothing is said: in CI, beside other tests.
+/// Number of seeds without `--seeds`: the CI runs them beside the other tests.
 const CI_SEEDS: u64 = 2;
-/// The most seeds of one command, and at once: each has three controllers and some forty sockets.
+/// Maximum number of seeds per command and of concurrent runs; each run has three controllers and about forty sockets.
 const MAX_SEEDS: u64 = 10_000;
 const MAX_AT_ONCE: u64 = 16;
-/// Of its limit some team must have used so much at some time, in thousandths.
+/// Fraction of a limit, in thousandths, that at least one team must reach during a run.
 const MIN_PEAK_USAGE: u64 = 950;
 
 struct Arguments {
@@ -55,7 +60,7 @@
     at_once: u64,
 }
 
-/// Reads the arguments; those of the usual test runner are passed over. None: nothing is to be played.
+/// Parses the command line and ignores the flags of the standard test runner. `None` if no seed is to be run.
 fn parse_arguments() -> Result<Option<Arguments>, String> {
     let mut parsed = Arguments { seeds: CI_SEEDS, from: 1, at_once: 2 };
     let mut args = std::env::args().skip(1);
@@ -71,7 +76,7 @@
             "--at-once" => parsed.at_once = number("--at-once", 1, MAX_AT_ONCE)?,
             "--skip" | "--test-threads" => drop(args.next()),
             "--list" => return Ok(None),
-            // A filter for tests of other files.
+            // A test name filter, meant for tests in other files.
             name if !name.starts_with('-') => return Ok(None),
             _ => {}
         }
@@ -115,7 +120,7 @@
     }
 }
 
-/// What a run is for took place in it.
+/// Checks that the run exercised what it has to: usage near a limit, a change of leader, a cancellation under faults.
 fn check_coverage(outcome: &Outcome) -> Result<(), String> {
     let stats = &outcome.statistics;
     let missing = |what: &str| Err(format!("seed {}: {what}", outcome.seed));
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud, by its published protocol.
+//! Simulated cloud that implements the published protocol.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::rig::Rig;
 use crate::worker;
 
-/// How long a new machine is missing in the list.
+/// Time after its rental during which a machine is missing from the list.
 const LIST_LAG_MS: u64 = 800;
 
 pub fn router(rig: Arc<Rig>) -> Router {
--- a/tests/soak/controllers.rs
+++ b/tests/soak/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers' processes: the built program, started, killed and paused by their ids.
+//! The controllers' processes: starts, kills and pauses the built program, by process id.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -11,14 +11,15 @@
 
 struct ControllerProcess {
     child: Option<Child>,
-    /// When it is to be started again.
+    /// Earliest time of the next start while there is no process.
     start_at: Ms,
     settings: PathBuf,
     log: PathBuf,
 }
 
-/// Kills what is left of the controllers when the soak ends, also when it is killed: it reads from a pipe which of them
-/// run, and the pipe is closed by then.
+/// Shell script that kills the remaining controllers when the soak ends, even if the soak itself is killed.
+///
+/// It reads from a pipe which controllers are running; the pipe is closed when the soak ends.
 const WATCHDOG_SCRIPT: &str = r#"
 trap '' INT TERM
 ids=
@@ -35,18 +36,18 @@
 for id in $ids; do kill -9 "$id"; done
 "#;
 
-/// All controllers. Whatever is left of them is killed when this is dropped.
+/// The processes of all controllers. The running ones are killed on drop.
 pub struct ControllerProcesses {
     all: Vec<Mutex<ControllerProcess>>,
     watchdog: Mutex<Child>,
-    /// Which controllers run, for the watchdog.
+    /// Pipe on which the watchdog is notified of started and ended controllers.
     watchdog_input: Mutex<Option<ChildStdin>>,
-    /// A controller has ended since its port was in use.
+    /// A controller has exited because its port was in use.
     port_conflict: AtomicBool,
 }
 
 impl ControllerProcesses {
-    /// Nothing is started yet.
+    /// Writes the settings files and starts the watchdog, but no controller yet.
     pub fn new(folder: &Path, settings: &[String]) -> std::io::Result<ControllerProcesses> {
         let mut all = Vec::new();
         for (n, text) in settings.iter().enumerate() {
@@ -70,7 +71,7 @@
         })
     }
 
-    /// Whether a controller has ended since its port was in use.
+    /// Whether a controller has exited because its port was in use.
     pub fn port_conflict(&self) -> bool {
         self.port_conflict.load(Ordering::Relaxed)
     }
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Ends a process and waits until it has ended.
+    /// Kills a process and waits for its exit.
     fn kill_and_wait(&self, child: &mut Child) {
         let _ = child.kill();
         let _ = child.wait();
@@ -93,7 +94,7 @@
         self.all[node].lock().unwrap().child.is_some()
     }
 
-    /// Starts those that are due; names those that have ended by themselves.
+    /// Starts the controllers that are due. Returns a description of each controller that exited by itself.
     pub fn poll(&self, now: Ms) -> Vec<String> {
         let mut exits = Vec::new();
         for (n, process) in self.all.iter().enumerate() {
@@ -120,7 +121,7 @@
         exits
     }
 
-    /// Kills a controller, which is started again after so long.
+    /// Kills a controller; it is restarted after `away` ms.
     pub fn kill(&self, node: usize, now: Ms, away: Ms) {
         let mut process = self.all[node].lock().unwrap();
         if let Some(mut child) = process.child.take() {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Stops a process where it stands, or lets it go on.
+    /// Pauses a controller's process (SIGSTOP) or resumes it (SIGCONT).
     pub fn pause(&self, node: usize, paused: bool) {
         let process = self.all[node].lock().unwrap();
         if let Some(child) = &process.child {
@@ -151,7 +152,7 @@
 impl Drop for ControllerProcesses {
     fn drop(&mut self) {
         self.kill_all();
-        // Its pipe is closed, so that it ends.
+        // The watchdog exits when its pipe is closed.
         drop(self.watchdog_input.lock().unwrap().take());
         let _ = self.watchdog.lock().unwrap().wait();
     }
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the workers: what runs on them, their leases, reports and commands.
+//! Simulated workers: their tasks, leases, reports and orders.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 use crate::history::{Amount, CapacitySnapshot, History, JobFacts, MachineCapacity, Ms, TaskRun};
 
-/// How often workers' tasks are looked after.
+/// Interval at which the state of the workers' tasks is advanced.
 pub const STEP_MS: Ms = 20;
 
-/// The workers' settings, as the controllers have them.
+/// Timing of the workers, equal to the controllers' settings.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerSettings {
     pub report_ms: Ms,
@@ -52,13 +52,13 @@
 struct Task {
     state: TaskState,
     cause: Option<&'static str>,
-    /// When the present phase ends by itself.
+    /// When the task leaves its present state by itself.
     state_ends_at: Ms,
-    /// Its entry in the history, once it has its image.
+    /// Index of its entry in the history's `task_runs`, from the end of the image fetch until the task has ended.
     run: Option<usize>,
 }
 
-/// A gang's task: its machine, phase, and when that ends.
+/// A task of a gang: its machine, key, state, and when that state ends.
 type GangMember = (String, TaskKey, TaskState, Ms);
 
 /// Job, task number and attempt.
@@ -76,11 +76,11 @@
     pub session: u64,
     report_count: u64,
     pub token: u64,
-    /// When the last report that was answered had been sent, or the session began.
+    /// When the last answered report was sent, or the session started if that is later.
     pub lease_renewed_at: Ms,
     tasks: BTreeMap<TaskKey, Task>,
     pub target_node: usize,
-    pub changed: bool,
+    pub changed_since_report: bool,
     pub hung_until: Ms,
     pub cut_until: Ms,
     pub not_receiving_until: Ms,
@@ -96,7 +96,7 @@
         self.is_up(now) && now >= self.hung_until
     }
 
-    /// Jobs with tasks that run here.
+    /// The jobs of the tasks that are running on this machine.
     pub fn running_jobs(&self) -> impl Iterator<Item = &String> {
         self.tasks.iter().filter(|(_, t)| t.state == TaskState::Running).map(|(key, _)| &key.0)
     }
@@ -107,10 +107,11 @@
         if let Some(run) = task.run.take() {
             history.task_runs[run].ended_at = Some(at);
         }
-        self.changed = true;
+        self.changed_since_report = true;
     }
 
-    /// Past its lease it ends and forgets all tasks: they are gone as of the lease's end, whenever that is noticed.
+    /// If the lease has expired, drops all tasks and starts a new session. The tasks count as ended at the time of the
+    /// expiry, whenever the worker detects it.
     pub fn expire_lease(&mut self, history: &mut History, now: Ms, lease_ms: Ms) {
         let end = self.lease_renewed_at + lease_ms;
         if now <= end {
@@ -123,7 +124,7 @@
         }
         self.tasks.clear();
         self.session += 1;
-        (self.lease_renewed_at, self.changed) = (now, true);
+        (self.lease_renewed_at, self.changed_since_report) = (now, true);
     }
 
     pub fn next_report(&mut self) -> Value {
@@ -145,14 +146,14 @@
     }
 }
 
-/// A kind of machine, and what a machine of it has.
+/// A machine type and the resources of one machine of that type.
 #[derive(Clone, Debug)]
 pub struct MachineType {
     pub name: &'static str,
     pub capacity: Amount,
 }
 
-/// All machines that were ever rented, and the jobs that users have uploaded.
+/// All machines that were ever rented, and the jobs that users submitted.
 pub struct Fleet {
     pub settings: WorkerSettings,
     pub machine_types: Vec<MachineType>,
@@ -160,7 +161,7 @@
     pub jobs: BTreeMap<String, JobBehaviour>,
     pub rentals: BTreeMap<String, Vec<String>>,
     pub max_machines: usize,
-    /// From now on no task runs for longer than that.
+    /// Maximum run time of a task, other than those of services.
     pub max_run_ms: Ms,
 }
 
@@ -170,7 +171,7 @@
         Fleet { settings, machine_types, machines, jobs, rentals, max_machines, max_run_ms: Ms::MAX }
     }
 
-    /// A machine is rented; its name.
+    /// Adds a rented machine and returns its name.
     pub fn add_machine(
         &mut self,
         now: Ms,
@@ -196,7 +197,7 @@
             lease_renewed_at: now + boot_ms,
             tasks: BTreeMap::new(),
             target_node: self.machines.len(),
-            changed: true,
+            changed_since_report: true,
             hung_until: 0,
             cut_until: 0,
             not_receiving_until: 0,
@@ -206,7 +207,7 @@
         name
     }
 
-    /// A machine is gone, and everything on it.
+    /// Removes a machine with all its tasks.
     pub fn remove_machine(&mut self, history: &mut History, name: &str, now: Ms) {
         let lease_ms = self.settings.lease_ms;
         let Some(machine) = self.machines.get_mut(name).filter(|m| !m.dead) else { return };
@@ -220,14 +221,14 @@
         machine.tasks.clear();
     }
 
-    /// What a task of a job would take that is on a machine.
+    /// Resources in use by the tasks on a machine.
     fn used_resources(&self, machine: &Machine) -> Amount {
         let here = machine.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended);
         let needs = here.filter_map(|(key, _)| self.jobs.get(&key.0)).map(|j| j.facts.need);
         needs.fold(Amount::default(), |a, b| Amount { cpu: a.cpu + b.cpu, gpu: a.gpu + b.gpu })
     }
 
-    /// What is free on each machine that is up at this moment.
+    /// Free resources of each machine that is up now.
     pub fn capacity_snapshot(&self, now: Ms) -> CapacitySnapshot {
         let free = |m: &Machine| {
             let capacity = self
@@ -247,10 +248,11 @@
         CapacitySnapshot { at: now, machines }
     }
 
-    /// Time passes: images arrive, tasks end, leases run out, gangs begin and fail.
+    /// Advances the workers to `now`: image fetches complete, tasks end, leases expire, gangs start and fail.
     pub fn advance(&mut self, history: &mut History, now: Ms) {
-        let (settings, max_run) = (self.settings, self.max_run_ms);
-        let run_ms = |job: &JobBehaviour| if job.facts.service { Ms::MAX } else { job.run_ms.min(max_run) };
+        let (settings, max_run_ms) = (self.settings, self.max_run_ms);
+        let run_ms =
+            |job: &JobBehaviour| if job.facts.service { Ms::MAX } else { job.run_ms.min(max_run_ms) };
         for machine in self.machines.values_mut().filter(|m| m.is_active(now)) {
             machine.expire_lease(history, now, settings.lease_ms);
             let due: Vec<TaskKey> = machine
@@ -278,7 +280,7 @@
                         let already_completed =
                             history.completed.get(&key.0).is_some_and(|c| c.contains_key(&key.1));
                         if already_completed {
-                            // The result is kept.
+                            // The result of the earlier run exists already.
                             machine.end_task(history, &key, "done", now);
                             continue;
                         }
@@ -288,7 +290,7 @@
                             (TaskState::Running, now.saturating_add(run_ms(job)))
                         };
                         (task.state, task.state_ends_at) = (state, state_ends_at);
-                        machine.changed = true;
+                        machine.changed_since_report = true;
                     }
                     TaskState::Waiting => machine.end_task(history, &key, "incomplete", now),
                     // Gangs complete together.
@@ -306,19 +308,20 @@
         self.advance_gangs(history, now);
     }
 
-    /// From now on no task runs for longer than that, but for services.
-    pub fn limit_run_time(&mut self, now: Ms, max_run: Ms) {
-        self.max_run_ms = max_run;
+    /// Limits the remaining run time of all tasks, other than those of services, to `max_run_ms`.
+    pub fn limit_run_time(&mut self, now: Ms, max_run_ms: Ms) {
+        self.max_run_ms = max_run_ms;
         for machine in self.machines.values_mut() {
             for (key, task) in machine.tasks.iter_mut().filter(|(_, t)| t.state == TaskState::Running) {
                 if self.jobs.get(&key.0).is_some_and(|j| !j.facts.service) {
-                    task.state_ends_at = task.state_ends_at.min(now + max_run);
+                    task.state_ends_at = task.state_ends_at.min(now + max_run_ms);
                 }
             }
         }
     }
 
-    /// Gangs begin when all their tasks wait, complete together, and fail together.
+    /// Starts gangs whose tasks are all waiting, completes their tasks together, and ends the remaining tasks if one is
+    /// lost.
     fn advance_gangs(&mut self, history: &mut History, now: Ms) {
         let mut gangs: BTreeMap<(String, u64), Vec<GangMember>> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| !m.dead) {
@@ -342,7 +345,7 @@
                     let Some(machine) = self.machines.get_mut(name) else { continue };
                     if let Some(task) = machine.tasks.get_mut(key) {
                         (task.state, task.state_ends_at) = (TaskState::Running, now + run_ms);
-                        machine.changed = true;
+                        machine.changed_since_report = true;
                     }
                 }
             } else if running == size && all_active && members.iter().all(|m| m.3 <= now) {
@@ -367,7 +370,7 @@
         }
     }
 
-    /// A worker carries out a command.
+    /// Executes an order on a worker.
     fn execute_order(&mut self, history: &mut History, name: &str, order: &Value, now: Ms) {
         let Some((job, index)) = order["Piece"].as_str().and_then(|p| p.split_once('/')) else { return };
         let Ok(index) = index.parse::<u32>() else { return };
@@ -375,17 +378,17 @@
         match order["Verb"].as_str() {
             Some("run") => self.start_task(name, key, now),
             Some("kill") => {
-                let save = self.jobs.get(job).map_or(0, |j| j.save_ms);
-                let grace = (order["LeewayS"].as_f64().unwrap_or(0.0) * 1e3) as Ms;
+                let save_ms = self.jobs.get(job).map_or(0, |j| j.save_ms);
+                let grace_ms = (order["LeewayS"].as_f64().unwrap_or(0.0) * 1e3) as Ms;
                 let Some(machine) = self.machines.get_mut(name) else { return };
                 let Some(task) = machine.tasks.get_mut(&key) else { return };
                 match task.state {
                     TaskState::Ended => {}
-                    TaskState::Running if save > 0 && grace >= save => {
-                        (task.state, task.state_ends_at) = (TaskState::Saving, now + save);
-                        machine.changed = true;
+                    TaskState::Running if save_ms > 0 && grace_ms >= save_ms => {
+                        (task.state, task.state_ends_at) = (TaskState::Saving, now + save_ms);
+                        machine.changed_since_report = true;
                     }
-                    TaskState::Saving if grace > 0 => {}
+                    TaskState::Saving if grace_ms > 0 => {}
                     _ => machine.end_task(history, &key, "stopped", now),
                 }
             }
@@ -393,7 +396,7 @@
                 let Some(machine) = self.machines.get_mut(name) else { return };
                 if machine.tasks.get(&key).is_some_and(|t| t.state == TaskState::Ended) {
                     machine.tasks.remove(&key);
-                    machine.changed = true;
+                    machine.changed_since_report = true;
                 }
             }
             _ => {}
@@ -428,7 +431,7 @@
         };
         if let Some(machine) = self.machines.get_mut(name) {
             machine.tasks.insert(key, task);
-            machine.changed = true;
+            machine.changed_since_report = true;
         }
     }
 
@@ -438,7 +441,7 @@
         }
     }
 
-    /// Commands that came to a worker's own address: the status and its report.
+    /// Handles orders sent directly to a worker's address. Returns the status code and the worker's report.
     pub fn handle_direct_orders(
         &mut self,
         history: &mut History,
@@ -455,7 +458,7 @@
         if token < machine.token || session != machine.session {
             return (StatusCode::CONFLICT, machine.next_report());
         }
-        machine.changed |= token > machine.token;
+        machine.changed_since_report |= token > machine.token;
         machine.token = token;
         self.execute_orders(history, name, &body["Orders"], now);
         let report = self.machines.get_mut(name).map(Machine::next_report).unwrap_or_default();
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -1,22 +1,22 @@
-//! What workers ran and what users were told, with times, and the judge of it.
+//! Records what workers ran and what users were answered, and checks the scheduler's guarantees against these records.
 //!
-//! Nothing that a controller says of itself is used. Times are milliseconds of the rig's own steady clock. A task is on its
-//! machine from the moment it has its image until it exits, is killed, its machine is gone or its worker's lease has run
-//! out; a worker that notices the last one late has not run it longer.
+//! Nothing that a controller reports about itself is used. Times are milliseconds of the rig's own monotonic clock. A
+//! task is on its machine from the time at which its image has been fetched until it exits, is killed, its machine is
+//! gone or its worker's lease has expired. The expiry time counts even if the worker detects it later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Milliseconds since the run began.
+/// Milliseconds since the start of the run.
 pub type Ms = u64;
 
-/// Amounts, in thousandths.
+/// Amounts of processors and accelerators, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Amount {
     pub cpu: u64,
     pub gpu: u64,
 }
 
-/// A submitted job, as far as the rules look at it.
+/// The properties of a submitted job that the rules use. Its fields are printed with violations.
 #[derive(Clone, Debug)]
 pub struct JobFacts {
     pub team: String,
@@ -28,11 +28,11 @@
     pub spread: bool,
     pub spot: bool,
     pub service: bool,
-    /// All its tasks run together, or none.
+    /// All its tasks run together or not at all.
     pub gang: bool,
 }
 
-/// A task on a machine.
+/// The presence of a task on a machine, from the end of the image fetch on.
 #[derive(Clone, Debug)]
 pub struct TaskRun {
     pub job: String,
@@ -42,23 +42,23 @@
     pub zone: String,
     pub spot: bool,
     pub started_at: Ms,
-    /// None while it is there.
+    /// `None` while the task is on the machine.
     pub ended_at: Option<Ms>,
 }
 
-/// What a user was told of a job.
+/// State of a job in an answer to a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
     Live,
     Done,
     Withdrawn,
-    /// 404.
+    /// Status code 404.
     Unknown,
-    /// 400 or 422.
+    /// Status code 400 or 422.
     Refused,
 }
 
-/// An answer to a user: when the question was sent and when the answer came.
+/// An answer to a user's request: `sent` is when the request was sent, `at` when the answer arrived.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub job: String,
@@ -67,7 +67,7 @@
     pub kind: AnswerKind,
 }
 
-/// What is free on a machine.
+/// Free resources of a machine.
 #[derive(Clone, Debug)]
 pub struct MachineCapacity {
     pub machine: String,
@@ -76,31 +76,32 @@
     pub free: Amount,
 }
 
-/// The machines that were up at a moment.
+/// Free resources of all machines that were up at a point in time.
 #[derive(Clone, Debug)]
 pub struct CapacitySnapshot {
     pub at: Ms,
     pub machines: Vec<MachineCapacity>,
 }
 
-/// A run.
+/// Everything recorded during a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Processors and accelerators that each team may use at once; 0: no limit.
     pub limits: BTreeMap<String, Amount>,
+    /// Time after a confirmed cancellation by which all tasks of the job must have ended.
     pub cancel_ms: Ms,
     pub jobs: BTreeMap<String, JobFacts>,
     pub task_runs: Vec<TaskRun>,
     /// When each task of a job first completed.
     pub completed: BTreeMap<String, BTreeMap<u32, Ms>>,
     pub answers: Vec<Answer>,
-    /// When users first asked to cancel a job.
+    /// When the user of a job first requested its cancellation.
     pub cancel_requested_at: BTreeMap<String, Ms>,
-    /// What was free on the machines, from moment to moment.
+    /// Free resources of the machines, recorded at intervals.
     pub snapshots: Vec<CapacitySnapshot>,
-    /// Controllers that ended though nobody had ended them.
+    /// Controllers that exited without having been killed by the rig.
     pub unexpected_exits: Vec<String>,
-    /// From then on nothing more befalls anybody.
+    /// When the last fault was over.
     pub faults_end: Ms,
     pub run_ended_at: Ms,
 }
@@ -113,26 +114,26 @@
     pub details: String,
 }
 
-/// What a run met, beside broken rules.
+/// Statistics of a run, beside the violations.
 #[derive(Clone, Debug, Default)]
 pub struct Statistics {
-    /// The largest part of any limit that was used, in thousandths.
+    /// The largest fraction of any limit that was in use, in thousandths.
     pub peak_usage: u64,
     pub starts: usize,
-    /// Confirmed cancellations before the calm.
+    /// Cancellations confirmed before the end of the faults.
     pub confirmed_cancellations: usize,
-    /// Starts after a confirmed cancellation.
+    /// Starts of tasks after the cancellation of their job was confirmed.
     pub starts_after_cancellation: usize,
     pub accepted: usize,
     pub done: usize,
-    /// Jobs that were not cancelled and not done when the run was over.
+    /// Accepted jobs, other than services, that were neither done nor being cancelled at the end of the run.
     pub unfinished: usize,
 }
 
-/// How long a job may go without an answered question in calm.
+/// How long queries for a job may stay unanswered after the faults.
 const MAX_UNANSWERED: Ms = 20_000;
-/// How long a job may wait in calm while its team has room for one more of its tasks. Whether a machine would have fitted
-/// is not judged: there are more to be rented than any limit can use.
+/// How long a job may wait after the faults while its team's limits allow the start of one more of its tasks. Whether a
+/// machine has room is not checked: more machines can be rented than the limits allow to use.
 const MAX_WAIT_WITHIN_LIMITS: Ms = 25_000;
 
 impl History {
@@ -140,13 +141,13 @@
         Violation { rule, at, details }
     }
 
-    /// Every broken rule, the earliest first.
+    /// All violations, the earliest first.
     pub fn find_violations(&self) -> Vec<Violation> {
         let mut all = Vec::new();
         all.extend(self.find_concurrent_runs());
         all.extend(self.find_limit_violations());
         all.extend(self.find_misplaced_runs());
-        all.extend(self.find_runs_after_cancellation());
+        all.extend(self.find_runs_past_cancellation_deadline());
         all.extend(self.find_wrong_answers());
         all.extend(self.find_unresolved_jobs());
         if self.task_runs.is_empty() {
@@ -169,7 +170,7 @@
         run.started_at <= at && at < self.run_end(run)
     }
 
-    /// A task starts on a machine while it is on another.
+    /// Finds tasks that started on a machine while they were on another one.
     fn find_concurrent_runs(&self) -> Vec<Violation> {
         let mut by_key: BTreeMap<(&str, u32), Vec<&TaskRun>> = BTreeMap::new();
         for run in &self.task_runs {
@@ -193,7 +194,7 @@
         violations
     }
 
-    /// What a team uses, each time that it changes.
+    /// The resources that a team uses, after each change.
     fn usage(&self, team: &str) -> Vec<(Ms, Amount)> {
         let mut changes: Vec<(Ms, bool, Amount)> = Vec::new();
         for run in &self.task_runs {
@@ -204,7 +205,7 @@
                 changes.push((end, false, job.need));
             }
         }
-        // What ends at a moment ends before what begins then.
+        // Of changes at the same time, ends count before starts.
         changes.sort_by_key(|(at, is_start, _)| (*at, *is_start));
         let mut used = Amount::default();
         let mut usage = Vec::new();
@@ -225,7 +226,7 @@
             let exceeds = |used: &Amount| {
                 limit.cpu > 0 && used.cpu > limit.cpu || limit.gpu > 0 && used.gpu > limit.gpu
             };
-            // Once for each time that it is exceeded, however it goes on from there.
+            // Each period above the limit counts once, even if the usage changes during it.
             let mut exceeded = false;
             for (at, used) in self.usage(team) {
                 if exceeds(&used) && !exceeded {
@@ -262,7 +263,7 @@
         violations
     }
 
-    /// When a job's user was first told that it is cancelled.
+    /// When the cancellation of a job was first confirmed to its user.
     fn cancellation_confirmed_at(&self, job: &str) -> Option<Ms> {
         let withdrawn = self.answers.iter().filter(|a| a.job == job && a.kind == AnswerKind::Withdrawn);
         withdrawn.map(|a| a.at).min()
@@ -274,7 +275,7 @@
         jobs.into_iter().filter_map(|job| Some((job, self.cancellation_confirmed_at(job)?))).collect()
     }
 
-    fn find_runs_after_cancellation(&self) -> Vec<Violation> {
+    fn find_runs_past_cancellation_deadline(&self) -> Vec<Violation> {
         let confirmed = self.confirmed_cancellations();
         let mut violations = Vec::new();
         for run in &self.task_runs {
@@ -346,7 +347,7 @@
         violations
     }
 
-    /// Jobs whose users were told that they are accepted, and not yet that they are over.
+    /// Jobs that were reported as live to their users, but not yet as done or withdrawn.
     pub fn unresolved_jobs(&self) -> BTreeSet<&String> {
         let jobs_with = |matches: fn(AnswerKind) -> bool| -> BTreeSet<&String> {
             self.answers.iter().filter(|a| matches(a.kind)).map(|a| &a.job).collect()
@@ -355,15 +356,17 @@
         jobs_with(|t| t == AnswerKind::Live).difference(&ended).copied().collect()
     }
 
-    /// Of these, the jobs that nobody has asked to cancel and that are no services.
+    /// Unresolved jobs whose cancellation was not requested and that are not services.
     fn unfinished_jobs(&self) -> Vec<(&String, &JobFacts)> {
         let unresolved_jobs = self.unresolved_jobs();
         let jobs = self.jobs.iter().filter(|(job, f)| unresolved_jobs.contains(job) && !f.service);
         jobs.filter(|(job, _)| !self.cancel_requested_at.contains_key(*job)).collect()
     }
 
-    /// Whether a team would have had room under its limits from a moment on for what a job starts with: one more task, or
-    /// all of a gang. A gang runs whole or not at all and its tasks complete together, so that none is done while it waits.
+    /// Whether the team's limits allowed the job's next start at all times since `since`.
+    ///
+    /// The next start is one task, or all tasks of a gang: a gang runs as a whole or not at all and its tasks complete
+    /// together, so that none of them has completed while the gang waits.
     fn fits_limits_since(&self, facts: &JobFacts, since: Ms) -> bool {
         let Some(limit) = self.limits.get(&facts.team) else { return true };
         let tasks = if facts.gang { u64::from(facts.tasks) } else { 1 };
@@ -378,7 +381,8 @@
         fits(&before) && usage.iter().filter(|(at, _)| *at > since).all(|(_, used)| fits(used))
     }
 
-    /// Which machines have had room for a task of a job from a moment on, and how many were up at least.
+    /// Describes which machines had room for a task of the job in every snapshot since `since`, and the lowest number
+    /// of machines that were up.
     fn describe_capacity_since(&self, facts: &JobFacts, since: Ms) -> String {
         let fits = |machine: &MachineCapacity| {
             machine.free.cpu >= facts.need.cpu
@@ -401,7 +405,8 @@
         format!("of {min_up} machines up at least, room in all {} looks on {throughout:?}", snapshots.len())
     }
 
-    /// Once it is calm each accepted job is answered for, and none waits while its team has room for it.
+    /// Finds accepted jobs that got no answers after the faults, or that waited though their team's limits allowed a
+    /// start.
     fn find_unresolved_jobs(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         for job in self.unresolved_jobs().into_iter().filter(|job| self.jobs.contains_key(*job)) {
@@ -430,7 +435,7 @@
         violations
     }
 
-    /// What the run met.
+    /// Statistics of the run.
     pub fn statistics(&self) -> Statistics {
         let mut peak_usage = 0;
         for (team, limit) in &self.limits {
--- a/tests/soak/links.rs
+++ b/tests/soak/links.rs
@@ -1,4 +1,4 @@
-//! One small proxy for each link from one controller to another, which does the network's part.
+//! A TCP proxy for each link from one controller to another, which injects the network faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,17 +10,18 @@
 use crate::rig::Rig;
 use crate::schedule::Cut;
 
-/// How often a proxy looks whether its link is cut.
+/// Interval at which a proxy checks whether its link is interrupted.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A link's two ends, and the address at which the first one is told that the other is.
+/// A link from one controller to another. The settings of `from` give `listen_address` as the address of `to`.
 pub struct Link {
     pub from: usize,
     pub to: usize,
     pub listen_address: String,
 }
 
-/// Runs a link until the run is over. While the other end is down, or the link is reset, connections are refused.
+/// Runs the proxy of a link until the end of the run. Connections are refused while the target is down or the link is
+/// reset.
 pub async fn run_proxy(rig: Arc<Rig>, processes: Arc<ControllerProcesses>, link: Link) {
     let link = Arc::new(link);
     let is_refusing = |rig: &Rig, processes: &ControllerProcesses, link: &Link| {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Carries what one end sends to the other, which never answers on the same connection.
+/// Forwards data to the target, which never answers on the same connection.
 async fn forward(rig: Arc<Rig>, link: Arc<Link>, mut from: TcpStream) {
     let cut = || rig.faults.lock().unwrap().link_cut(link.from, link.to);
     while cut() == Some(Cut::Hold) {
@@ -68,7 +69,7 @@
                     return;
                 }
             }
-            // The other end has gone.
+            // The target has closed the connection.
             _ = to.read(&mut back) => return,
             () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
--- a/tests/soak/ports.rs
+++ b/tests/soak/ports.rs
@@ -1,23 +1,23 @@
-//! The ports of a run, claimed for as long as it lasts, so that soaks that run at the same time do not take each other's.
+//! Ports of a run, claimed for its whole duration, so that concurrent soaks do not use the same ports.
 
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicU16, Ordering};
 
 use tokio::net::TcpListener;
 
-/// Ports that are given up and taken again lie below those that systems choose for outgoing connections: one of these
-/// would else take a port while its controller is down or its link refuses.
+/// Range of the ports, below the ephemeral ports that systems choose for outgoing connections: such a connection could
+/// otherwise take a port while its controller is down or its link refuses connections.
 const PORTS: std::ops::Range<u16> = 12_000..32_000;
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// An address that nobody listens at, and that no other run is given while this lives.
+/// An address without a listener that no other run gets until this value is dropped.
 pub struct ClaimedAddress {
     pub address: String,
-    /// The datagram port of the same number, which nothing else uses, shows other soaks that it is taken.
+    /// The UDP port of the same number, which has no other use; binding it marks the address as taken for other soaks.
     _claim: UdpSocket,
 }
 
-/// Claims an address.
+/// Claims an unused address on the loopback interface.
 pub async fn claim_address() -> std::io::Result<ClaimedAddress> {
     let count = PORTS.end - PORTS.start;
     let offset = (std::process::id() % u32::from(count)) as u16;
--- a/tests/soak/rig.rs
+++ b/tests/soak/rig.rs
@@ -1,4 +1,4 @@
-//! What all parts of a run share: its clock, the stand-ins' state, the faults that hold, and the history.
+//! State that all parts of a run share: its clock, the simulated services, the active faults and the history.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,14 +11,14 @@
 use crate::schedule::{Cut, Fault};
 use crate::store::Store;
 
-/// Where a controller is reached.
+/// The addresses of a controller.
 #[derive(Clone, Debug)]
 pub struct Address {
     pub api: String,
     pub internal: String,
 }
 
-/// The faults that hold at this moment.
+/// The faults that are active now.
 #[derive(Default)]
 pub struct Faults {
     last_number: u64,
@@ -26,7 +26,7 @@
 }
 
 impl Faults {
-    /// A fault begins; its number.
+    /// Activates a fault and returns its number, with which it is ended.
     pub fn begin(&mut self, fault: Fault) -> u64 {
         self.last_number += 1;
         self.active.push((self.last_number, fault));
@@ -41,17 +41,17 @@
         self.active.iter().any(|(_, fault)| matches_fault(fault))
     }
 
-    /// Whether the state service refuses a controller.
+    /// Whether the state service rejects the controller's calls.
     pub fn store_refuses(&self, node: usize) -> bool {
         self.is_active(|f| matches!(f, Fault::StoreRefuses { node: n } if n.is_none_or(|n| n == node)))
     }
 
-    /// Whether some of a controller's calls to the state service get no answer.
+    /// Whether some of the controller's calls to the state service get no answer.
     pub fn store_drops_calls(&self, node: usize) -> bool {
         self.is_active(|f| matches!(f, Fault::StoreLoses { node: n } if *n == node))
     }
 
-    /// Whether workers' reports do not reach a controller.
+    /// Whether workers' reports to the controller are lost.
     pub fn worker_reports_cut(&self, node: usize) -> bool {
         self.is_active(|f| matches!(f, Fault::Workers { node: n } if *n == node))
     }
@@ -64,7 +64,7 @@
         self.is_active(|f| *f == Fault::LateReports)
     }
 
-    /// How what one controller sends to another is cut, if it is. A reset comes before what only waits.
+    /// How the link from one controller to another is interrupted, if it is. `Reset` takes precedence over `Hold`.
     pub fn link_cut(&self, from: usize, to: usize) -> Option<Cut> {
         let cuts = self.active.iter().filter_map(|(_, fault)| match fault {
             Fault::Peers { from: f, to: t, how } if (*f, *t) == (from, to) => Some(*how),
@@ -75,18 +75,18 @@
     }
 }
 
-/// One run.
+/// Shared state of one run.
 pub struct Rig {
     start: Instant,
     pub seed: u64,
     pub nodes: Vec<Address>,
     pub history: Mutex<History>,
     pub store: Mutex<Store>,
-    /// The store has changed.
+    /// Notified when the contents of the store change.
     pub store_changed: Notify,
     pub fleet: Mutex<Fleet>,
     pub faults: Mutex<Faults>,
-    /// By how much the rig itself was late at worst.
+    /// Largest delay of the rig behind its own schedule, in ms.
     max_delay: AtomicU64,
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The rig's steady clock.
+    /// Time since the start of the run, from a monotonic clock.
     pub fn now(&self) -> Ms {
         self.start.elapsed().as_millis() as Ms
     }
@@ -115,7 +115,7 @@
         tokio::time::sleep(Duration::from_millis(remaining)).await;
     }
 
-    /// Notes how late the rig was with something due at this moment.
+    /// Records the delay of an action of the rig that was due at `due` and starts now.
     pub fn record_delay(&self, due: Ms) {
         self.max_delay.fetch_max(self.now().saturating_sub(due), Ordering::Relaxed);
     }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run: three controllers, their surroundings, the faults of a seed, and the judgement.
+//! One run of a seed: three controllers, their simulated surroundings, the scheduled faults and the final checks.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -21,39 +21,39 @@
 use crate::users::{self, CancelSignals};
 use crate::{cloud, store};
 
-/// Controllers of a run.
+/// Number of controllers in a run. A `node` is the index of a controller.
 const NODES: usize = 3;
-/// Machines that may be rented at a time.
+/// Maximum number of machines rented at the same time.
 const MAX_MACHINES: usize = 36;
 const WORKER_SETTINGS: WorkerSettings =
     WorkerSettings { report_ms: 1_000, lease_ms: 6_000, gang_wait_ms: 8_000 };
 const CANCEL_MS: Ms = 15_000;
-/// When nothing more befalls anybody, and when the run is over at the latest.
+/// When the last fault is over, and when the run ends at the latest.
 const FAULTS_END: Ms = schedule::LAST_FAULT_START + 9_000;
 const RUN_END: Ms = FAULTS_END + 40_000;
-/// Jobs come until shortly before the calm.
+/// Jobs are submitted until shortly before the end of the faults.
 const SUBMISSIONS_END: Ms = schedule::LAST_FAULT_START + 2_000;
-/// Beyond that the rig's own clock says little of what others could have done in time.
+/// Delay of the rig beyond which its clock no longer shows what the other processes could have done in time.
 pub const STALL_MS: Ms = 1_000;
 
-/// How often the room on all machines is noted.
+/// Interval at which the free capacity of all machines is recorded.
 const SNAPSHOT_INTERVAL_MS: Ms = 1_000;
 
-/// How long tasks run at most once it is calm.
+/// Maximum run time of a task once the faults are over.
 const MAX_RUN_MS_AFTER_FAULTS: Ms = 300;
 
-/// Each team's limits of processors and accelerators.
+/// Each team's limits of processors and accelerators; 0: no limit.
 const TEAMS: [(&str, u64, u64); 3] = [("blue", 60, 4), ("red", 40, 3), ("green", 0, 0)];
 
-/// What a run showed.
+/// Result of a run.
 pub struct Outcome {
     pub seed: u64,
     pub violations: Vec<Violation>,
     pub statistics: Statistics,
     pub leaders: usize,
-    /// By how much the rig was late at worst.
+    /// Largest delay of the rig behind its own schedule.
     pub max_delay_ms: Ms,
-    /// A controller found its port in use: the run says nothing.
+    /// A controller exited because its port was in use, so the result of the run is invalid.
     pub port_conflict: bool,
     pub schedule: Vec<ScheduledFault>,
     pub logs: PathBuf,
@@ -111,14 +111,14 @@
     (history, Fleet::new(WORKER_SETTINGS, machine_types, MAX_MACHINES))
 }
 
-/// Whoever leads, by the records.
+/// The controller that the leader record in the state service names.
 fn current_leader(rig: &Rig) -> Option<usize> {
     let value = rig.store.lock().unwrap().value(records::LEADER_KEY).cloned()?;
     let record: LeaderRecord = serde_json::from_value(value).ok()?;
     record.member.strip_prefix("n-")?.parse().ok()
 }
 
-/// Plays a seed. `folder` takes settings and logs.
+/// Runs a seed. Settings and logs of the controllers are written to `folder`.
 pub async fn run_seed(seed: u64, folder: PathBuf) -> std::io::Result<Outcome> {
     std::fs::create_dir_all(&folder)?;
     let mut claims = Vec::new();
@@ -164,7 +164,7 @@
     }
     rig.sleep_until(FAULTS_END).await;
     rig.history.lock().unwrap().faults_end = rig.now();
-    // What is left has time enough, so that a job that is not done was not let.
+    // Shorter tasks leave enough time for all remaining jobs: a job that does not finish was not given resources.
     rig.fleet.lock().unwrap().limit_run_time(rig.now(), MAX_RUN_MS_AFTER_FAULTS);
     while rig.now() < RUN_END && !rig.history.lock().unwrap().unresolved_jobs().is_empty() {
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -188,7 +188,7 @@
     })
 }
 
-/// Lets time pass for the workers and the controllers' processes.
+/// Advances the simulated workers and supervises the controllers' processes at every step.
 async fn advance_simulation(rig: Arc<Rig>, processes: Arc<ControllerProcesses>) {
     let mut due = rig.now();
     let mut next_snapshot = due;
@@ -210,7 +210,7 @@
     }
 }
 
-/// More work than the teams' limits allow, of all shapes.
+/// Submits jobs of all shapes, with more work than the teams' limits allow at once.
 async fn submit_jobs(rig: Arc<Rig>, cancel_signals: Arc<CancelSignals>) {
     let mut rng = StdRng::seed_from_u64(rig.seed ^ 0x5eed);
     let mut users = JoinSet::new();
@@ -227,7 +227,7 @@
     while users.join_next().await.is_some() {}
 }
 
-/// A fault comes, lasts and goes.
+/// Injects a fault at its scheduled time and removes it after its duration.
 async fn inject_fault(
     rig: Arc<Rig>,
     processes: Arc<ControllerProcesses>,
@@ -263,7 +263,7 @@
     }
 }
 
-/// Machines that are up, in an order of chance.
+/// Picks up to `count` running machines at random.
 fn pick_running_machines(rig: &Rig, count: usize) -> Vec<String> {
     let now = rig.now();
     let fleet = rig.fleet.lock().unwrap();
@@ -294,7 +294,7 @@
     }
 }
 
-/// Users call off some of the running jobs, and up to eight of their machines hang.
+/// Has users cancel some of the running jobs while up to eight of the jobs' machines hang.
 fn cancel_running_jobs(rig: &Rig, cancel_signals: &CancelSignals, count: usize, hang: Ms) {
     let end = rig.now() + hang;
     let mut fleet = rig.fleet.lock().unwrap();
--- a/tests/soak/schedule.rs
+++ b/tests/soak/schedule.rs
@@ -1,60 +1,60 @@
-//! The faults of a run, drawn from its seed.
+//! The faults of a run, generated from its seed.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 use crate::history::Ms;
 
-/// What a link between two parties does.
+/// How a link between two controllers is interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// What is sent waits and is delivered when the cut is over.
+    /// Messages are held back and delivered when the fault is over.
     Hold,
-    /// Connections are reset, and new ones are closed at once.
+    /// Connections are reset, and new ones are refused.
     Reset,
 }
 
-/// What befalls whom.
+/// A fault. The names are printed in the schedule of a failed run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A controller is killed and started again after so long.
+    /// A controller is killed and restarted after `away` ms.
     Kill { node: usize, away: Ms },
-    /// The leader of that moment is.
+    /// The current leader is killed and restarted after `away` ms.
     KillLeader { away: Ms },
-    /// All are.
+    /// All controllers are killed and restarted after `away` ms.
     KillAll { away: Ms },
-    /// A controller's process stands still.
+    /// A controller's process is paused.
     Pause { node: usize },
-    /// The state service refuses one controller, or all.
+    /// The state service rejects all calls of one controller, or of every controller.
     StoreRefuses { node: Option<usize> },
-    /// Of a controller's calls to the state service a share gets no answer; some of its transactions are carried out at
-    /// once, some seconds late.
+    /// A fraction of a controller's calls to the state service get no answer; of the transactions among them, some are
+    /// never applied, some at once and some seconds later.
     StoreLoses { node: usize },
-    /// What one controller sends another does not get through.
+    /// Messages from one controller to another are interrupted.
     Peers { from: usize, to: usize, how: Cut },
-    /// What a controller sends to others and they to it does not get through.
+    /// All messages between one controller and the others are interrupted, in both directions.
     Alone { node: usize, how: Cut },
-    /// No worker's report reaches a controller.
+    /// No worker's reports reach the controller.
     Workers { node: usize },
-    /// Machines that cannot be reached and reach nobody.
+    /// Machines are cut off from the network in both directions.
     MachinesCut { count: usize },
-    /// Machines that stand still.
+    /// Machines hang.
     MachinesHang { count: usize },
-    /// Machines that are told nothing: answers and commands do not reach them.
+    /// Machines receive neither answers to their reports nor direct orders.
     MachinesDeaf { count: usize },
-    /// Machines whose reports reach nobody; commands reach them.
+    /// Machines receive direct orders, but their reports are lost.
     MachinesMute { count: usize },
-    /// Machines that stop for good.
+    /// Machines fail permanently.
     MachinesDie { count: usize },
-    /// Direct commands are held up for seconds and get no answer.
+    /// Some direct orders are delayed by seconds and get no answer.
     LateCommands,
-    /// Copies of reports arrive again, seconds later, at any controller.
+    /// Some reports are delivered a second time, seconds later, to a random controller.
     LateReports,
-    /// Users call off so many running jobs at once, and their machines hang that long.
+    /// Users cancel `count` running jobs at once, and machines of these jobs hang for `hang` ms.
     Cancel { count: usize, hang: Ms },
 }
 
-/// A fault from one moment to another.
+/// A fault with its start and its duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
     pub at: Ms,
@@ -62,11 +62,11 @@
     pub fault: Fault,
 }
 
-/// When the first fault comes, and the last one begins.
+/// When the first fault starts, and the bound before which the last one starts.
 pub const FIRST_FAULT: Ms = 6_000;
 pub const LAST_FAULT_START: Ms = 26_000;
 
-/// The schedule of a seed for so many controllers.
+/// Generates the schedule of a seed for `nodes` controllers.
 pub fn generate(seed: u64, nodes: usize) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut entries = Vec::new();
@@ -75,10 +75,10 @@
         let duration = rng.random_range(1_000..9_000);
         let fault = random_fault(&mut rng, nodes);
         entries.push(ScheduledFault { at, duration, fault });
-        // Two or three overlap.
+        // Two or three faults overlap.
         at += rng.random_range(700..2_400);
     }
-    // Every run has a series of leaders, and cancellations while it lasts.
+    // Every run has three failovers of the leader, each with cancellations shortly after it.
     let first_failover = rng.random_range(FIRST_FAULT..LAST_FAULT_START - 10_000);
     for n in 0..3 {
         let away = rng.random_range(100..2_500);
@@ -104,7 +104,7 @@
     let to = (node + rng.random_range(1..nodes)) % nodes;
     let how = if rng.random_bool(0.5) { Cut::Hold } else { Cut::Reset };
     let count = rng.random_range(2..9);
-    // Half of those that end are back within a fraction of a second.
+    // Half of the killed controllers restart within a fraction of a second.
     let away = if rng.random_bool(0.5) { rng.random_range(50..400) } else { rng.random_range(400..6_000) };
     match rng.random_range(0..19) {
         0 | 1 => Fault::Kill { node, away },
--- a/tests/soak/store.rs
+++ b/tests/soak/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service, by its published protocol.
+//! Simulated state service that implements the published protocol.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::history::Ms;
 use crate::rig::Rig;
 
-/// Changes that are kept for those who follow.
+/// Number of changes that are retained for watches.
 const MAX_LOG_ENTRIES: usize = 10_000;
 
 #[derive(Clone)]
@@ -26,24 +26,24 @@
     lease: Option<u64>,
 }
 
-/// Keys, leases and the log of changes.
+/// Contents of the state service: keys, leases and the log of changes.
 #[derive(Default)]
 pub struct Store {
     revision: u64,
     keys: BTreeMap<String, Record>,
-    /// When each lease ends, and its length.
+    /// Expiry time and term of each lease.
     leases: BTreeMap<u64, (Ms, Ms)>,
     next_lease: u64,
     log: Vec<(u64, String, Option<Value>)>,
 }
 
 impl Store {
-    /// What a key holds.
+    /// Value of a key.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.keys.get(key).map(|r| &r.value)
     }
 
-    /// How often a key was written since the beginning.
+    /// Number of writes to a key since the start of the run.
     pub fn write_count(&self, key: &str) -> usize {
         self.log.iter().filter(|(_, k, value)| k == key && value.is_some()).count()
     }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// After an outage all leases regain their full time.
+    /// Extends all leases to their full term after an outage.
     pub fn extend_leases(&mut self, now: Ms) {
         self.leases.values_mut().for_each(|(end, term)| *end = now + *term);
     }
@@ -116,7 +116,7 @@
         (StatusCode::OK, json!({"Epoch": self.revision}))
     }
 
-    /// The changes after a revision; none if they are no longer all kept.
+    /// The changes after a revision; `None` if some of them are no longer retained.
     fn changes_after(&self, prefix: &str, after: u64) -> Option<Vec<Value>> {
         let dropped = self.log.len().saturating_sub(MAX_LOG_ENTRIES);
         if dropped > 0 && self.log[dropped - 1].0 > after {
@@ -132,7 +132,7 @@
     }
 }
 
-/// One controller's side of the state service.
+/// The state service as seen by one controller, with the faults of that connection.
 #[derive(Clone)]
 struct ControllerConnection {
     rig: Arc<Rig>,
@@ -144,13 +144,13 @@
 }
 
 impl ControllerConnection {
-    /// What a call meets on its way: a refusal, or nothing.
+    /// The error response, if the service rejects the controller's calls now.
     fn refusal(&self) -> Option<Response> {
         let is_refused = self.rig.faults.lock().unwrap().store_refuses(self.node);
         is_refused.then(|| reply(StatusCode::SERVICE_UNAVAILABLE, json!({"error": "trouble"})))
     }
 
-    /// Whether this call is one of those that get no answer.
+    /// Decides at random whether this call gets no answer, if that fault is active.
     fn drops_call(&self) -> bool {
         let faulty = self.rig.faults.lock().unwrap().store_drops_calls(self.node);
         faulty && rand::rng().random_bool(0.35)
@@ -174,7 +174,7 @@
     }
 }
 
-/// The state service as one controller reaches it.
+/// Routes of the state service for one controller.
 pub fn router(rig: Arc<Rig>, node: usize) -> Router {
     Router::new()
         .route("/keys", get(list))
@@ -235,14 +235,14 @@
         return reply(StatusCode::BAD_REQUEST, json!({"error": "malformed"}));
     };
     if connection.drops_call() {
-        // Never, at once with the answer lost, or late.
+        // The transaction is applied never, at once or late; its answer is lost in each case.
         let outcome = rand::rng().random_range(0..3);
         if outcome == 1 {
             connection.with_store(|store| store.commit(&body));
         } else if outcome == 2 {
-            let (connection, late) = (connection.clone(), rand::rng().random_range(1_000..6_000));
+            let (connection, delay_ms) = (connection.clone(), rand::rng().random_range(1_000..6_000));
             tokio::spawn(async move {
-                tokio::time::sleep(Duration::from_millis(late)).await;
+                tokio::time::sleep(Duration::from_millis(delay_ms)).await;
                 connection.with_store(|store| store.commit(&body));
             });
         }
@@ -310,7 +310,7 @@
     let end = tokio::time::Instant::now() + Duration::from_millis(hold_ms);
     loop {
         let changed = connection.rig.store_changed.notified();
-        // An open watch waits as long as the service does not serve this controller.
+        // An open watch is held while the service rejects this controller's calls.
         let is_refusing = connection.rig.faults.lock().unwrap().store_refuses(connection.node);
         let result = connection.with_store(|store| (store.revision, store.changes_after(&prefix, after)));
         let (revision, Some(changes)) = result else {
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -1,4 +1,5 @@
-//! Users: they submit jobs beyond their teams' limits, ask and repeat everywhere, and cancel some.
+//! Simulated users: they submit more jobs than their teams' limits allow to run, query them, repeat submissions at all
+//! controllers, and cancel some jobs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,21 +16,21 @@
 use crate::history::{Amount, Answer, AnswerKind, JobFacts, Ms};
 use crate::rig::Rig;
 
-/// How long a user waits for the answer to a question, and to a submission or cancellation.
+/// How long a user waits for the answer to a query, and to a submission or cancellation.
 const QUERY_TIMEOUT: Micros = Micros::from_millis(2_000);
 const REQUEST_TIMEOUT: Micros = Micros::from_millis(5_000);
 
-/// A job and its request.
+/// A job and the body of its submission.
 #[derive(Clone)]
 pub struct Job {
     pub id: String,
     pub body: Value,
     pub behaviour: JobBehaviour,
-    /// Its user cancels it that long after it was accepted.
+    /// Time after acceptance at which the user cancels the job.
     pub cancel_after: Option<Ms>,
 }
 
-/// Jobs whose users are to cancel them now.
+/// Signals to users to cancel their jobs now.
 #[derive(Default)]
 pub struct CancelSignals(std::sync::Mutex<BTreeMap<String, Arc<AtomicBool>>>);
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// A job of any shape for a team.
+/// Generates a random job of a team.
 pub fn random_job(rng: &mut StdRng, n: u32, team: &str) -> Job {
     let id = format!("j-{n:06}");
     let shape = ["sweep", "sweep", "sweep", "ensemble", "ensemble", "standing"][rng.random_range(0..6)];
@@ -83,7 +84,7 @@
     Job { id, body, behaviour, cancel_after }
 }
 
-/// One user's connection to the controllers.
+/// A user of one job.
 struct User {
     rig: Arc<Rig>,
     client: HttpClient,
@@ -91,7 +92,8 @@
 }
 
 impl User {
-    /// Asks one controller and notes what it says; none if that is no answer.
+    /// Sends a request to one controller and records the answer. `None` if there was none, or if it does not show the
+    /// state of the job.
     async fn send_request(
         &self,
         node: usize,
@@ -135,7 +137,7 @@
         self.send_request(node, "POST", &path, Some("{}".into()), REQUEST_TIMEOUT).await
     }
 
-    /// Asks every controller and repeats its submission there, all at once.
+    /// Sends a query and a repeated submission at once to each controller, one controller after the other.
     async fn query_and_resubmit_everywhere(&self) {
         let nodes = 0..self.rig.nodes.len();
         let requests = nodes.map(|node| async move {
@@ -147,7 +149,8 @@
         }
     }
 
-    /// Cancels the job, wherever it gets through; false if nobody has answered by then.
+    /// Requests the cancellation at random controllers until one confirms it or reports the job as done. False if none
+    /// has by `until`.
     async fn cancel(&self, until: Ms) -> bool {
         let now = self.rig.now();
         self.rig.history.lock().unwrap().cancel_requested_at.entry(self.job.id.clone()).or_insert(now);
@@ -175,7 +178,7 @@
     }
 }
 
-/// A user's dealings with one job, until it is over or the run is.
+/// Submits a job, queries it and cancels it if that is due, until the end of the run.
 pub async fn run_user(rig: Arc<Rig>, job: Job, cancel_signals: Arc<CancelSignals>, until: Ms) {
     {
         let mut fleet = rig.fleet.lock().unwrap();
@@ -217,7 +220,7 @@
     if checks_all_controllers {
         user.query_and_resubmit_everywhere().await;
     }
-    // It asks again now and then.
+    // Queries go on after the job has ended: the answer must not change.
     while user.rig.now() < until {
         let pause = rand::rng().random_range(2_000..5_000);
         tokio::time::sleep(Duration::from_millis(pause)).await;
@@ -225,7 +228,7 @@
     }
 }
 
-/// Somebody who asks about jobs that nobody has submitted.
+/// Queries a job that was never submitted.
 pub async fn query_unknown_job(rig: Arc<Rig>, until: Ms) {
     let facts = JobFacts {
         team: String::new(),
--- a/tests/soak/worker.rs
+++ b/tests/soak/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker on the network: its own address, where commands come in, and its reports to the controllers.
+//! Network side of a simulated worker: the endpoint for direct orders, and the reports to the controllers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,17 +18,17 @@
 use crate::history::Ms;
 use crate::rig::Rig;
 
-/// How long a worker waits for the answer to a report, and drops one that comes later.
+/// How long a worker waits for the answer to a report; a later answer is dropped.
 const ANSWER_TIMEOUT_MS: Ms = 4_000;
 
-/// A worker's own address.
+/// Handler state of the endpoint of one worker.
 #[derive(Clone)]
 struct WorkerEndpoint {
     rig: Arc<Rig>,
     name: String,
 }
 
-/// Serves a worker's own address.
+/// Routes of the endpoint of one worker.
 pub fn router(rig: Arc<Rig>, name: String) -> Router {
     Router::new()
         .route("/orders", post(handle_orders))
@@ -37,7 +37,7 @@
 }
 
 impl WorkerEndpoint {
-    /// Until when nothing gets through to the worker, if so, and whether what was sent is carried out then.
+    /// If requests do not reach the worker now: until when, and whether the requests sent meanwhile are executed then.
     fn blocked_until(&self, now: Ms) -> Option<(Ms, bool)> {
         let fleet = self.rig.fleet.lock().unwrap();
         let machine = fleet.machines.get(&self.name)?;
@@ -68,7 +68,7 @@
         .blocked_until(now)
         .or_else(|| delayed_by_fault.then(|| (now + rand::rng().random_range(1_000..8_000), true)));
     if let Some((until, executes)) = blocked {
-        // Also when the sender has given up meanwhile.
+        // The orders are executed even if the sender has timed out meanwhile.
         let (delayed, rig) = (endpoint.clone(), endpoint.rig.clone());
         tokio::spawn(async move {
             rig.sleep_until(until).await;
@@ -94,7 +94,7 @@
     report.unwrap_or_default().to_string().into_response()
 }
 
-/// A report to send: to which controller, its text, and whether it gets there.
+/// A report to be sent to the controller `target_node`, with a flag whether it reaches it.
 struct PendingReport {
     target_node: usize,
     body: Value,
@@ -103,10 +103,10 @@
     reaches_target: bool,
 }
 
-/// A worker's life: it reports until its machine is gone.
+/// Sends the worker's reports until its machine is gone.
 pub async fn run_worker(rig: Arc<Rig>, name: String) {
     let client = HttpClient::new("");
-    let mut next = 0;
+    let mut next_report_at = 0;
     let mut last_report_at = 0;
     loop {
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -118,15 +118,15 @@
             if machine.dead {
                 return;
             }
-            let changed = machine.changed && now >= last_report_at + 500;
-            if !machine.is_active(now) || now < next && !changed {
+            let changed = machine.changed_since_report && now >= last_report_at + 500;
+            if !machine.is_active(now) || now < next_report_at && !changed {
                 continue;
             }
             let mut history = rig.history.lock().unwrap();
             machine.expire_lease(&mut history, now, settings.lease_ms);
-            machine.changed = false;
+            machine.changed_since_report = false;
             let interval = rand::rng().random_range(settings.report_ms * 3 / 4..settings.report_ms * 5 / 4);
-            (last_report_at, next) = (now, now + interval);
+            (last_report_at, next_report_at) = (now, now + interval);
             let target_node = machine.target_node % rig.nodes.len();
             let cut = machine.cut_until > now || machine.not_sending_until > now;
             let reaches_target = !cut && !rig.faults.lock().unwrap().worker_reports_cut(target_node);
@@ -146,12 +146,15 @@
             }
         }
         if delay_ms > 0 {
-            next = rig.now() + delay_ms;
+            next_report_at = rig.now() + delay_ms;
         }
     }
 }
 
-/// Sends a report and takes its answer: where to report next, if elsewhere, and how soon.
+/// Sends a report and applies its answer.
+///
+/// Returns the controller to report to from now on, if it changes, and the delay until the next report; 0: the regular
+/// interval.
 async fn send_report(
     rig: &Arc<Rig>,
     client: &HttpClient,
@@ -159,16 +162,16 @@
     pending: PendingReport,
 ) -> (Option<usize>, Ms) {
     let count = rig.nodes.len();
-    let next = Some((pending.target_node + 1) % count);
+    let next_node = Some((pending.target_node + 1) % count);
     let text = pending.body.to_string();
     if pending.reaches_target && rig.faults.lock().unwrap().late_reports() && rand::rng().random_bool(0.3) {
         let (rig, client, text) = (rig.clone(), client.clone(), text.clone());
         tokio::spawn(async move {
-            let (late, node) = {
+            let (delay_ms, node) = {
                 let mut rng = rand::rng();
                 (rng.random_range(1_000..10_000), rng.random_range(0..count))
             };
-            tokio::time::sleep(Duration::from_millis(late)).await;
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             let to = client.with_addr(&rig.nodes[node].api);
             let _ =
                 to.request("POST", "/v1/report", Some(text), Micros::from_millis(ANSWER_TIMEOUT_MS)).await;
@@ -176,12 +179,12 @@
     }
     if !pending.reaches_target {
         tokio::time::sleep(Duration::from_millis(ANSWER_TIMEOUT_MS)).await;
-        return (next, 1_000);
+        return (next_node, 1_000);
     }
     let to = client.with_addr(&rig.nodes[pending.target_node].api);
     let timeout = Micros::from_millis(ANSWER_TIMEOUT_MS);
     let Ok(reply) = to.request("POST", "/v1/report", Some(text), timeout).await else {
-        return (next, 1_000);
+        return (next_node, 1_000);
     };
     let answer: Value = serde_json::from_slice(&reply.body).unwrap_or_default();
     let now = rig.now();
@@ -191,18 +194,18 @@
     let Some(machine) = fleet.machines.get_mut(name) else { return (None, 0) };
     let answer_lost = machine.not_receiving_until > now || machine.cut_until > now || !machine.is_active(now);
     if answer_lost || now - pending.sent > ANSWER_TIMEOUT_MS {
-        return (next, 1_000);
+        return (next_node, 1_000);
     }
     machine.expire_lease(&mut history, now, lease_ms);
     match reply.status {
         200 => {
             let token = answer["Helm"].as_u64();
-            // Dropped; the worker stays.
+            // The answer is for an earlier session or has an older token: it is dropped, and the target stays.
             if machine.session != pending.session || token.is_none_or(|t| t < machine.token) {
                 return (None, 0);
             }
             let token = token.unwrap_or_default();
-            machine.changed |= token > machine.token;
+            machine.changed_since_report |= token > machine.token;
             (machine.token, machine.lease_renewed_at) = (token, pending.sent);
             fleet.execute_orders(&mut history, name, &answer["Orders"], now);
             (None, 0)
@@ -212,9 +215,9 @@
                 answer["Harbour"].as_str().and_then(|to| to.strip_prefix("n-")?.parse::<usize>().ok());
             match owner.filter(|to| *to != pending.target_node && *to < count) {
                 Some(to) => (Some(to), rand::rng().random_range(1..500)),
-                None => (next, 1_000),
+                None => (next_node, 1_000),
             }
         }
-        _ => (next, 1_000),
+        _ => (next_node, 1_000),
     }
 }
--- a/tests/soak_judge.rs
+++ b/tests/soak_judge.rs
@@ -1,4 +1,4 @@
-//! The judge of the soak, on histories made by hand: a sound one, and one bad for each rule.
+//! Tests of the soak's checks on handwritten histories: a valid one, and variants of it that break each rule.
 
 #[allow(dead_code)]
 #[path = "soak/history.rs"]
@@ -71,7 +71,7 @@
     history
 }
 
-/// The rules that a change of the sound history breaks.
+/// The rules that the valid history breaks after a change.
 fn rules_broken_by(change: impl Fn(&mut History)) -> Vec<&'static str> {
     let mut history = valid_history();
     change(&mut history);
@@ -101,7 +101,7 @@
     assert_eq!(rules_broken_by(|h| h.task_runs[3].started_at = 899), ["ran_twice"]);
 }
 
-/// What ends at the moment at which something else begins is not beside it.
+/// A task that ends when another one starts does not count together with it.
 #[test]
 fn processor_and_accelerator_limits_are_checked_at_every_moment() {
     assert_eq!(rules_broken_by(|h| h.task_runs[2].started_at = 499), ["quota"]);
@@ -115,7 +115,7 @@
     assert_eq!(rules_broken_by(limit_accelerators), ["quota"]);
 }
 
-/// A task that has not ended when the run does is there until then.
+/// A task without an end counts as running until the end of the run.
 #[test]
 fn a_task_that_runs_past_its_cancellation_deadline_is_found() {
     assert_eq!(rules_broken_by(|h| h.task_runs[3].ended_at = Some(1_801)), ["ran_cancelled"]);
@@ -142,7 +142,8 @@
     assert_eq!(rules_broken_by(spot_forbidden), ["wrong_place"]);
 }
 
-/// A question that was sent before its user had heard something may be answered with what was so before.
+/// An answer must not be older than one that the user had received before sending the request; a request sent earlier
+/// may still get the older state.
 #[test]
 fn an_answer_that_contradicts_an_earlier_one_is_found() {
     assert_eq!(rules_broken_by(|h| h.answers[4].sent = 801), ["went_back"]);
@@ -184,7 +185,7 @@
     assert_eq!(rules_broken_by(|h| h.answers.push(answer("j-9", 7, 8, AnswerKind::Live))), ["invented"]);
 }
 
-/// A job that waits while its team has room is neglected; one whose team is at its limit waits its turn.
+/// A job that waits though its team's limits allow a start is neglected; one whose team is at its limit is not.
 #[test]
 fn a_job_that_waits_after_the_faults_though_limits_allow_a_start_is_found() {
     let waits_without_running = |h: &mut History| {
@@ -214,7 +215,8 @@
     assert_eq!(rules_broken_by(runs_a_task), Vec::<&str>::new());
 }
 
-/// The message about a job that waits says where there was room for it: seed 40's two jobs left no trace of that.
+/// The message for a neglected job names the machines that had room for it. Seed 40 had two neglected jobs, and its
+/// messages did not show where there was room for them.
 #[test]
 fn a_neglected_jobs_message_names_the_machines_that_always_had_capacity() {
     let mut history = valid_history();
