--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -46,7 +46,7 @@
 
 use run::Outcome;
 
-/// Number of seeds without `--seeds`: the CI runs them beside the other tests.
+/// Number of seeds without `--seeds`: CI runs them beside the other tests.
 const CI_SEEDS: u64 = 2;
 /// Maximum number of seeds per command and of concurrent runs; each run has three controllers and about forty sockets.
 const MAX_SEEDS: u64 = 10_000;
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -22,6 +22,7 @@
     pub team: String,
     pub tasks: u32,
     pub need: Amount,
+    /// Machine types that its tasks may run on; `None`: any.
     pub kinds: Option<Vec<String>>,
     pub zone: Option<String>,
     pub one_zone: bool,
@@ -46,7 +47,7 @@
     pub ended_at: Option<Ms>,
 }
 
-/// State of a job in an answer to a user.
+/// What an answer to a user reports: the state of the job, or that it is unknown or was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerKind {
     Live,
@@ -149,7 +150,7 @@
         all.extend(self.find_misplaced_runs());
         all.extend(self.find_runs_past_cancellation_deadline());
         all.extend(self.find_wrong_answers());
-        all.extend(self.find_unresolved_jobs());
+        all.extend(self.find_forgotten_and_neglected_jobs());
         if self.task_runs.is_empty() {
             all.push(Self::violation("nothing_ran", self.run_ended_at, "no task was started".into()));
         }
@@ -172,12 +173,12 @@
 
     /// Finds tasks that started on a machine while they were on another one.
     fn find_concurrent_runs(&self) -> Vec<Violation> {
-        let mut by_key: BTreeMap<(&str, u32), Vec<&TaskRun>> = BTreeMap::new();
+        let mut by_task: BTreeMap<(&str, u32), Vec<&TaskRun>> = BTreeMap::new();
         for run in &self.task_runs {
-            by_key.entry((&run.job, run.index)).or_default().push(run);
+            by_task.entry((&run.job, run.index)).or_default().push(run);
         }
         let mut violations = Vec::new();
-        for ((job, index), task_runs) in by_key {
+        for ((job, index), task_runs) in by_task {
             for (n, run) in task_runs.iter().enumerate() {
                 let other = task_runs.iter().enumerate().find(|(m, other)| {
                     *m != n
@@ -292,11 +293,11 @@
 
     fn find_wrong_answers(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
-        let mut by_key: BTreeMap<&str, Vec<&Answer>> = BTreeMap::new();
+        let mut by_job: BTreeMap<&str, Vec<&Answer>> = BTreeMap::new();
         for answer in &self.answers {
-            by_key.entry(&answer.job).or_default().push(answer);
+            by_job.entry(&answer.job).or_default().push(answer);
         }
-        for (job, answers) in by_key {
+        for (job, answers) in by_job {
             let facts = self.jobs.get(job);
             let first = |matches: fn(AnswerKind) -> bool| {
                 answers.iter().filter(|a| matches(a.kind)).map(|a| a.at).min()
@@ -407,7 +408,7 @@
 
     /// Finds accepted jobs that got no answers after the faults, or that waited though their team's limits allowed a
     /// start.
-    fn find_unresolved_jobs(&self) -> Vec<Violation> {
+    fn find_forgotten_and_neglected_jobs(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         for job in self.unresolved_jobs().into_iter().filter(|job| self.jobs.contains_key(*job)) {
             let answers = self.answers.iter().filter(|a| a.job == *job);
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -27,6 +27,7 @@
 const MAX_MACHINES: usize = 36;
 const WORKER_SETTINGS: WorkerSettings =
     WorkerSettings { report_ms: 1_000, lease_ms: 6_000, gang_wait_ms: 8_000 };
+/// Time after a confirmed cancellation by which the tasks of the job must have ended.
 const CANCEL_MS: Ms = 15_000;
 /// When the last fault is over, and when the run ends at the latest.
 const FAULTS_END: Ms = schedule::LAST_FAULT_START + 9_000;
@@ -164,7 +165,7 @@
     }
     rig.sleep_until(FAULTS_END).await;
     rig.history.lock().unwrap().faults_end = rig.now();
-    // Shorter tasks leave enough time for all remaining jobs: a job that does not finish was not given resources.
+    // Short tasks leave enough time for all remaining jobs: one that is not done by the end was not allowed to start.
     rig.fleet.lock().unwrap().limit_run_time(rig.now(), MAX_RUN_MS_AFTER_FAULTS);
     while rig.now() < RUN_END && !rig.history.lock().unwrap().unresolved_jobs().is_empty() {
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -245,13 +246,15 @@
             rig.sleep_until(end).await;
             return processes.pause(*node, false);
         }
-        Fault::MachinesCut { count } => return affect_machines(&rig, *count, |m| m.cut_until = end),
-        Fault::MachinesHang { count } => return affect_machines(&rig, *count, |m| m.hung_until = end),
+        Fault::MachinesCut { count } => return update_random_machines(&rig, *count, |m| m.cut_until = end),
+        Fault::MachinesHang { count } => return update_random_machines(&rig, *count, |m| m.hung_until = end),
         Fault::MachinesDeaf { count } => {
-            return affect_machines(&rig, *count, |m| m.not_receiving_until = end);
+            return update_random_machines(&rig, *count, |m| m.not_receiving_until = end);
         }
-        Fault::MachinesMute { count } => return affect_machines(&rig, *count, |m| m.not_sending_until = end),
-        Fault::MachinesDie { count } => return remove_machines(&rig, *count),
+        Fault::MachinesMute { count } => {
+            return update_random_machines(&rig, *count, |m| m.not_sending_until = end);
+        }
+        Fault::MachinesDie { count } => return remove_random_machines(&rig, *count),
         Fault::Cancel { count, hang } => return cancel_running_jobs(&rig, &cancel_signals, *count, *hang),
         _ => {}
     }
@@ -277,7 +280,7 @@
     chosen
 }
 
-fn affect_machines(rig: &Rig, count: usize, apply: impl Fn(&mut fleet::Machine)) {
+fn update_random_machines(rig: &Rig, count: usize, apply: impl Fn(&mut fleet::Machine)) {
     for name in pick_running_machines(rig, count) {
         if let Some(machine) = rig.fleet.lock().unwrap().machines.get_mut(&name) {
             apply(machine);
@@ -285,7 +288,7 @@
     }
 }
 
-fn remove_machines(rig: &Rig, count: usize) {
+fn remove_random_machines(rig: &Rig, count: usize) {
     for name in pick_running_machines(rig, count) {
         let now = rig.now();
         let mut fleet = rig.fleet.lock().unwrap();
