--- a/tests/soak/controllers.rs
+++ b/tests/soak/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers' processes: the built program, started, killed and paused by their ids.
+//! The controllers' processes: starts, kills and pauses the built program, by process id.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -9,17 +9,18 @@
 
 use crate::history::Ms;
 
-struct Process {
+struct ControllerProcess {
     child: Option<Child>,
-    /// When it is to be started again.
+    /// Earliest time of the next start while there is no process.
     start_at: Ms,
     settings: PathBuf,
     log: PathBuf,
 }
 
-/// Kills what is left of the controllers when the soak ends, also when it is killed: it reads from a pipe which of them
-/// run, and the pipe is closed by then.
-const WATCHDOG: &str = r#"
+/// Shell script that kills the remaining controllers when the soak ends, even if the soak itself is killed.
+///
+/// It reads from a pipe which controllers are running; the pipe is closed when the soak ends.
+const WATCHDOG_SCRIPT: &str = r#"
 trap '' INT TERM
 ids=
 while read -r verb id; do
@@ -35,91 +36,101 @@
 for id in $ids; do kill -9 "$id"; done
 "#;
 
-/// All controllers. Whatever is left of them is killed when this is dropped.
-pub struct Processes {
-    all: Vec<Mutex<Process>>,
+/// The processes of all controllers. The running ones are killed on drop.
+pub struct ControllerProcesses {
+    all: Vec<Mutex<ControllerProcess>>,
     watchdog: Mutex<Child>,
-    /// Which controllers run, for the watchdog.
-    told: Mutex<Option<ChildStdin>>,
-    /// A controller has ended since its port was in use.
-    ports_taken: AtomicBool,
+    /// Pipe on which the watchdog is notified of started and ended controllers.
+    watchdog_input: Mutex<Option<ChildStdin>>,
+    /// A controller has exited because its port was in use.
+    port_conflict: AtomicBool,
 }
 
-impl Processes {
-    /// Nothing is started yet.
-    pub fn new(folder: &Path, settings: &[String]) -> std::io::Result<Processes> {
+impl ControllerProcesses {
+    /// Writes the settings files and starts the watchdog, but no controller yet.
+    pub fn new(folder: &Path, settings: &[String]) -> std::io::Result<ControllerProcesses> {
         let mut all = Vec::new();
         for (n, text) in settings.iter().enumerate() {
             let path = folder.join(format!("n-{n}.toml"));
             std::fs::write(&path, text)?;
             let log = folder.join(format!("n-{n}.log"));
-            all.push(Mutex::new(Process { child: None, start_at: 0, settings: path, log }));
+            all.push(Mutex::new(ControllerProcess { child: None, start_at: 0, settings: path, log }));
         }
-        let mut watchdog =
-            Command::new("sh").arg("-c").arg(WATCHDOG).stdin(Stdio::piped()).stderr(Stdio::null()).spawn()?;
-        let told = Mutex::new(watchdog.stdin.take());
-        Ok(Processes { all, watchdog: Mutex::new(watchdog), told, ports_taken: AtomicBool::new(false) })
+        let mut watchdog = Command::new("sh")
+            .arg("-c")
+            .arg(WATCHDOG_SCRIPT)
+            .stdin(Stdio::piped())
+            .stderr(Stdio::null())
+            .spawn()?;
+        let watchdog_input = Mutex::new(watchdog.stdin.take());
+        Ok(ControllerProcesses {
+            all,
+            watchdog: Mutex::new(watchdog),
+            watchdog_input,
+            port_conflict: AtomicBool::new(false),
+        })
     }
 
-    /// Whether a controller has ended since its port was in use.
-    pub fn ports_taken(&self) -> bool {
-        self.ports_taken.load(Ordering::Relaxed)
+    /// Whether a controller has exited because its port was in use.
+    pub fn port_conflict(&self) -> bool {
+        self.port_conflict.load(Ordering::Relaxed)
     }
 
-    fn tell_watchdog(&self, verb: &str, child: &Child) {
-        if let Some(pipe) = self.told.lock().unwrap().as_mut() {
+    fn notify_watchdog(&self, verb: &str, child: &Child) {
+        if let Some(pipe) = self.watchdog_input.lock().unwrap().as_mut() {
             let _ = writeln!(pipe, "{verb} {}", child.id());
         }
     }
 
-    /// Ends a process and waits until it has ended.
-    fn end(&self, child: &mut Child) {
+    /// Kills a process and waits for its exit.
+    fn kill_and_wait(&self, child: &mut Child) {
         let _ = child.kill();
         let _ = child.wait();
-        self.tell_watchdog("ended", child);
+        self.notify_watchdog("ended", child);
     }
 
     /// Whether a controller has a process, paused or not.
-    pub fn runs(&self, node: usize) -> bool {
+    pub fn has_process(&self, node: usize) -> bool {
         self.all[node].lock().unwrap().child.is_some()
     }
 
-    /// Starts those that are due; names those that have ended by themselves.
-    pub fn look(&self, now: Ms) -> Vec<String> {
-        let mut ended = Vec::new();
+    /// Starts the controllers that are due. Returns a description of each controller that exited by itself.
+    pub fn poll(&self, now: Ms) -> Vec<String> {
+        let mut exits = Vec::new();
         for (n, process) in self.all.iter().enumerate() {
             let mut process = process.lock().unwrap();
             if let Some(child) = &mut process.child
                 && let Ok(Some(status)) = child.try_wait()
             {
-                ended.push(format!("n-{n} at {now}: {status}"));
-                self.tell_watchdog("ended", child);
+                exits.push(format!("n-{n} at {now}: {status}"));
+                self.notify_watchdog("ended", child);
                 let log = std::fs::read_to_string(&process.log).unwrap_or_default();
-                let taken = log.lines().last().is_some_and(|line| line.contains("Address already in use"));
-                self.ports_taken.fetch_or(taken, Ordering::Relaxed);
+                let port_in_use =
+                    log.lines().last().is_some_and(|line| line.contains("Address already in use"));
+                self.port_conflict.fetch_or(port_in_use, Ordering::Relaxed);
                 process.child = None;
                 process.start_at = now + 500;
             }
             if process.child.is_none() && now >= process.start_at {
                 process.child = start(&process).ok();
                 if let Some(child) = &process.child {
-                    self.tell_watchdog("started", child);
+                    self.notify_watchdog("started", child);
                 }
             }
         }
-        ended
+        exits
     }
 
-    /// Kills a controller, which is started again after so long.
+    /// Kills a controller; it is restarted after `away` ms.
     pub fn kill(&self, node: usize, now: Ms, away: Ms) {
         let mut process = self.all[node].lock().unwrap();
         if let Some(mut child) = process.child.take() {
-            self.end(&mut child);
+            self.kill_and_wait(&mut child);
             process.start_at = now + away;
         }
     }
 
-    /// Stops a process where it stands, or lets it go on.
+    /// Pauses a controller's process (SIGSTOP) or resumes it (SIGCONT).
     pub fn pause(&self, node: usize, paused: bool) {
         let process = self.all[node].lock().unwrap();
         if let Some(child) = &process.child {
@@ -132,22 +143,22 @@
         for process in &self.all {
             let child = process.lock().unwrap().child.take();
             if let Some(mut child) = child {
-                self.end(&mut child);
+                self.kill_and_wait(&mut child);
             }
         }
     }
 }
 
-impl Drop for Processes {
+impl Drop for ControllerProcesses {
     fn drop(&mut self) {
         self.kill_all();
-        // Its pipe is closed, so that it ends.
-        drop(self.told.lock().unwrap().take());
+        // The watchdog exits when its pipe is closed.
+        drop(self.watchdog_input.lock().unwrap().take());
         let _ = self.watchdog.lock().unwrap().wait();
     }
 }
 
-fn start(process: &Process) -> std::io::Result<Child> {
+fn start(process: &ControllerProcess) -> std::io::Result<Child> {
     let log: File = OpenOptions::new().create(true).append(true).open(&process.log)?;
     Command::new(env!("CARGO_BIN_EXE_marblewalk"))
         .arg("--config")
