--- a/src/coordination/simulation/evictions.rs
+++ b/src/coordination/simulation/evictions.rs
@@ -1,15 +1,15 @@
-//! When a controller is taken for ended, and what waits for machines that are gone.
+//! Eviction of controllers that have crashed or are paused, and takeovers while machines are lost.
 
 use super::*;
 
-fn evictions(world: &World) -> usize {
+fn eviction_count(world: &World) -> usize {
     world.store.log.iter().filter(|(_, key, _)| key.starts_with(records::EVICTIONS_PREFIX)).count()
 }
 
-/// Guards against the storm in which controllers that a packet filter kept from each other all took
-/// the others for ended, and evicted each other as fast as they came back.
+/// Guards against an eviction storm: controllers whose connections to each other were refused by a packet filter all
+/// concluded that the others had crashed, and evicted each other as fast as they rejoined.
 #[test]
-fn controllers_are_evicted_for_having_ended_but_not_for_being_refused() {
+fn controllers_are_evicted_after_a_crash_but_not_for_refused_connections() {
     let mut world = World::new(10, Trouble::default());
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
@@ -21,20 +21,24 @@
     world.run(Micros::from_secs(25));
     world.befalls(Spell::AllApart, Micros::from_secs(50));
     world.run(Micros::from_secs(55));
-    assert_eq!(evictions(&world), 0, "evicted for a packet filter's refusals");
+    assert_eq!(
+        eviction_count(&world),
+        0,
+        "controller evicted although a packet filter refused the connections"
+    );
     assert!(world.controllers.iter().flatten().all(|c| c.counters.rejoins == 0));
-    let held = |n: &usize| world.controllers[*n].as_ref().map_or(0, |c| c.machine_counts().0);
-    let ended = (0..3).max_by_key(held).unwrap();
-    world.controllers[ended] = None;
-    world.lives[ended] += 1;
+    let held_machines = |n: &usize| world.controllers[*n].as_ref().map_or(0, |c| c.machine_counts().0);
+    let crashed = (0..3).max_by_key(held_machines).unwrap();
+    world.controllers[crashed] = None;
+    world.lives[crashed] += 1;
     world.run(Micros::from_secs(62));
-    assert_eq!(evictions(&world), 1, "an ended controller kept its jobs for the rest of its lease");
+    assert_eq!(eviction_count(&world), 1, "a crashed controller was not evicted before its lease expired");
 }
 
-/// Guards against a takeover that waits for one machine that has died, with all the jobs taken over,
-/// until every lease that could matter has run out.
+/// Guards against a takeover of all of a controller's jobs that waits for one dead machine until every lease that could
+/// matter has expired.
 #[test]
-fn a_takeover_does_not_wait_long_for_machines_that_are_gone() {
+fn a_takeover_does_not_wait_long_for_dead_machines() {
     let mut world = World::new(11, Trouble::default());
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
@@ -44,16 +48,17 @@
         world.submit(JobSpec { tasks: 60, team: "green".into(), ..job });
     }
     world.run(Micros::from_secs(25));
-    let held = |c: &Controller| c.machines.iter().find(|(_, m)| c.owns(m) && !m.idle()).map(|m| m.0.clone());
-    let busy = |n: &usize| Some((*n, held(world.controllers[*n].as_ref()?)?));
+    let busy_machine =
+        |c: &Controller| c.machines.iter().find(|(_, m)| c.owns(m) && !m.idle()).map(|m| m.0.clone());
+    let busy = |n: &usize| Some((*n, busy_machine(world.controllers[*n].as_ref()?)?));
     let (n, name) = (0..3).find_map(|n| busy(&n)).unwrap();
-    // Gone, though the cloud still lists it as running.
+    // The machine fails, but the cloud still lists it as running.
     world.workers.get_mut(&name).unwrap().cut_until = Micros::MAX;
     world.controllers[n] = None;
     world.lives[n] += 1;
     world.run(Micros::from_secs(30));
-    let listed: u64 = world.controllers.iter().flatten().map(|c| c.counters.takeovers_fully_known).sum();
-    assert!(listed > 0, "jobs waited for a machine of which all was known");
+    let fully_known: u64 = world.controllers.iter().flatten().map(|c| c.counters.takeovers_fully_known).sum();
+    assert!(fully_known > 0, "no takeover completed by full knowledge of the machines");
     world.run(Micros::from_secs(42));
     assert!(!world.workers.contains_key(&name), "the dead machine was not returned");
     assert!(
@@ -63,11 +68,14 @@
     );
 }
 
-/// Guards jobs against a controller that stands still: nobody refuses a connection to it, and for the rest of its
-/// lease none of its jobs started anything. When it goes on, it has heard nobody for as long, and must doubt itself.
+/// Guards against jobs that make no progress while their controller is paused.
+///
+/// Connections to a paused controller are not refused, so it was noticed only when its lease expired, and none of its
+/// jobs started anything until then. When it resumes, it has received nothing from the others for as long, and must not
+/// conclude that they have crashed.
 #[test]
-fn a_controller_that_stands_still_is_replaced_before_its_lease_ends_and_accuses_nobody() {
-    let mut soon = 0;
+fn a_paused_controller_is_replaced_before_its_lease_expires_and_evicts_nobody() {
+    let mut taken_over_in_time = 0;
     for seed in 0..6 {
         let mut world = World::new(30 + seed, Trouble::default());
         for _ in 0..18 {
@@ -81,32 +89,35 @@
         let n = seed as usize % 3;
         world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(3));
         world.run(world.now + Micros::from_secs(8));
-        assert_eq!(evictions(&world), 0, "seed {seed}: evicted for a moment's silence");
+        assert_eq!(eviction_count(&world), 0, "seed {seed}: evicted after a pause of 3 s");
         world.run(world.now + Micros::from_secs(15));
         world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(25));
         world.run(world.now + Micros::from_millis(10_500));
-        let left = world.controllers.iter().flatten().filter(|c| c.own_name() != world.settings[n].member);
-        let without = |c: &Controller| c.view.members.len() == 2 && !c.takeover_in_progress;
-        soon += usize::from(left.clone().all(without));
+        let others = world.controllers.iter().flatten().filter(|c| c.own_name() != world.settings[n].member);
+        let has_taken_over = |c: &Controller| c.view.members.len() == 2 && !c.takeover_in_progress;
+        taken_over_in_time += usize::from(others.clone().all(has_taken_over));
         world.run(world.now + Micros::from_secs(40));
-        assert!(evictions(&world) <= 1, "seed {seed}: it accused others when it went on");
+        assert!(eviction_count(&world) <= 1, "seed {seed}: it had others evicted when it resumed");
         let all = world.controllers.iter().flatten();
         assert!(
             all.clone().all(|c| c.view.members.len() == 3 && !c.takeover_in_progress),
-            "seed {seed}: not back"
+            "seed {seed}: not all controllers have rejoined and completed takeover"
         );
     }
-    // A worker whose machine has just changed hands is no witness, so now and then the lease ends first.
+    // A worker whose machine has just been granted to another controller is no witness, so in some runs the lease
+    // expires first.
     assert!(
-        soon >= 4,
-        "in {soon} of 6 runs the jobs of a controller that stands still were taken over in time"
+        taken_over_in_time >= 4,
+        "only in {taken_over_in_time} of 6 runs the jobs of a paused controller were taken over in time"
     );
 }
 
-/// Guards accepted jobs against a 404: a controller that had been evicted and did not know failed to withdraw one,
-/// took that for the job's being over, found no final state, and answered that there was no such job.
+/// Guards against an evicted controller answering 404 for an accepted job.
+///
+/// A controller that did not know of its eviction failed to withdraw a job, concluded that the job was over, found no
+/// final state, and answered that there was no such job.
 #[test]
-fn an_evicted_controller_tells_no_user_that_a_job_is_unknown() {
+fn an_evicted_controller_does_not_report_accepted_jobs_as_unknown() {
     let mut world = World::new(50, Trouble::default());
     let job = JobSpec { shape: Shape::Array, ..world.random_job(1) };
     let id = job.id.clone();
@@ -123,7 +134,7 @@
     let (sent, until) = (world.now, world.now + Micros::from_secs(5));
     world.requests.insert((0, life, request), Asked::User { job: id.clone(), withdraw: true, sent, until });
     world.tell(0, Event::Withdraw(request, id.clone()));
-    // Whatever is answered, the user judges it.
+    // The simulated user checks every answer.
     world.run(Micros::from_secs(40));
     assert!(world.jobs[&id].told_final.is_some(), "the withdrawal was lost");
 }
--- a/src/coordination/simulation/fleets.rs
+++ b/src/coordination/simulation/fleets.rs
@@ -1,11 +1,11 @@
-//! Fleets of other sizes, and records that a controller cannot read.
+//! Clusters of other sizes, unreadable records, and conclusions from outdated knowledge.
 
 use super::*;
 
-/// Guards against the deadlock of a fleet that is large from the start: rows grew as their machines
-/// were granted, the value became too long, and no grant could ever be written again.
+/// Guards against a deadlock in a cluster that is large from the start: the rows of a block grew as their machines were
+/// granted, the value exceeded the size limit, and no grant could be written any more.
 #[test]
-fn a_fleet_that_fills_its_values_is_granted_all_the_same() {
+fn all_machines_are_granted_when_block_records_are_full() {
     let mut world = World::sized(9, Trouble::default(), Size { controllers: 3, machines: 320 });
     for _ in 0..320 {
         world.add_machine("c16", "east", false);
@@ -19,14 +19,14 @@
             granted.extend(block.changed.into_iter().filter(|r| !r.owner.is_empty()).map(|r| r.machine));
         }
     }
-    // Idle ones are returned in the meantime, so they are counted as they are granted.
-    assert_eq!(granted.len(), 320, "machines that nobody was granted");
+    // Idle machines are returned in the meantime, so all machines that were ever granted are counted.
+    assert_eq!(granted.len(), 320, "some machines were never granted");
 }
 
-/// Guards against taking what a newer version wrote for nothing: its machines' tasks would be started
-/// again, and a job's tasks stopped as nobody's.
+/// Guards against treating records written by a newer version as absent: the tasks on their machines would be started a
+/// second time, and the tasks of a job with such a record would be stopped as unknown.
 #[test]
-fn records_that_are_not_understood_count_as_the_worst_they_may_be() {
+fn unreadable_records_prevent_starts_and_stops() {
     let mut world = World::new(77, Trouble::default());
     for n in 0..6 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
@@ -34,32 +34,36 @@
     }
     world.run(Micros::from_secs(40));
     let keys = world.store.keys.iter();
-    let spoilt: Vec<(String, Value)> = keys
+    let overwritten: Vec<(String, Value)> = keys
         .filter(|(k, _)| k.starts_with(records::BLOCKS_PREFIX) || k.ends_with("j-000002"))
         .map(|(k, v)| (k.clone(), v.0.clone()))
         .collect();
-    assert!(spoilt.len() >= 2);
-    let write = |world: &mut World, what: &dyn Fn(&Value) -> Value| {
-        for (key, value) in &spoilt {
+    assert!(overwritten.len() >= 2);
+    let write = |world: &mut World, new_value: &dyn Fn(&Value) -> Value| {
+        for (key, value) in &overwritten {
             if world.store.keys.contains_key(key) {
-                let writes = vec![Write::put(key.clone(), what(value))];
+                let writes = vec![Write::put(key.clone(), new_value(value))];
                 world.store.commit(Transaction { conditions: Vec::new(), writes });
             }
         }
     };
     write(&mut world, &|_| serde_json::json!({ "v": 99 }));
     (0..3).for_each(|n| world.crash(n));
-    // What was on its way arrives; then nothing may change for as long as the workers' leases last.
+    // Messages in transit arrive; afterwards nothing may change as long as the workers' leases are valid.
     let pause = |world: &mut World, seconds| world.run(world.now + Micros::from_secs(seconds));
     pause(&mut world, 1);
-    let there = |w: &World| -> Vec<(String, TaskId)> {
-        let all = w.workers.iter().flat_map(|(name, m)| m.tasks.keys().map(|t| (name.clone(), t.clone())));
-        all.collect()
+    let listed_tasks = |w: &World| -> Vec<(String, TaskId)> {
+        let tasks = w.workers.iter().flat_map(|(name, m)| m.tasks.keys().map(|t| (name.clone(), t.clone())));
+        tasks.collect()
     };
-    let before = there(&world);
+    let before = listed_tasks(&world);
     assert!(!before.is_empty());
     pause(&mut world, 10);
-    assert_eq!(there(&world), before, "tasks were started or stopped though nobody knows what runs");
+    assert_eq!(
+        listed_tasks(&world),
+        before,
+        "tasks were started or stopped while the running tasks are unknown"
+    );
     write(&mut world, &Value::clone);
     pause(&mut world, 400);
     for (id, wish) in &world.jobs {
@@ -67,11 +71,13 @@
     }
 }
 
-/// A cluster of the size that deployments have grown to: many controllers, hundreds of machines, gangs
-/// that need sixteen of them whole, arrays of a thousand tasks. The stand-ins check values, transactions
-/// and rules; here also that work per controller does not grow with the events.
+/// Checks a cluster of the size that deployments have grown to: seven controllers, hundreds of machines, gangs that
+/// need sixteen whole machines, arrays of a thousand tasks.
+///
+/// The simulated services check value sizes, transactions and the rules; this test also checks that the placement
+/// passes of a controller are bounded and do not grow with the number of events.
 #[test]
-fn a_grown_cluster_keeps_the_rules_and_its_work_within_bounds() {
+fn a_large_cluster_keeps_the_rules_with_bounded_placement_work() {
     let trouble = Trouble { crash: 0.01, machine_dies: 0.05, machine_cut: 0.1, ..Default::default() };
     let mut world = World::sized(20, trouble, Size { controllers: 7, machines: 400 });
     for n in 0..200 {
@@ -96,20 +102,21 @@
     world.calm_after = world.now;
     world.run(Micros::from_secs(260));
     for (id, wish) in &world.jobs {
-        let told = format!("{id} is not over: {:?}", wish.spec);
-        assert!(wish.told_final.is_some(), "{told}\n{}", world.describe(id));
+        let message = format!("{id} is not over: {:?}", wish.spec);
+        assert!(wish.told_final.is_some(), "{message}\n{}", world.describe(id));
     }
     for (n, c) in world.controllers.iter().enumerate() {
         let Some(c) = c else { continue };
         let seconds = world.now.since(world.booted[n]).as_secs_f64();
         let passes = c.counters.placement_passes as f64 / seconds;
-        assert!(passes < 12.0, "{passes} passes a second over all waiting jobs");
+        assert!(passes < 12.0, "{passes} placement passes per second over all waiting jobs");
     }
 }
 
-/// Guards the sharing of the store's limits where there is nobody to share them with.
+/// Guards the division of the state service's rate limits in a cluster with a single controller, also after it has
+/// crashed.
 #[test]
-fn a_single_controller_does_all_the_work_also_after_it_has_ended() {
+fn a_single_controller_finishes_all_jobs_also_after_a_crash() {
     let mut world = World::sized(12, Trouble::default(), Size { controllers: 1, machines: 6 });
     world.run(Micros::from_secs(5));
     for n in 0..4 {
@@ -122,10 +129,13 @@
     assert!(world.jobs.values().all(|j| j.told_final.is_some()), "{}", world.describe("j-000000"));
 }
 
-/// Guards against a task run twice: in a state outage an owner took a machine for silent that had been
-/// granted to another just before, which the owner could not know, and started its tasks elsewhere.
+/// Guards against a task running twice because of outdated knowledge.
+///
+/// During an outage of the state service a controller concluded that a machine's lease had expired, since it no longer
+/// heard the machine, and started its tasks elsewhere. The machine had been granted to another controller just before
+/// the outage, which the former owner could not know.
 #[test]
-fn no_machine_is_taken_for_silent_on_old_knowledge() {
+fn no_worker_lease_is_taken_for_expired_on_outdated_knowledge() {
     let mut world = World::new(13, Trouble::default());
     for n in 0..4 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
@@ -138,7 +148,7 @@
     world.workers.get_mut(&busy).unwrap().cut_until = Micros::from_secs(90);
     world.befalls(Spell::StoreDown, Micros::from_secs(50));
     world.run(Micros::from_secs(50));
-    assert_eq!(lapses(&world), 0, "concluded without a word from the store");
+    assert_eq!(lapses(&world), 0, "a lease was taken for expired while the state service did not answer");
     world.run(Micros::from_secs(60));
-    assert!(lapses(&world) > 0, "never concluded");
+    assert!(lapses(&world) > 0, "the machine's lease was never taken for expired");
 }
--- a/src/coordination/simulation/idle.rs
+++ b/src/coordination/simulation/idle.rs
@@ -272,9 +272,9 @@
             })
             .collect();
         format!(
-            "{id} has waited since {since:?}, now {:?}: {spec:?}; maximum usage of its team: {max_usage:?}; machines with \
-             enough capacity in all samples: {free:?}; the team's jobs (owner, volume, placed, unfinished, need, wait \
-             reason): {volumes:?}\n{}",
+            "{id} has waited since {since:?}, now {:?}: {spec:?}; maximum usage of its team: {max_usage:?}; machines \
+             with enough capacity in all samples: {free:?}; the team's jobs (owner, volume, placed, unfinished, need, \
+             wait reason): {volumes:?}\n{}",
             self.now,
             self.describe(id)
         )
--- a/src/coordination/simulation/outages.rs
+++ b/src/coordination/simulation/outages.rs
@@ -1,11 +1,11 @@
-//! Outages: what goes on, and what their ends must not bring.
+//! Outages of the state service and pauses of controllers: what must survive them, and what must not follow them.
 
 use super::*;
 
-/// Guards against calls that are repeated ever faster while the store is away, and all at once when it is
-/// back: users' requests would be refused for as long again.
+/// Guards against a retry storm: calls repeated ever faster during an outage of the state service, and all at once
+/// after it, so that users' requests would be rejected for as long again.
 #[test]
-fn an_outage_of_the_store_ends_without_a_storm() {
+fn a_store_outage_causes_no_retry_storm() {
     let mut world = World::new(31, Trouble::default());
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
@@ -23,26 +23,30 @@
         world.run(world.now + Micros::from_secs(seconds));
         (world.store_calls - before) as f64 / seconds as f64
     };
-    let usual = rate(&mut world, 5);
+    let usual_rate = rate(&mut world, 5);
     let over = |world: &World| world.jobs.values().filter(|w| w.told_final.is_some()).count();
     let before = over(&world);
     world.befalls(Spell::StoreDown, world.now + Micros::from_secs(25));
     world.run(world.now + Micros::from_secs(10));
-    let away = rate(&mut world, 15);
-    assert!(away < usual * 1.5 + 10.0, "{away} calls a second to a store that is away, {usual} before");
-    let back = rate(&mut world, 3);
+    let rate_during_outage = rate(&mut world, 15);
+    assert!(
+        rate_during_outage < usual_rate * 1.5 + 10.0,
+        "{rate_during_outage} calls per second during the outage, {usual_rate} before"
+    );
+    let rate_after_outage = rate(&mut world, 3);
     let limit = world.settings[0].params.state.rps;
-    assert!(back < limit * 0.9, "{back} calls a second when the store is back");
-    assert!(before < 40, "no job was left to end in the outage");
+    assert!(rate_after_outage < limit * 0.9, "{rate_after_outage} calls per second after the outage");
+    assert!(before < 40, "all jobs had ended before the outage");
     world.run(world.now + Micros::from_secs(200));
     for (id, wish) in &world.jobs {
         assert!(wish.told_final.is_some(), "{id} is not over\n{}", world.describe(id));
     }
 }
 
-/// Tasks lost by their leases in an outage of so many seconds, with a deployment's times: between two reports, a
-/// worker's lease, a withdrawal's time.
-fn lost_in_an_outage(seed: u64, seconds: u64, (report_s, lease_s, cancel_s): (f64, f64, f64)) -> usize {
+/// Number of tasks that workers stop because their lease expires during an outage of the state service.
+///
+/// The timings are those of a deployment: report interval, worker lease, and cancel deadline.
+fn tasks_lost_in_outage(seed: u64, seconds: u64, (report_s, lease_s, cancel_s): (f64, f64, f64)) -> usize {
     let mut world = World::new(seed, Trouble::default());
     for s in &mut world.settings {
         let w = &mut s.params.workers;
@@ -64,36 +68,38 @@
     world.met.lost_by_lease
 }
 
-/// The times of the deployments: the rig's, maapoue-cores, selatferi-hq, selatcargo.
-const TIMES: [(f64, f64, f64); 4] =
+/// Report interval, worker lease and cancel deadline of the deployments: test rig, maapoue-cores, selatferi-hq,
+/// selatcargo.
+const DEPLOYMENT_TIMINGS: [(f64, f64, f64); 4] =
     [(2.5, 14.0, 34.0), (5.0, 27.0, 57.0), (6.0, 31.0, 51.0), (4.0, 28.0, 53.0)];
 
-/// Guards running tasks against a bound on the age of knowledge that is tighter than withdrawals need: whatever the
-/// deployment, an outage kills nothing that its leases leave room for.
+/// Guards running tasks against a bound on the age of knowledge that is tighter than withdrawals require: in every
+/// deployment, an outage shorter than its leases allow stops no task.
 #[test]
-fn an_outage_that_the_leases_outlast_kills_nothing_that_runs() {
-    for (times, seconds) in TIMES.into_iter().zip([18, 29, 32, 30]) {
-        let lost = lost_in_an_outage(5, seconds, times);
+fn an_outage_shorter_than_the_leases_allow_stops_no_task() {
+    for (times, seconds) in DEPLOYMENT_TIMINGS.into_iter().zip([18, 29, 32, 30]) {
+        let lost = tasks_lost_in_outage(5, seconds, times);
         assert_eq!(lost, 0, "{times:?}: {lost} tasks lost in an outage of {seconds} s");
     }
 }
 
-/// How long an outage each deployment outlives, printed: `cargo test --lib outlives -- --ignored --nocapture`.
+/// Prints the longest outage that each deployment survives without a lost task:
+/// `cargo test --lib longest_survived_outage -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
-fn how_long_an_outage_each_deployment_outlives() {
-    for times in TIMES {
-        let most = |seed| (10..60).find(|s| lost_in_an_outage(seed, *s, times) > 0).unwrap_or(60) - 1;
-        let most: Vec<u64> = (5..10).map(most).collect();
-        eprintln!("report, lease, cancel {times:?}: {most:?} s without a task lost");
-        assert!(most.iter().all(|s| *s >= 10), "{times:?}: {most:?}");
+fn longest_survived_outage_of_each_deployment() {
+    for times in DEPLOYMENT_TIMINGS {
+        let survived = |seed| (10..60).find(|s| tasks_lost_in_outage(seed, *s, times) > 0).unwrap_or(60) - 1;
+        let longest: Vec<u64> = (5..10).map(survived).collect();
+        eprintln!("report, lease, cancel {times:?}: {longest:?} s of outage without a lost task");
+        assert!(longest.iter().all(|s| *s >= 10), "{times:?}: {longest:?}");
     }
 }
 
-/// A controller that stands still while its clock runs on, alone and as jobs are taken over, does
-/// nothing with what it knew before.
+/// Guards against a controller acting on outdated knowledge after a pause during which its clock runs on, both on its
+/// own and while jobs are being taken over.
 #[test]
-fn a_controller_that_stands_still_does_no_harm_when_it_goes_on() {
+fn a_paused_controller_does_not_act_on_outdated_knowledge() {
     for seed in 0..6 {
         let mut world =
             World::new(seed, Trouble { machine_hangs: 0.1, machine_cut: 0.05, ..Default::default() });
--- a/src/coordination/simulation/quota_guard.rs
+++ b/src/coordination/simulation/quota_guard.rs
@@ -1,35 +1,37 @@
-//! What is checked of teams' limits at run time, and permits that hold no more.
+//! Runtime checks of teams' limits, and permits that are no longer valid.
 
 use super::meetings_limits::{end_some, finish, go, of_team, owned_by, roomy, there, until};
 use super::*;
 use crate::bookkeeping::records::QuotaRecord;
 use crate::coordination::Breach;
 
-/// A cluster in which the blue team's limit of 40 processors is divided, and the job that uses some of it.
-fn divided(seed: u64) -> World {
+/// A cluster in which team blue's limit of 40 processors is divided among the controllers, with jobs that use some of
+/// it.
+fn cluster_with_divided_limit(seed: u64) -> World {
     let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
     let mut numbers = owned_by(1);
     of_team(&mut world, numbers.next().unwrap(), "blue", 10);
     of_team(&mut world, numbers.next().unwrap(), "blue", 80);
-    let shared = |w: &World| w.controllers.iter().flatten().all(|c| c.quota_record.0.view == c.view_revision);
-    assert!(until(&mut world, Micros::from_secs(20), shared), "seed {seed}: nothing is divided");
+    let is_divided =
+        |w: &World| w.controllers.iter().flatten().all(|c| c.quota_record.0.view == c.view_revision);
+    assert!(until(&mut world, Micros::from_secs(20), is_divided), "seed {seed}: the limit is not divided");
     go(&mut world, Micros::from_secs(10));
     world
 }
 
-/// Writes a division that grants every member as much.
-fn grant_each(world: &mut World, cpu: u64) {
-    let mut record = division(world);
+/// Writes a quota record that allots `cpu` to each controller.
+fn set_each_share(world: &mut World, cpu: u64) {
+    let mut record = quota_record_in_store(world);
     record.rows.iter_mut().for_each(|row| row.cpu = cpu);
-    write_division(world, record);
+    write_quota_record(world, record);
 }
 
-/// The division in the records.
-fn division(world: &World) -> QuotaRecord {
+/// The current quota record in the state service.
+fn quota_record_in_store(world: &World) -> QuotaRecord {
     serde_json::from_value(world.store.keys[records::QUOTA_KEY].0.clone()).unwrap()
 }
 
-fn write_division(world: &mut World, record: QuotaRecord) {
+fn write_quota_record(world: &mut World, record: QuotaRecord) {
     let stamp = world.store.keys[records::QUOTA_KEY].1;
     let written = world.store.commit(Transaction {
         conditions: vec![crate::protocol::store::Condition::new(records::QUOTA_KEY, stamp)],
@@ -38,21 +40,21 @@
     assert!(matches!(written, StoreReply::Committed { .. }));
 }
 
-/// Guards the check itself: shares that add up to more than a limit are seen by whoever reads their record.
+/// Guards the check itself: controllers that read a quota record detect shares that add up to more than a limit.
 #[test]
 #[should_panic(expected = "shares_beyond_limit: blue")]
-fn shares_that_add_up_to_more_than_the_limit_are_noticed() {
-    let mut world = divided(500);
-    grant_each(&mut world, 14_000);
+fn shares_that_add_up_to_more_than_the_limit_are_detected() {
+    let mut world = cluster_with_divided_limit(500);
+    set_each_share(&mut world, 14_000);
     go(&mut world, Micros::from_secs(2));
 }
 
-/// Guards the check itself: a share that shrinks below what has just been planned under it is no breach, but planning
-/// beyond it is.
+/// Guards the check itself: a share that shrinks below the resources already planned under it is no breach, but
+/// planning beyond the share is.
 #[test]
 #[should_panic(expected = "planned_beyond_share: blue")]
-fn more_planned_than_the_share_is_noticed() {
-    let mut world = divided(501);
+fn planning_beyond_the_share_is_detected() {
+    let mut world = cluster_with_divided_limit(501);
     let controller = world.controllers[1].as_mut().unwrap();
     controller.teams_with_binding_limit = controller.find_teams_with_binding_limit();
     let some = Resources { cpu: 1_000, gpu: 0, memory: 0 };
@@ -63,11 +65,12 @@
     controller.check_planned(&some.into());
 }
 
-/// Guards the check itself: all members together use more than the limit for longer than statuses differ.
+/// Guards the check itself: it detects that all controllers together use more than the limit for longer than their
+/// statuses may be out of step.
 #[test]
 #[should_panic(expected = "usage_beyond_limit: blue")]
-fn members_that_use_more_than_the_limit_together_are_noticed() {
-    let mut world = divided(502);
+fn combined_usage_beyond_the_limit_is_detected() {
+    let mut world = cluster_with_divided_limit(502);
     let leader = world.leader().unwrap();
     for _ in 0..100 {
         let controller = world.controllers[leader].as_mut().unwrap();
@@ -79,23 +82,23 @@
     }
 }
 
-/// What the leader writes of divisions comes late.
-fn late_divisions(t: &Transaction) -> Option<Fate> {
+/// Delays the leader's writes of the quota record.
+fn delay_quota_writes(t: &Transaction) -> Option<Fate> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::QUOTA_KEY));
     written.then_some(Fate::Late(Micros::from_secs(60)))
 }
 
-/// Guards production: after a breach nothing more of the team starts, of others all does, and once the rule holds again the
-/// team's starts go on.
+/// Guards production deployments: after a breach the team starts no more tasks while other teams do, and the team's
+/// starts resume once the rule holds again.
 #[test]
 fn a_breach_halts_the_team_until_the_rule_holds_again() {
-    let mut world = divided(503);
+    let mut world = cluster_with_divided_limit(503);
     world.controllers.iter_mut().flatten().for_each(|c| c.quota_guard.tolerate_breaches = true);
-    // The leader would mend the record at once.
+    // Without the delay the leader would correct the record at once.
     let leader = world.leader().unwrap();
-    world.fate_of = Some(late_divisions);
-    let sound = division(&world);
-    grant_each(&mut world, 30_000);
+    world.fate_of = Some(delay_quota_writes);
+    let valid_record = quota_record_in_store(&world);
+    set_each_share(&mut world, 30_000);
     go(&mut world, Micros::from_millis(1_500));
     let others = (0..3).filter(|n| *n != leader).collect::<Vec<_>>();
     let halted = |w: &World, n: usize| w.controllers[n].as_ref().unwrap().quota_guard.is_halted("blue");
@@ -106,60 +109,69 @@
     let blue = of_team(&mut world, owned_by(others[0]).next().unwrap() + 10_000, "blue", 2);
     let green = of_team(&mut world, owned_by(others[0]).nth(5).unwrap(), "green", 2);
     go(&mut world, Micros::from_secs(5));
-    assert_eq!(there(&world, &blue), 0, "a task of the halted team has begun");
+    assert_eq!(there(&world, &blue), 0, "a task of the halted team has started");
     assert_eq!(there(&world, &green), 2, "another team's tasks do not start");
-    write_division(&mut world, sound);
+    write_quota_record(&mut world, valid_record);
     let lifted = |w: &World| (0..3).all(|n| !halted(w, n));
-    assert!(until(&mut world, Micros::from_secs(10), lifted), "the team is halted though the rule holds");
+    assert!(
+        until(&mut world, Micros::from_secs(10), lifted),
+        "the team is still halted although the rule holds"
+    );
 }
 
-/// What controllers record of those that they do not wait for comes late.
-fn late_records_of_the_uninformed(t: &Transaction) -> Option<Fate> {
+/// Delays the records of uninformed controllers, whose confirmations the others no longer wait for.
+fn delay_uninformed_records(t: &Transaction) -> Option<Fate> {
     let key = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::UNINFORMED_PREFIX));
     t.writes.iter().any(key).then_some(Fate::Late(Micros::from_secs(30)))
 }
 
-/// Guards a limit against starts that were planned within a share of a former view: they wait to be sent while the view
-/// changes, and their share is void.
+/// Guards a team's limit against starts that were planned under a share of a former view: they have not been sent when
+/// the view changes, and their share is no longer valid.
 #[test]
-fn what_was_planned_under_a_former_views_share_is_not_sent() {
+fn starts_planned_under_a_former_views_share_are_not_sent() {
     let mut planned = 0;
     for seed in 510..516 {
-        let mut world = divided(seed);
-        let (waits, leader) = (1, world.leader().unwrap());
-        assert_ne!(waits, leader, "seed {seed}");
-        let back = 2 - leader;
-        world.passed_over = Some(waits);
-        // Another member does not hear of its starts, nor can it record that it goes on without that one.
-        world.fate_of = Some(late_records_of_the_uninformed);
-        world.befalls(Spell::Apart(waits, back), world.now + Micros::from_secs(14));
-        let waiting = |w: &World| -> Vec<TaskId> {
-            let machines = w.controllers[waits].as_ref().unwrap().machines.values();
+        let mut world = cluster_with_divided_limit(seed);
+        let (planner, leader) = (1, world.leader().unwrap());
+        assert_ne!(planner, leader, "seed {seed}");
+        let restarted = 2 - leader;
+        world.passed_over = Some(planner);
+        // Another controller does not receive its announcements of starts, and it cannot record that one as uninformed.
+        world.fate_of = Some(delay_uninformed_records);
+        world.befalls(Spell::Apart(planner, restarted), world.now + Micros::from_secs(14));
+        let unsent_starts = |w: &World| -> Vec<TaskId> {
+            let machines = w.controllers[planner].as_ref().unwrap().machines.values();
             let tasks = machines.flat_map(|m| &m.tasks).filter(|(_, t)| t.pending.is_some());
             tasks.map(|(id, _)| id.clone()).collect()
         };
-        // Places become free in its share, and more of its job is planned.
+        // Capacity becomes free in its share, and further tasks of its job are planned.
         for id in world.jobs.keys().cloned().collect::<Vec<_>>() {
             end_some(&mut world, &id, 30);
         }
-        until(&mut world, Micros::from_secs(10), |w| !waiting(w).is_empty());
-        let before = waiting(&world);
-        let view = world.controllers[waits].as_ref().unwrap().view_revision;
-        world.crash_for(back, Micros::from_millis(200));
-        let next = |w: &World| w.controllers[waits].as_ref().unwrap().view_revision > view;
+        until(&mut world, Micros::from_secs(10), |w| !unsent_starts(w).is_empty());
+        let before = unsent_starts(&world);
+        let view = world.controllers[planner].as_ref().unwrap().view_revision;
+        world.crash_for(restarted, Micros::from_millis(200));
+        let next = |w: &World| w.controllers[planner].as_ref().unwrap().view_revision > view;
         assert!(until(&mut world, Micros::from_secs(15), next), "seed {seed}: no new view");
         planned += before.len();
-        let after = waiting(&world);
-        assert!(before.iter().all(|start| !after.contains(start)), "seed {seed}: a start outlived its share");
+        let after = unsent_starts(&world);
+        assert!(
+            before.iter().all(|start| !after.contains(start)),
+            "seed {seed}: a start was kept after its share became invalid"
+        );
         finish(&mut world, seed);
     }
-    assert!(planned > 0, "nothing was planned when the view changed");
+    assert!(planned > 0, "no start was planned when the view changed");
 }
 
-/// Guards H3 of a team's limit: of a job that is over only what was unfinished counted in what its team may still use, so
-/// that second runs of its completed tasks, which go on somewhere, counted nowhere while the limit was not divided.
+/// Guards H3 of a team's limit: tasks of completed jobs that still run count when deciding whether a limit must be
+/// divided.
+///
+/// Only the unfinished tasks of a completed job were counted in what its team may still use, so that second runs of its
+/// completed tasks, which were still running somewhere, were not counted while the limit was not divided.
 #[test]
-fn tasks_that_still_run_of_a_job_that_is_done_count_before_a_limit_is_divided() {
+fn running_tasks_of_completed_jobs_count_before_a_limit_is_divided() {
     let mut world = roomy(560, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
     let mut numbers = owned_by(1);
     let done = of_team(&mut world, numbers.next().unwrap(), "blue", 10);
@@ -177,7 +189,7 @@
     let job = controller.jobs.get_mut(&done).unwrap();
     (0..10).for_each(|index| assert!(job.mark_completed(index)));
     controller.retire(&done);
-    // Both together are within the limit, and a third is not beside them.
+    // Both jobs together are within the limit; with the third job they exceed it.
     let mut third = controller.jobs[&other].spec.as_ref().clone();
     third.id = "j-999999".into();
     third.tasks = ((40_000 - requested) / third.need().cpu + 1) as u32;
