--- a/src/coordination/simulation/contradictions.rs
+++ b/src/coordination/simulation/contradictions.rs
@@ -1,20 +1,20 @@
-//! Conclusions that a task is not on a machine, against what the machines and their holders say afterwards. Guards against
-//! the near misses of the known failure `ran_twice` staying unseen.
+//! Conclusions that a task is not on a machine, compared with later reports of the machines and statuses of their
+//! holders. Guards against wrong conclusions, near misses of the known failure `ran_twice`, going undetected.
 
 use super::meetings_starts::starting;
 use super::second_starts::{grant_to, other_than, planned};
 use super::*;
 use crate::coordination::removal::RemovalGround;
 
-fn contradictions(c: &Controller) -> u64 {
+fn contradicted_count(c: &Controller) -> u64 {
     RemovalGround::all().into_iter().map(|ground| c.conclusions_contradicted(ground)).sum()
 }
 
-/// Guards against a wrong conclusion that nobody notices: a start that was sent is taken for one that never was, and the
-/// machine's next report shows it.
+/// Guards against an undetected wrong conclusion: a start that was sent is concluded to have never been sent, and the
+/// machine's next report shows the task.
 #[test]
-fn a_start_taken_for_never_sent_is_noticed_when_its_machine_shows_it() {
-    let mut seen = 0;
+fn a_start_wrongly_concluded_as_never_sent_is_detected_in_the_machines_report() {
+    let mut detected = 0;
     for seed in 700..710 {
         let (mut world, n, name, id) = starting(seed);
         world.trouble.held_up = 0.0;
@@ -29,56 +29,56 @@
         }
         let mut tasks = c.machines[&name].tasks.clone();
         let Some(removed) = tasks.remove(&id) else { continue };
-        let before = contradictions(c);
+        let before = contradicted_count(c);
         c.replace_tasks(&name, tasks, RemovalGround::NeverSent);
         assert!(!c.machines[&name].tasks.contains_key(&id));
         let until = world.now + Micros::from_secs(3);
-        let there = |c: &Controller| c.machines[&name].tasks.contains_key(&id);
-        while !there(world.controllers[n].as_ref().unwrap()) && world.now < until {
+        let is_listed = |c: &Controller| c.machines[&name].tasks.contains_key(&id);
+        while !is_listed(world.controllers[n].as_ref().unwrap()) && world.now < until {
             world.run(world.now + Micros::from_millis(1));
         }
         let c = world.controllers[n].as_ref().unwrap();
-        if there(c) && c.machines[&name].tasks[&id].attempt == removed.attempt {
-            assert_eq!(contradictions(c) - before, 1, "seed {seed}");
+        if is_listed(c) && c.machines[&name].tasks[&id].attempt == removed.attempt {
+            assert_eq!(contradicted_count(c) - before, 1, "seed {seed}");
             assert!(c.conclusions_contradicted(RemovalGround::NeverSent) > 0, "seed {seed}");
-            seen += 1;
+            detected += 1;
         }
     }
-    assert!(seen >= 5, "only {seen} of 10 were shown again");
+    assert!(detected >= 5, "only {detected} of 10 tasks were reported again");
 }
 
-/// Guards against false alarms: the new holder of a machine repeats, before it has heard the machine, a start that the
-/// former holder had announced and takes back when it reads of the grant.
+/// Guards against false alarms: before the new holder of a machine has received a report from it, its status still
+/// lists a start that the former holder had announced, and that the former holder cancels when it reads the grant.
 #[test]
-fn a_plan_that_a_new_holder_still_repeats_is_no_contradiction() {
-    let (mut questioned, mut lost) = (0, 0);
+fn a_cancelled_start_that_a_new_holder_still_lists_is_no_contradiction() {
+    let (mut questioned, mut cancelled) = (0, 0);
     for seed in 720..740 {
         let mut world = super::meetings::full(seed, 12);
         let (n, name, id) = planned(&mut world);
-        let to = other_than(&world, n);
-        // The others know of the plan, and it has not been sent.
+        let new_holder = other_than(&world, n);
+        // The other controller knows of the planned start, and the start has not been sent.
         let known = |world: &World| {
-            let c = world.controllers[to].as_ref().unwrap();
+            let c = world.controllers[new_holder].as_ref().unwrap();
             c.machines.get(&name).is_some_and(|m| m.tasks.contains_key(&id))
         };
         let until = world.now + Micros::from_secs(1);
         while !known(&world) && world.now < until {
             world.run(world.now + Micros::from_millis(1));
         }
-        let still = |c: &Controller| {
+        let still_planned = |c: &Controller| {
             c.machines[&name].tasks.get(&id).is_some_and(|t| t.planned()) && c.owns(&c.machines[&name])
         };
-        if !known(&world) || !still(world.controllers[n].as_ref().unwrap()) {
+        if !known(&world) || !still_planned(world.controllers[n].as_ref().unwrap()) {
             continue;
         }
-        grant_to(&mut world, &name, to);
+        grant_to(&mut world, &name, new_holder);
         world.run(world.now + Micros::from_secs(3));
         for c in world.controllers.iter().flatten() {
-            lost += c.removals(RemovalGround::NeverSent);
+            cancelled += c.removals(RemovalGround::NeverSent);
             questioned += c.conclusions_questioned(RemovalGround::NeverSent);
-            assert_eq!(contradictions(c), 0, "seed {seed}, {}", c.own_name());
+            assert_eq!(contradicted_count(c), 0, "seed {seed}, {}", c.own_name());
         }
     }
-    assert!(lost > 0, "no plan was taken back");
-    eprintln!("{lost} plans taken back, {questioned} repeated by a new holder");
+    assert!(cancelled > 0, "no planned start was cancelled");
+    eprintln!("{cancelled} planned starts cancelled, {questioned} still listed by a new holder");
 }
--- a/src/coordination/simulation/evictions.rs
+++ b/src/coordination/simulation/evictions.rs
@@ -74,7 +74,7 @@
 /// jobs started anything until then. When it resumes, it has received nothing from the others for as long, and must not
 /// conclude that they have crashed.
 #[test]
-fn a_paused_controller_is_replaced_before_its_lease_expires_and_evicts_nobody() {
+fn a_paused_controller_is_replaced_before_its_lease_expires_and_evicts_no_other() {
     let mut taken_over_in_time = 0;
     for seed in 0..6 {
         let mut world = World::new(30 + seed, Trouble::default());
--- a/src/coordination/simulation/fleets.rs
+++ b/src/coordination/simulation/fleets.rs
@@ -132,8 +132,8 @@
 /// Guards against a task running twice because of outdated knowledge.
 ///
 /// During an outage of the state service a controller concluded that a machine's lease had expired, since it no longer
-/// heard the machine, and started its tasks elsewhere. The machine had been granted to another controller just before
-/// the outage, which the former owner could not know.
+/// received its reports, and started its tasks elsewhere. The machine had been granted to another controller just
+/// before the outage, which the former owner could not know.
 #[test]
 fn no_worker_lease_is_taken_for_expired_on_outdated_knowledge() {
     let mut world = World::new(13, Trouble::default());
--- a/src/coordination/simulation/idle.rs
+++ b/src/coordination/simulation/idle.rs
@@ -49,14 +49,14 @@
 
 impl World {
     /// Time at which the last fault was over.
-    fn calm_since(&self) -> Micros {
-        let calm = self.calm_after.max(self.spells_over).max(self.cloud_down).max(self.all_away);
+    fn fault_free_since(&self) -> Micros {
+        let fault_free_from = self.calm_after.max(self.spells_over).max(self.cloud_down).max(self.all_away);
         let fault_ends = self
             .workers
             .values()
             .filter(|w| !w.dead)
             .flat_map(|w| [w.cut_until, w.hung_until, w.deaf_until, w.mute_until]);
-        fault_ends.fold(calm, Micros::max)
+        fault_ends.fold(fault_free_from, Micros::max)
     }
 
     fn need(&self, id: &TaskId) -> Resources {
@@ -177,7 +177,7 @@
             return;
         }
         self.idle.next_sample = self.now + SAMPLE_INTERVAL;
-        if self.now < self.calm_since() {
+        if self.now < self.fault_free_since() {
             self.idle.samples.clear();
             self.idle.waiting_since.clear();
             return;
@@ -327,7 +327,7 @@
     world.met.waits
 }
 
-/// A job of tasks of four processors, without placement constraints.
+/// A job whose tasks need four processors each and fit on any on-demand machine.
 fn waiting_job(shape: Shape, tasks: u32, team: &str) -> JobSpec {
     let mut world = World::new(6, Trouble::default());
     let job = JobSpec {
--- a/src/coordination/simulation/overload.rs
+++ b/src/coordination/simulation/overload.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A job array of the given class and team, of small tasks without placement constraints.
+/// An array of the given class and team whose small tasks fit on any on-demand machine.
 fn plain_array(world: &mut World, n: u32, class: &str, team: &str, tasks: u32) -> JobSpec {
     let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, spread: false, ..world.random_job(n) };
     JobSpec {
@@ -79,9 +79,9 @@
 }
 
 /// Submits many jobs of one class, then a few of another, and returns how many seconds the last of these few takes.
-fn quiet_class_duration(seed: u64, alone: bool) -> f64 {
+fn quiet_class_duration(seed: u64, ignore_leader_volumes: bool) -> f64 {
     let mut world = cluster(seed, 16);
-    world.alone = alone;
+    world.alone = ignore_leader_volumes;
     world.run(Micros::from_secs(5));
     for n in 0..120 {
         let spec = plain_array(&mut world, n, "flood", "green", 30);
@@ -108,17 +108,17 @@
 /// Guards against starvation of a class with few jobs by a flood of another class: its share of the pool does not
 /// depend on the number of jobs submitted before.
 ///
-/// The share comes from the leader's volumes; when each controller places jobs on its own (`alone`), the small class
-/// waits for the flood.
+/// The share comes from the leader's volumes; without them (`ignore_leader_volumes`) each controller places jobs on
+/// its own, and the small class waits for the flood.
 #[test]
 fn a_flood_of_one_class_does_not_starve_another_under_the_leaders_volumes() {
     for seed in 0..3 {
         let with_leader = quiet_class_duration(seed, false);
-        let alone = quiet_class_duration(seed, true);
+        let without_leader = quiet_class_duration(seed, true);
         assert!(with_leader < 90.0, "seed {seed}: the quiet class took {with_leader} s");
         assert!(
-            alone > with_leader * 1.5,
-            "seed {seed}: {alone} s alone, {with_leader} s with the leader's volumes"
+            without_leader > with_leader * 1.5,
+            "seed {seed}: {without_leader} s without the leader's volumes, {with_leader} s with the leader's volumes"
         );
     }
 }
