--- a/src/coordination/simulation/overload.rs
+++ b/src/coordination/simulation/overload.rs
@@ -64,7 +64,10 @@
         fail_some(&mut world, 6);
         while finished_fractions(&world).0 < 0.5 {
             world.run(world.now + Micros::from_secs(1));
-            assert!(world.now < Micros::from_secs(300), "seed {seed}: no progress within 300 s");
+            assert!(
+                world.now < Micros::from_secs(300),
+                "seed {seed}: half of the tasks had not finished after 300 s"
+            );
         }
         let (tasks, jobs) = finished_fractions(&world);
         assert!(
@@ -164,10 +167,10 @@
         for (id, wish) in &world.jobs {
             assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
             let quiet = wish.spec.as_ref().is_some_and(|s| s.class == "quiet");
-            let max_rejections = if quiet { 6 } else { 12 };
+            let max_deferrals = if quiet { 6 } else { 12 };
             assert!(
-                wish.turned_away <= max_rejections,
-                "seed {seed}: {id} was rejected {} times",
+                wish.turned_away <= max_deferrals,
+                "seed {seed}: {id} was deferred {} times",
                 wish.turned_away
             );
         }
