--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -21,7 +21,8 @@
     gpus: f64,
 }
 
-fn submit(world: &mut World, team: &str, params: JobParams) -> String {
+/// Submits a job of a team and returns its id.
+fn submit_job(world: &mut World, team: &str, params: JobParams) -> String {
     let n = owned_by(params.owner).nth(params.nth).unwrap();
     let spec = array(world, n, params.tasks);
     let JobParams { shape, priority, cpus, gpus, .. } = params;
@@ -39,8 +40,8 @@
 /// The team may use 24 processors. An array of rank high runs four tasks of five processors and has many more; a gang
 /// of the same rank needs 20 processors, which do not fit beside any of these tasks; an array of rank low has tasks of
 /// three processors. Four processors stayed idle for as long as the first array ran, because the high rank's share was
-/// the whole limit, and the low rank's share, a sixteenth, was less than one task. Pair 128001: `reason="not_admitted"
-/// volume=0` for 169 s, with the team's tasks at 20 of 24 processors.
+/// the whole limit, and the low rank's share, a sixteenth, was less than one task. Pair 128001 logged
+/// `reason="not_admitted" volume=0` for 169 s, with the team's tasks at 20 of 24 processors.
 #[test]
 fn limit_left_over_by_the_volumes_goes_to_a_job_that_fits() {
     for seed in 3_000..3_003 {
@@ -55,11 +56,11 @@
             cpus: 5.0,
             gpus: 0.0,
         };
-        submit(&mut world, "red", high(1, 0, Shape::Array, 100));
+        submit_job(&mut world, "red", high(1, 0, Shape::Array, 100));
         go(&mut world, Micros::from_secs(5));
-        submit(&mut world, "red", high(2, 0, Shape::Gang, 4));
+        submit_job(&mut world, "red", high(2, 0, Shape::Gang, 4));
         let low = JobParams { priority: Priority::Low, cpus: 3.0, ..high(1, 1, Shape::Array, 10) };
-        let low = submit(&mut world, "red", low);
+        let low = submit_job(&mut world, "red", low);
         let begun = |w: &World| w.jobs[&low].begun > Micros::ZERO;
         assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe(&low));
         assert!(world.taken()[0].0 <= 24_000);
@@ -86,15 +87,15 @@
             gpus: 0.0,
         };
         for nth in 0..8 {
-            submit(&mut world, "red", low(nth % 3, nth));
+            submit_job(&mut world, "red", low(nth % 3, nth));
         }
         go(&mut world, Micros::from_secs(4));
         let gang = JobParams { shape: Shape::Gang, tasks: 4, cpus: 6.0, ..low(0, 300) };
-        let gang = submit(&mut world, "red", gang);
+        let gang = submit_job(&mut world, "red", gang);
         let end = world.now + Micros::from_secs(240);
         let mut nth = 8;
         while world.now < end && there(&world, &gang) < 4 {
-            submit(&mut world, "red", low(nth % 3, nth));
+            submit_job(&mut world, "red", low(nth % 3, nth));
             nth += 1;
             go(&mut world, Micros::from_millis(400));
         }
@@ -124,8 +125,8 @@
         cpus: 3.0,
         gpus,
     };
-    submit(&mut world, "red", job(1, 0.0));
-    submit(&mut world, "red", job(2, 1.0));
+    submit_job(&mut world, "red", job(1, 0.0));
+    submit_job(&mut world, "red", job(2, 1.0));
     go(&mut world, Micros::from_secs(15));
     let leader = world.controllers[world.leader().unwrap()].as_ref().unwrap();
     let (volumes, _) = leader.plan_volumes();
@@ -160,8 +161,8 @@
         cpus: 2.0,
         gpus: 0.0,
     };
-    submit(&mut world, "red", job(1));
-    submit(&mut world, "red", job(2));
+    submit_job(&mut world, "red", job(1));
+    submit_job(&mut world, "red", job(2));
     go(&mut world, Micros::from_secs(20));
     world.fate_of = Some(delay_progress_writes);
     let (mut used, samples) = (0, 300);
@@ -198,7 +199,7 @@
             gpus: 2.0,
         };
         // The limit of team red allows one of these tasks at a time.
-        submit(&mut world, "red", accelerated);
+        submit_job(&mut world, "red", accelerated);
         go(&mut world, Micros::from_secs(8));
         let plain = JobParams {
             owner: 2,
@@ -209,13 +210,14 @@
             cpus: 14.0,
             gpus: 0.0,
         };
-        let plain = submit(&mut world, "green", plain);
+        let plain = submit_job(&mut world, "green", plain);
         let begun = |w: &World| w.jobs[&plain].begun > Micros::ZERO;
         assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe(&plain));
     }
 }
 
-/// Runs pairs of faults in which a job was neglected, beside those of `no_job_is_neglected_in_calm_after_two_troubles`.
+/// Runs pairs of faults in which a job was neglected, beside those of
+/// `no_job_is_neglected_in_calm_after_two_kinds_of_fault`.
 ///
 /// Of 1,190 runs with the neglect check, 12 failed; seven of these are here, each with the job's reason `not_admitted`.
 /// The last three seeds were found once these were fixed: a plain job was kept off accelerator machines (655000); the
@@ -238,7 +240,7 @@
     let mut world = roomy(3_050, &[("red", 1.0, 0.0), ("green", 0.0, 0.0)]);
     for nth in 0..100 {
         let (shape, priority) = (Shape::Array, Priority::Normal);
-        submit(
+        submit_job(
             &mut world,
             "red",
             JobParams { owner: nth % 3, nth, shape, priority, tasks: 1, cpus: 1.0, gpus: 0.0 },
@@ -271,12 +273,12 @@
         gpus: 0.0,
     };
     world.runs_for = 500 * S..600 * S;
-    submit(&mut world, "green", job(200, Shape::Array, 200, 8.0));
+    submit_job(&mut world, "green", job(200, Shape::Array, 200, 8.0));
     for nth in 0..100 {
-        submit(&mut world, "red", job(nth, Shape::Array, 1, 1.0));
+        submit_job(&mut world, "red", job(nth, Shape::Array, 1, 1.0));
     }
     go(&mut world, Micros::from_secs(20));
-    let gang = submit(&mut world, "green", job(201, Shape::Gang, 4, 2.0));
+    let gang = submit_job(&mut world, "green", job(201, Shape::Gang, 4, 2.0));
     go(&mut world, Micros::from_secs(60));
     let leader = world.leader().unwrap();
     let leader = world.controllers[leader].as_mut().unwrap();
@@ -317,9 +319,10 @@
             cpus: 2.0,
             gpus: 0.0,
         };
-        let first = submit(&mut world, "red", array(0, 0));
+        let first = submit_job(&mut world, "red", array(0, 0));
         go(&mut world, Micros::from_secs(8));
-        let others: Vec<String> = (1..9).map(|nth| submit(&mut world, "red", array(nth % 3, nth))).collect();
+        let others: Vec<String> =
+            (1..9).map(|nth| submit_job(&mut world, "red", array(nth % 3, nth))).collect();
         let all_begun = |w: &World| others.iter().all(|id| w.jobs[id].begun > Micros::ZERO);
         let in_time = until(&mut world, MAX_WAIT, all_begun);
         let begun = others.iter().filter(|id| world.jobs[*id].begun > Micros::ZERO).count();
@@ -347,7 +350,7 @@
             cpus: 15.0,
             gpus: 0.0,
         };
-        let gang = submit(&mut world, "green", gang);
+        let gang = submit_job(&mut world, "green", gang);
         let begun = |w: &World| there(w, &gang) == 24;
         assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe(&gang));
     }
