--- a/src/coordination/simulation/abuse.rs
+++ b/src/coordination/simulation/abuse.rs
@@ -17,7 +17,7 @@
     let own = |c: &Controller| c.machines.iter().find(|(_, m)| c.owns(m)).map(|(n, _)| n.clone());
     let holder = (0..3).find_map(|n| Some((n, own(world.controllers[n].as_ref()?)?)));
     let (n, name) = holder.unwrap();
-    let clock = world.clock(n);
+    let clock = world.local_time(n);
     let c = world.controllers[n].as_mut().unwrap();
     let m = &c.machines[&name];
     let honest = Report {
--- a/src/coordination/simulation/asking.rs
+++ b/src/coordination/simulation/asking.rs
@@ -4,8 +4,8 @@
 
 /// How long, from an end of all controllers on, the longest time without an answered question is, in seconds, with
 /// this many jobs that are over, and how many requests the store has had for it.
-fn after_an_end_of_all(seed: u64, jobs: u32) -> (f64, u64) {
-    let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 24 });
+fn longest_unanswered_after_restart(seed: u64, jobs: u32) -> (f64, u64) {
+    let mut world = World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 24 });
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
     }
@@ -19,13 +19,13 @@
         }
     }
     world.run(world.now + Micros::from_secs(120));
-    assert!(world.jobs.values().all(|w| w.told_final.is_some()), "seed {seed}: not all are over");
+    assert!(world.jobs.values().all(|w| w.known_final.is_some()), "seed {seed}: not all are over");
     let (from, calls) = (world.now, world.store_calls);
     (0..3).for_each(|n| world.crash_for(n, Micros::from_millis(300)));
     let mut longest = Micros::ZERO;
     for _ in 0..60 {
         world.run(world.now + Micros::from_secs(1));
-        let waits = world.jobs.values().map(|w| world.now.since(w.answered.max(from)));
+        let waits = world.jobs.values().map(|w| world.now.since(w.last_answered_at.max(from)));
         longest = longest.max(waits.max().unwrap_or_default());
     }
     (longest.as_secs_f64(), world.store_calls - calls)
@@ -36,7 +36,7 @@
 #[test]
 fn after_an_end_of_all_every_question_is_answered_soon() {
     for seed in 0..2 {
-        let (longest, calls) = after_an_end_of_all(seed, 600);
+        let (longest, calls) = longest_unanswered_after_restart(seed, 600);
         eprintln!("longest {longest} s without an answer, {calls} calls");
         assert!(longest <= 20.0, "seed {seed}: {longest} s without an answer");
     }
--- a/src/coordination/simulation/at_limits.rs
+++ b/src/coordination/simulation/at_limits.rs
@@ -29,10 +29,10 @@
 
 /// A controller stalls before sending for up to as long as leases last, now and then.
 fn stall(world: &mut World, seconds: f64) {
-    if world.odds(STALLS * seconds) {
+    if world.chance(STALLS * seconds) {
         let node = world.rng.random_range(0..world.settings.len());
         let length = Micros(world.rng.random_range(200 * MS..25 * S));
-        world.befalls(Spell::StallsBeforeSending(node), world.now + length);
+        world.begin_fault(TimedFault::PausedBeforeSending(node), world.now + length);
     }
 }
 
@@ -41,7 +41,7 @@
     let (mut world, mut n) = with_more_than_limits_allow(seed);
     go(&mut world, Micros::from_secs(25));
     world.bring(trouble);
-    world.runs_for = 5 * S..40 * S;
+    world.task_run_time = 5 * S..40 * S;
     let mut endless = Vec::new();
     for _ in 0..ROUNDS {
         n += 1;
@@ -60,11 +60,11 @@
         stall(&mut world, length.as_secs_f64());
         go(&mut world, length);
     }
-    world.calm_after = world.now;
-    world.runs_for = S..5 * S;
+    world.fault_free_from = world.now;
+    world.task_run_time = S..5 * S;
     endless.into_iter().for_each(|id| world.jobs.get_mut(&id).unwrap().wants_withdrawal = true);
     world.workers.values_mut().for_each(|w| w.faulty = false);
-    world.all_over(LONG_ENOUGH_S, &format!("seed {seed}"));
+    world.expect_all_jobs_to_end(LONG_ENOUGH_S, &format!("seed {seed}"));
     world
 }
 
--- a/src/coordination/simulation/cloud.rs
+++ b/src/coordination/simulation/cloud.rs
@@ -3,20 +3,20 @@
 use super::*;
 
 impl World {
-    pub(super) fn cloud(&mut self, call: &CloudCall) -> CloudReply {
+    pub(super) fn handle_cloud_call(&mut self, call: &CloudCall) -> CloudReply {
         match call {
-            CloudCall::Types => CloudReply::Types(self.types.clone()),
+            CloudCall::Types => CloudReply::Types(self.machine_types.clone()),
             CloudCall::Rent(Rental { request, kind, zone, spot, count }) => {
-                if let Some(names) = self.charters.get(request) {
+                if let Some(names) = self.rentals.get(request) {
                     return CloudReply::Rented(names.clone());
                 }
                 let alive = self.workers.values().filter(|w| !w.dead).count();
-                let count = (*count as usize).min(self.capacity.saturating_sub(alive));
+                let count = (*count as usize).min(self.cloud_capacity.saturating_sub(alive));
                 if count == 0 {
                     return CloudReply::NoCapacity;
                 }
                 let names: Vec<String> = (0..count).map(|_| self.add_machine(kind, zone, *spot)).collect();
-                self.charters.insert(request.clone(), names.clone());
+                self.rentals.insert(request.clone(), names.clone());
                 CloudReply::Rented(names)
             }
             CloudCall::Return(names) => {
@@ -26,7 +26,7 @@
             CloudCall::List { after } => {
                 // One that is not listed yet, or as starting, may be up and at work.
                 let lag = Micros::from_secs_f64(self.settings[0].params.cloud.list_lag_s);
-                let age = |w: &Worker| self.now.since(w.rented);
+                let age = |w: &Worker| self.now.since(w.rented_at);
                 let machines = self.workers.iter().filter(|(n, w)| *n > after && age(w) > lag);
                 let machines = machines.map(|(n, w)| ListedMachine {
                     id: n.clone(),
@@ -39,7 +39,7 @@
                         false if age(w) < lag + lag => ListedState::Booting,
                         false => ListedState::Running,
                     },
-                    age_s: self.now.since(w.rented).as_secs_f64(),
+                    age_s: self.now.since(w.rented_at).as_secs_f64(),
                 });
                 CloudReply::List(MachineList { machines: machines.collect(), more: false })
             }
@@ -49,33 +49,33 @@
     pub(super) fn add_machine(&mut self, kind: &str, zone: &str, spot: bool) -> String {
         self.next_machine += 1;
         let name = format!("m-{:06}", self.next_machine);
-        let up_at = self.now + Micros(self.rng.random_range(self.boots.clone()));
-        if up_at < self.now + Micros::from_secs(2) && self.trouble.quick_boots {
-            self.meets("quick_boots");
+        let up_at = self.now + Micros(self.rng.random_range(self.boot_time.clone()));
+        if up_at < self.now + Micros::from_secs(2) && self.fault_profile.quick_boots {
+            self.record_fault("quick_boots");
         }
         let worker = Worker {
             kind: kind.into(),
             zone: zone.into(),
             spot,
-            rented: self.now,
+            rented_at: self.now,
             dead: false,
-            cut_until: Micros::ZERO,
+            partitioned_until: Micros::ZERO,
             hung_until: Micros::ZERO,
-            deaf_until: Micros::ZERO,
-            mute_until: Micros::ZERO,
+            not_receiving_until: Micros::ZERO,
+            reports_blocked_until: Micros::ZERO,
             faulty: false,
             session: 1,
             tally: 0,
             token: 0,
-            renewed: up_at,
-            target: self.rng.random_range(0..self.settings.len()),
-            next_report: up_at,
-            waiting: None,
+            lease_renewed_at: up_at,
+            target_controller: self.rng.random_range(0..self.settings.len()),
+            next_report_at: up_at,
+            report_in_flight: None,
             tasks: BTreeMap::new(),
-            notice: None,
+            preempted_at: None,
         };
         self.workers.insert(name.clone(), worker);
-        self.at(up_at, Happening::Worker(name.clone()));
+        self.schedule_at(up_at, SimEvent::WorkerTurn(name.clone()));
         name
     }
 }
--- a/src/coordination/simulation/contradictions.rs
+++ b/src/coordination/simulation/contradictions.rs
@@ -17,8 +17,8 @@
     let mut seen = 0;
     for seed in 700..710 {
         let (mut world, n, name, id) = starting(seed);
-        world.trouble.held_up = 0.0;
-        world.runs_for = 20 * S..30 * S;
+        world.fault_profile.held_up = 0.0;
+        world.task_run_time = 20 * S..30 * S;
         let until = world.now + Micros::from_secs(5);
         while !world.workers[&name].tasks.contains_key(&id) && world.now < until {
             world.run(world.now + Micros::from_millis(1));
--- a/src/coordination/simulation/deafness.rs
+++ b/src/coordination/simulation/deafness.rs
@@ -9,7 +9,8 @@
 #[test]
 fn machines_that_do_not_hear_get_no_work_and_are_replaced_or_taken_back() {
     for seed in 0..4 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 16 });
+        let mut world =
+            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 16 });
         let names: Vec<String> = (0..12).map(|_| world.add_machine("c16", "east", false)).collect();
         for n in 0..9 {
             let spec = array(&mut world, n, 250);
@@ -18,7 +19,7 @@
         world.run(Micros::from_secs(25));
         let deaf = |w: &mut World, name: &String, s: u64| {
             let until = w.now + Micros::from_secs(s);
-            w.workers.get_mut(name).unwrap().deaf_until = until;
+            w.workers.get_mut(name).unwrap().not_receiving_until = until;
         };
         names[..2].iter().for_each(|name| deaf(&mut world, name, 600));
         deaf(&mut world, &names[2], 25);
@@ -60,10 +61,10 @@
                 kept.collect::<Vec<_>>()
             );
         }
-        world.calm_after = world.now;
+        world.fault_free_from = world.now;
         world.run(world.now + Micros::from_secs(400));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
         }
     }
 }
--- a/src/coordination/simulation/evictions.rs
+++ b/src/coordination/simulation/evictions.rs
@@ -19,14 +19,14 @@
         world.submit(JobSpec { tasks: 1_000, team: "green".into(), ..job });
     }
     world.run(Micros::from_secs(25));
-    world.befalls(Spell::AllApart, Micros::from_secs(50));
+    world.begin_fault(TimedFault::AllPartitioned, Micros::from_secs(50));
     world.run(Micros::from_secs(55));
     assert_eq!(evictions(&world), 0, "evicted for a packet filter's refusals");
     assert!(world.controllers.iter().flatten().all(|c| c.counters.rejoins == 0));
     let held = |n: &usize| world.controllers[*n].as_ref().map_or(0, |c| c.machine_counts().0);
     let ended = (0..3).max_by_key(held).unwrap();
     world.controllers[ended] = None;
-    world.lives[ended] += 1;
+    world.incarnations[ended] += 1;
     world.run(Micros::from_secs(62));
     assert_eq!(evictions(&world), 1, "an ended controller kept its jobs for the rest of its lease");
 }
@@ -48,9 +48,9 @@
     let busy = |n: &usize| Some((*n, held(world.controllers[*n].as_ref()?)?));
     let (n, name) = (0..3).find_map(|n| busy(&n)).unwrap();
     // Gone, though the cloud still lists it as running.
-    world.workers.get_mut(&name).unwrap().cut_until = Micros::MAX;
+    world.workers.get_mut(&name).unwrap().partitioned_until = Micros::MAX;
     world.controllers[n] = None;
-    world.lives[n] += 1;
+    world.incarnations[n] += 1;
     world.run(Micros::from_secs(30));
     let listed: u64 = world.controllers.iter().flatten().map(|c| c.counters.takeovers_fully_known).sum();
     assert!(listed > 0, "jobs waited for a machine of which all was known");
@@ -79,11 +79,11 @@
         }
         world.run(Micros::from_secs(25));
         let n = seed as usize % 3;
-        world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(3));
+        world.begin_fault(TimedFault::ControllerPaused(n), world.now + Micros::from_secs(3));
         world.run(world.now + Micros::from_secs(8));
         assert_eq!(evictions(&world), 0, "seed {seed}: evicted for a moment's silence");
         world.run(world.now + Micros::from_secs(15));
-        world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(25));
+        world.begin_fault(TimedFault::ControllerPaused(n), world.now + Micros::from_secs(25));
         world.run(world.now + Micros::from_millis(10_500));
         let left = world.controllers.iter().flatten().filter(|c| c.own_name() != world.settings[n].member);
         let without = |c: &Controller| c.view.members.len() == 2 && !c.takeover_in_progress;
@@ -112,18 +112,21 @@
     let id = job.id.clone();
     world.submit(JobSpec { tasks: 1_000, team: "green".into(), ..job });
     world.run(Micros::from_secs(10));
-    assert!(world.jobs[&id].told_accepted);
+    assert!(world.jobs[&id].known_accepted);
     world.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
     let key = records::registration_key("n-0");
     world.store.keys.remove(&key);
     world.store.revision += 1;
-    let (revision, life) = (world.store.revision, world.lives[0]);
+    let (revision, life) = (world.store.revision, world.incarnations[0]);
     world.store.log.push((revision, key, None));
     let request = 1_000_000;
     let (sent, until) = (world.now, world.now + Micros::from_secs(5));
-    world.requests.insert((0, life, request), Asked::User { job: id.clone(), withdraw: true, sent, until });
-    world.tell(0, Event::Withdraw(request, id.clone()));
+    world.pending_requests.insert(
+        (0, life, request),
+        PendingRequest::User { job: id.clone(), withdraw: true, sent_at: sent, deadline: until },
+    );
+    world.deliver_event(0, Event::Withdraw(request, id.clone()));
     // Whatever is answered, the user judges it.
     world.run(Micros::from_secs(40));
-    assert!(world.jobs[&id].told_final.is_some(), "the withdrawal was lost");
+    assert!(world.jobs[&id].known_final.is_some(), "the withdrawal was lost");
 }
--- a/src/coordination/simulation/fleets.rs
+++ b/src/coordination/simulation/fleets.rs
@@ -6,7 +6,7 @@
 /// were granted, the value became too long, and no grant could ever be written again.
 #[test]
 fn a_fleet_that_fills_its_values_is_granted_all_the_same() {
-    let mut world = World::sized(9, Trouble::default(), Size { controllers: 3, machines: 320 });
+    let mut world = World::with_size(9, Trouble::default(), ClusterSize { controllers: 3, machines: 320 });
     for _ in 0..320 {
         world.add_machine("c16", "east", false);
     }
@@ -63,7 +63,7 @@
     write(&mut world, &Value::clone);
     pause(&mut world, 400);
     for (id, wish) in &world.jobs {
-        assert!(wish.told_final.is_some(), "{id} is not over\n{}", world.describe(id));
+        assert!(wish.known_final.is_some(), "{id} is not over\n{}", world.describe(id));
     }
 }
 
@@ -73,7 +73,7 @@
 #[test]
 fn a_grown_cluster_keeps_the_rules_and_its_work_within_bounds() {
     let trouble = Trouble { crash: 0.01, machine_dies: 0.05, machine_cut: 0.1, ..Default::default() };
-    let mut world = World::sized(20, trouble, Size { controllers: 7, machines: 400 });
+    let mut world = World::with_size(20, trouble, ClusterSize { controllers: 7, machines: 400 });
     for n in 0..200 {
         world.add_machine("c16", ["east", "west"][n % 2], false);
     }
@@ -93,15 +93,15 @@
         world.run(next);
     }
     world.run(Micros::from_secs(90));
-    world.calm_after = world.now;
+    world.fault_free_from = world.now;
     world.run(Micros::from_secs(260));
     for (id, wish) in &world.jobs {
         let told = format!("{id} is not over: {:?}", wish.spec);
-        assert!(wish.told_final.is_some(), "{told}\n{}", world.describe(id));
+        assert!(wish.known_final.is_some(), "{told}\n{}", world.describe(id));
     }
     for (n, c) in world.controllers.iter().enumerate() {
         let Some(c) = c else { continue };
-        let seconds = world.now.since(world.booted[n]).as_secs_f64();
+        let seconds = world.now.since(world.started_at[n]).as_secs_f64();
         let passes = c.counters.placement_passes as f64 / seconds;
         assert!(passes < 12.0, "{passes} passes a second over all waiting jobs");
     }
@@ -110,7 +110,7 @@
 /// Guards the sharing of the store's limits where there is nobody to share them with.
 #[test]
 fn a_single_controller_does_all_the_work_also_after_it_has_ended() {
-    let mut world = World::sized(12, Trouble::default(), Size { controllers: 1, machines: 6 });
+    let mut world = World::with_size(12, Trouble::default(), ClusterSize { controllers: 1, machines: 6 });
     world.run(Micros::from_secs(5));
     for n in 0..4 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
@@ -119,7 +119,7 @@
     world.run(Micros::from_secs(30));
     world.crash(0);
     world.run(Micros::from_secs(200));
-    assert!(world.jobs.values().all(|j| j.told_final.is_some()), "{}", world.describe("j-000000"));
+    assert!(world.jobs.values().all(|j| j.known_final.is_some()), "{}", world.describe("j-000000"));
 }
 
 /// Guards against a task run twice: in a state outage an owner took a machine for silent that had been
@@ -135,8 +135,8 @@
     let lapses = |w: &World| w.controllers.iter().flatten().map(|c| c.counters.lapses).sum::<u64>();
     assert_eq!(lapses(&world), 0);
     let busy = world.workers.iter().find(|(_, w)| !w.tasks.is_empty()).unwrap().0.clone();
-    world.workers.get_mut(&busy).unwrap().cut_until = Micros::from_secs(90);
-    world.befalls(Spell::StoreDown, Micros::from_secs(50));
+    world.workers.get_mut(&busy).unwrap().partitioned_until = Micros::from_secs(90);
+    world.begin_fault(TimedFault::StoreDown, Micros::from_secs(50));
     world.run(Micros::from_secs(50));
     assert_eq!(lapses(&world), 0, "concluded without a word from the store");
     world.run(Micros::from_secs(60));
--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_lives.rs
@@ -21,8 +21,8 @@
     go(world, Micros::from_secs(60));
     let leader = world.leader().unwrap();
     let (back, slow) = ((leader + 1) % 3, (leader + 2) % 3);
-    world.passed_over = Some(slow);
-    world.befalls(Spell::StandsStill(slow), world.now + Micros::from_millis(2_500));
+    world.excluded_controller = Some(slow);
+    world.begin_fault(TimedFault::ControllerPaused(slow), world.now + Micros::from_millis(2_500));
     let announced = owned_by(back).next().unwrap();
     of_team(world, announced, "green", 2);
     go(world, Micros::from_secs(1));
@@ -39,26 +39,29 @@
     for seed in 300..312 {
         let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
         let (leader, back, slow) = confirmation_for_a_former_process(&mut world);
-        assert!(world.met.unasked_confirmations > 0, "seed {seed}: no confirmation came to a new process");
+        assert!(
+            world.coverage.unsolicited_confirmations > 0,
+            "seed {seed}: no confirmation came to a new process"
+        );
         // The new process cannot reach the member any more, nor the store to record that it goes on without it.
-        world.befalls(Spell::Apart(back, slow), world.now + Micros::from_secs(60));
+        world.begin_fault(TimedFault::Partitioned(back, slow), world.now + Micros::from_secs(60));
         go(&mut world, Micros::from_secs(3));
         let mut passing = passing_on(back, slow);
         let first = of_team(&mut world, passing.next().unwrap(), "blue", 20);
         let knows = |w: &World| w.controllers[back].as_ref().is_some_and(|c| c.jobs.contains_key(&first));
         assert!(until(&mut world, Micros::from_secs(3), knows), "seed {seed}");
-        world.befalls(Spell::StoreRefuses(back), world.now + Micros::from_secs(30));
+        world.begin_fault(TimedFault::StoreRefuses(back), world.now + Micros::from_secs(30));
         go(&mut world, Micros::from_secs(4));
         untold += there(&world, &first);
         // It ends, nobody reaches its machines with these tasks, and their job is withdrawn.
         let cut = world.now + Micros::from_secs(30);
         let on = |w: &Worker| w.tasks.keys().any(|t| t.job == first);
-        world.workers.values_mut().filter(|w| on(w)).for_each(|w| w.cut_until = cut);
+        world.workers.values_mut().filter(|w| on(w)).for_each(|w| w.partitioned_until = cut);
         world.crash_for(back, Micros::from_secs(40));
         ask_to_withdraw(&mut world, leader, &first);
         of_team(&mut world, passing.next().unwrap(), "blue", 40);
         go(&mut world, Micros::from_secs(14));
-        world.passed_over = None;
+        world.excluded_controller = None;
         finish(&mut world, seed);
     }
     assert_eq!(untold, 0, "tasks began of which a member had not been told");
@@ -101,7 +104,7 @@
         };
         // Asked once, so that answers count.
         world.controllers[back].as_mut().unwrap().witness_queries.record_query(Micros::ZERO);
-        world.tell(back, Event::Peer(witness.0, late));
+        world.deliver_event(back, Event::Peer(witness.0, late));
         let asker = world.controllers[back].as_ref().unwrap();
         assert_eq!(asker.unresolved_machine_count(), open, "seed {seed}: machines were accounted for by it");
         assert_eq!(asker.counters.replies_misdirected, 1, "seed {seed}");
@@ -109,9 +112,9 @@
 }
 
 /// New views are late, so that a controller that has joined again still reads its former registration's grants.
-fn late_views(t: &Transaction) -> Option<Fate> {
+fn late_views(t: &Transaction) -> Option<CommitFault> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::VIEW_KEY));
-    written.then_some(Fate::Late(Micros::from_secs(3)))
+    written.then_some(CommitFault::Delayed(Micros::from_secs(3)))
 }
 
 /// Guards takeovers against a worker's reply to an order of a former registration: it was taken for proof that all on the
@@ -123,7 +126,7 @@
         let leader = world.leader().unwrap();
         let rejoins = (leader + 1) % 3;
         let former = world.controllers[rejoins].as_ref().unwrap().incarnation();
-        world.fate_of = Some(late_views);
+        world.commit_fault = Some(late_views);
         let removed = vec![Write::delete(records::registration_key(&former.0))];
         world.store.commit(Transaction { conditions: Vec::new(), writes: removed });
         let again = |w: &World| {
@@ -136,9 +139,9 @@
             c.machines.iter().find(|(_, m)| (&m.row.owner, m.row.registration) == (&former.0, former.1));
         let (machine, token) =
             held.map(|(name, m)| (name.clone(), m.row.token)).expect("its machines are granted anew already");
-        let mut report = world.workers[&machine].report(&machine, world.now);
+        let mut report = world.workers[&machine].build_report(&machine, world.now);
         report.tally += 1;
-        world.tell(
+        world.deliver_event(
             rejoins,
             Event::WorkerReply {
                 machine: machine.clone(),
--- a/src/coordination/simulation/idle.rs
+++ b/src/coordination/simulation/idle.rs
@@ -48,12 +48,14 @@
 impl World {
     /// When the last trouble was over.
     fn calm_since(&self) -> Micros {
-        let calm = self.calm_after.max(self.spells_over).max(self.cloud_down).max(self.all_away);
-        let troubles = self
-            .workers
-            .values()
-            .filter(|w| !w.dead)
-            .flat_map(|w| [w.cut_until, w.hung_until, w.deaf_until, w.mute_until]);
+        let calm = self
+            .fault_free_from
+            .max(self.faults_end)
+            .max(self.cloud_down_until)
+            .max(self.controllers_down_until);
+        let troubles = self.workers.values().filter(|w| !w.dead).flat_map(|w| {
+            [w.partitioned_until, w.hung_until, w.not_receiving_until, w.reports_blocked_until]
+        });
         troubles.fold(calm, Micros::max)
     }
 
@@ -65,10 +67,14 @@
     fn room(&self) -> BTreeMap<String, Resources> {
         let answered = Micros::from_secs_f64(self.settings[0].params.workers.report_s * 3.0);
         let fit = self.workers.iter().filter(|(_, w)| {
-            !w.dead && !w.faulty && w.notice.is_none() && w.token > 0 && self.now.since(w.renewed) <= answered
+            !w.dead
+                && !w.faulty
+                && w.preempted_at.is_none()
+                && w.token > 0
+                && self.now.since(w.lease_renewed_at) <= answered
         });
         fit.map(|(name, w)| {
-            let kind = self.types.iter().find(|t| t.name == w.kind);
+            let kind = self.machine_types.iter().find(|t| t.name == w.kind);
             let supply = kind.map(MachineType::supply).unwrap_or_default();
             let tasks = w.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended);
             (name.clone(), tasks.fold(supply, |room, (id, _)| room.minus(self.need(id))))
@@ -79,7 +85,9 @@
     fn ordered(&self) -> Vec<Resources> {
         let teams = &self.settings[0].params.teams;
         let mut taken = vec![Resources::default(); teams.len()];
-        for (id, _) in self.holding().flat_map(|w| &w.tasks).filter(|(_, t)| t.state != TaskState::Ended) {
+        for (id, _) in
+            self.workers_within_lease().flat_map(|w| &w.tasks).filter(|(_, t)| t.state != TaskState::Ended)
+        {
             let Some(spec) = self.jobs.get(&id.job).and_then(|j| j.spec.as_ref()) else { continue };
             if let Some(team) = teams.iter().position(|t| t.name == spec.team) {
                 taken[team] = taken[team].plus(spec.need());
@@ -107,16 +115,16 @@
 
     /// How many tasks of a job have to be placed for it to go on, and how many others are in each zone; none where it
     /// has none to start.
-    fn waits_for(&self, id: &str, wish: &Wish) -> Option<(u64, BTreeMap<&str, u64>)> {
+    fn waits_for(&self, id: &str, wish: &UserJob) -> Option<(u64, BTreeMap<&str, u64>)> {
         let spec = wish.spec.as_ref()?;
-        let live = wish.told_accepted && wish.told_final.is_none() && !wish.refused;
+        let live = wish.known_accepted && wish.known_final.is_none() && !wish.rejected;
         // A mistaken job is tried ever more rarely, and nobody has any use for one that its user calls off.
-        if !live || wish.wants_withdrawal || self.mistaken.contains(id) {
+        if !live || wish.wants_withdrawal || self.broken_jobs.contains(id) {
             return None;
         }
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut settled = wish.tasks_done.clone();
-        for w in self.holding() {
+        let mut settled = wish.completed_tasks.clone();
+        for w in self.workers_within_lease() {
             for (task, _) in w.tasks.iter().filter(|(i, t)| i.job == id && t.state != TaskState::Ended) {
                 settled.insert(task.index);
                 *zones.entry(&w.zone).or_default() += 1;
@@ -159,36 +167,36 @@
     /// tasks to start for so long, none has begun, and what has been free all the while on machines takes one (of a
     /// gang, all that are missing) without its team's having come to its limit at any time.
     pub(super) fn check_idle(&mut self) {
-        if self.now < self.idle.next {
+        if self.now < self.neglect_monitor.next {
             return;
         }
-        self.idle.next = self.now + EVERY;
+        self.neglect_monitor.next = self.now + EVERY;
         if self.now < self.calm_since() {
-            self.idle.seen.clear();
-            self.idle.waiting.clear();
+            self.neglect_monitor.seen.clear();
+            self.neglect_monitor.waiting.clear();
             return;
         }
-        if self.idle.seen.len() == LOOKS {
-            self.idle.seen.pop_front();
+        if self.neglect_monitor.seen.len() == LOOKS {
+            self.neglect_monitor.seen.pop_front();
         }
         let waits = self.jobs.iter().filter_map(|(id, wish)| Some((id.clone(), self.waits_for(id, wish)?.0)));
         let missing: BTreeMap<String, u64> = waits.collect();
         let own = missing.keys().filter(|id| self.is_gang(id)).map(|id| (id.clone(), self.own(id))).collect();
         let seen = Seen { room: self.room(), taken: self.ordered(), missing, own };
-        self.idle.seen.push_back(seen);
+        self.neglect_monitor.seen.push_back(seen);
         let mut waiting = BTreeMap::new();
         let mut long = Vec::new();
         for (id, wish) in &self.jobs {
             let Some((count, there)) = self.waits_for(id, wish) else { continue };
-            let since = self.idle.waiting.get(id).copied().unwrap_or(self.now);
-            let since = if self.is_gang(id) { since } else { since.max(wish.begun) };
+            let since = self.neglect_monitor.waiting.get(id).copied().unwrap_or(self.now);
+            let since = if self.is_gang(id) { since } else { since.max(wish.last_task_start) };
             waiting.insert(id.clone(), since);
-            if self.now.since(since) >= PATIENCE && self.idle.seen.len() == LOOKS {
+            if self.now.since(since) >= PATIENCE && self.neglect_monitor.seen.len() == LOOKS {
                 long.push((id, wish, self.most_missing(id).max(count), there, since));
             }
         }
         if !long.is_empty() {
-            let looks = self.idle.seen.iter().map(|seen| (seen.room.clone(), seen.taken.clone()));
+            let looks = self.neglect_monitor.seen.iter().map(|seen| (seen.room.clone(), seen.taken.clone()));
             let (room, taken) = all_the_while(looks);
             for (id, wish, count, there, since) in &long {
                 let Some(spec) = &wish.spec else { continue };
@@ -199,8 +207,8 @@
                 assert!(!fits, "neglected: {}", reasons());
             }
         }
-        self.met.waits += long.len() as u32;
-        self.idle.waiting = waiting;
+        self.coverage.neglect_checks += long.len() as u32;
+        self.neglect_monitor.waiting = waiting;
     }
 
     /// The most tasks of a job that had to be placed at any look. A gang is ordered task by task, and what is missing at a
@@ -208,14 +216,15 @@
     /// a gang of four to be spread over two zones, with a machine in one of them until the second came up at 249 s; at
     /// the look of 250 s two of its tasks had been ordered there.
     fn most_missing(&self, id: &str) -> u64 {
-        self.idle.seen.iter().filter_map(|seen| seen.missing.get(id)).copied().max().unwrap_or(0)
+        self.neglect_monitor.seen.iter().filter_map(|seen| seen.missing.get(id)).copied().max().unwrap_or(0)
     }
 
     /// Whether all of a gang has fitted all the while, whatever parts of it were there at some looks.
     fn whole_gang_fits(&self, id: &str, spec: &JobSpec) -> bool {
         let teams = &self.settings[0].params.teams;
         let Some(team) = teams.iter().position(|t| t.name == spec.team) else { return false };
-        let (room, taken) = all_the_while(self.idle.seen.iter().map(|seen| seen.without(id, team)));
+        let (room, taken) =
+            all_the_while(self.neglect_monitor.seen.iter().map(|seen| seen.without(id, team)));
         let tasks = u64::from(spec.tasks);
         self.under_limit(spec, tasks, &taken) && self.fits_into(spec, tasks, &BTreeMap::new(), &room)
     }
@@ -280,19 +289,19 @@
 fn left_waiting(spec: JobSpec, befalls: fn(&mut World, &str, u64)) -> u32 {
     let mut world = World::new(5, Trouble { judges_neglect: true, ..Default::default() });
     world.queue.clear();
-    world.calm_after = Micros::ZERO;
+    world.fault_free_from = Micros::ZERO;
     let name = world.add_machine("g8", "east", false);
     let id = spec.id.clone();
-    world.jobs.insert(id, Wish { spec: Some(spec), told_accepted: true, ..Default::default() });
+    world.jobs.insert(id, UserJob { spec: Some(spec), known_accepted: true, ..Default::default() });
     for look in 0..24 {
         world.now = Micros::from_secs(30 + 5 * look);
         let now = world.now;
         let w = world.workers.get_mut(&name).unwrap();
-        (w.renewed, w.token) = (now, 1);
+        (w.lease_renewed_at, w.token) = (now, 1);
         befalls(&mut world, &name, look);
         world.check_idle();
     }
-    world.met.waits
+    world.coverage.neglect_checks
 }
 
 fn waiting(shape: Shape, tasks: u32, team: &str) -> JobSpec {
@@ -331,7 +340,17 @@
         w.tasks.remove(&task);
         if there {
             let state = TaskState::Waiting;
-            w.tasks.insert(task, Running { attempt: 1, state, cause, until, ordered, arrived: ordered });
+            w.tasks.insert(
+                task,
+                WorkerTask {
+                    attempt: 1,
+                    state,
+                    cause,
+                    state_until: until,
+                    ordered_at: ordered,
+                    arrived_at: ordered,
+                },
+            );
         }
     }
 }
@@ -358,7 +377,7 @@
         if look >= 20 {
             let now = world.now;
             let (name, w) = world.workers.iter_mut().find(|(_, w)| w.kind == "c16").unwrap();
-            (w.renewed, w.token) = (now, 1);
+            (w.lease_renewed_at, w.token) = (now, 1);
             let name = name.clone();
             put(world, &name, "j-000001", 0..2, true);
         }
@@ -383,13 +402,13 @@
     let begins = |world: &mut World, _: &str, look| {
         if look % 10 == 9 {
             let now = world.now;
-            world.jobs.values_mut().for_each(|w| w.begun = now);
+            world.jobs.values_mut().for_each(|w| w.last_task_start = now);
         }
     };
     assert_eq!(left_waiting(array.clone(), begins), 0, "a task begins now and then");
     let spell = |world: &mut World, _: &str, look| {
         if look == 8 {
-            world.spells_over = world.now + Micros(1);
+            world.faults_end = world.now + Micros(1);
         }
     };
     assert_eq!(left_waiting(array, spell), 0, "not calm for long enough");
@@ -398,13 +417,20 @@
         if look == 10 {
             let other = world.add_machine("c16", "west", false);
             let job = JobSpec { id: "j-000002".into(), cpus: 24.0, ..waiting(Shape::Array, 1, "red") };
-            world.jobs.insert(job.id.clone(), Wish { spec: Some(job.clone()), ..Default::default() });
+            world.jobs.insert(job.id.clone(), UserJob { spec: Some(job.clone()), ..Default::default() });
             let state = TaskState::Running;
             let (cause, until, ordered) = (None, Micros::MAX, Micros::ZERO);
-            let task = Running { attempt: 1, state, cause, until, ordered, arrived: ordered };
+            let task = WorkerTask {
+                attempt: 1,
+                state,
+                cause,
+                state_until: until,
+                ordered_at: ordered,
+                arrived_at: ordered,
+            };
             let now = world.now;
             let w = world.workers.get_mut(&other).unwrap();
-            w.renewed = now;
+            w.lease_renewed_at = now;
             w.tasks.insert(TaskId::new(&job.id, 0), task);
         }
     };
--- a/src/coordination/simulation/late_statuses.rs
+++ b/src/coordination/simulation/late_statuses.rs
@@ -47,13 +47,13 @@
     let mut seen = 0;
     for (seed, late) in (560..568).zip([500, 1_000, 2_000, 4_000].into_iter().cycle()) {
         let mut world = full(seed, 12);
-        world.runs_for = 3 * S..9 * S;
+        world.task_run_time = 3 * S..9 * S;
         let (holder, receiver) = holder_and_receiver(&world);
         let earlier = whole_status(&mut world, holder, receiver);
         world.run(world.now + Micros::from_millis(late));
         let begun = begun_since(&world, holder, receiver, &earlier);
         let from = world.settings[holder].member.clone();
-        world.tell(receiver, Event::Peer(from, PeerMessage::Status(earlier)));
+        world.deliver_event(receiver, Event::Peer(from, PeerMessage::Status(earlier)));
         let controller = world.controllers[receiver].as_ref().unwrap();
         for (machine, id) in &begun {
             let kept = controller.machines[machine].tasks.contains_key(id);
@@ -84,9 +84,9 @@
             requester_registration: status.registration,
             sequence: status.sequence,
         };
-        world.tell(recorder, Event::Peer(world.settings[by].member.clone(), seen));
+        world.deliver_event(recorder, Event::Peer(world.settings[by].member.clone(), seen));
     }
-    world.tell(asker, Event::Peer(from, PeerMessage::Status(status)));
+    world.deliver_event(asker, Event::Peer(from, PeerMessage::Status(status)));
     let controller = world.controllers[recorder].as_ref().unwrap();
     let unaware = world.controllers[other].as_ref().unwrap();
     unaware.jobs.keys().filter(|id| controller.final_states.get(id).is_some()).count()
@@ -99,7 +99,7 @@
     let mut met = 0;
     for seed in 570..582 {
         let mut world = full(seed, 0);
-        world.runs_for = S..3 * S;
+        world.task_run_time = S..3 * S;
         for n in 0..40 {
             let spec = array(&mut world, n, 1);
             world.submit(spec);
--- a/src/coordination/simulation/limits.rs
+++ b/src/coordination/simulation/limits.rs
@@ -8,11 +8,18 @@
     let name = world.add_machine("g8", "east", false);
     let job = JobSpec { shape: Shape::Array, tasks: 5, cpus: 1.0, gpus: 1.0, ..world.random_job(4) };
     assert_eq!(job.team, "red");
-    world.jobs.insert(job.id.clone(), Wish { spec: Some(job.clone()), ..Default::default() });
+    world.jobs.insert(job.id.clone(), UserJob { spec: Some(job.clone()), ..Default::default() });
     for index in 0..5 {
         let state = [TaskState::Running, TaskState::Waiting, TaskState::Saving][index as usize % 3];
         let (ordered, arrived) = (Micros::ZERO, Micros::ZERO);
-        let task = Running { attempt: 1, state, cause: None, until: Micros::MAX, ordered, arrived };
+        let task = WorkerTask {
+            attempt: 1,
+            state,
+            cause: None,
+            state_until: Micros::MAX,
+            ordered_at: ordered,
+            arrived_at: arrived,
+        };
         world.workers.get_mut(&name).unwrap().tasks.insert(TaskId::new(&job.id, index), task);
     }
     befalls(&mut world, &name);
@@ -27,7 +34,7 @@
 #[test]
 #[should_panic(expected = "quota: red takes (5000, 5000)")]
 fn a_team_that_takes_more_accelerators_than_its_limit_is_a_fault() {
-    too_many(|_, _| {}).check();
+    too_many(|_, _| {}).check_rules();
 }
 
 /// Guards the judge of limits: nobody can ask the machine, and the job was withdrawn.
@@ -35,14 +42,14 @@
 #[should_panic(expected = "quota: red takes (5000, 5000)")]
 fn withdrawn_tasks_on_a_hung_machine_that_nobody_reaches_count_within_its_lease() {
     let hung = |world: &mut World, name: &str| {
-        let lease = world.lease();
+        let lease = world.worker_lease();
         let w = worker(world, name);
-        (w.cut_until, w.hung_until, w.deaf_until) = (Micros::MAX, Micros::MAX, Micros::MAX);
-        let now = w.renewed + lease;
+        (w.partitioned_until, w.hung_until, w.not_receiving_until) = (Micros::MAX, Micros::MAX, Micros::MAX);
+        let now = w.lease_renewed_at + lease;
         world.now = now;
-        world.jobs.values_mut().for_each(|w| w.told_final = Some((FinalState::Withdrawn, now)));
+        world.jobs.values_mut().for_each(|w| w.known_final = Some((FinalState::Withdrawn, now)));
     };
-    too_many(hung).check();
+    too_many(hung).check_rules();
 }
 
 /// What is not there does not count: tasks without their image, and tasks of machines that are dead, or past their
@@ -55,16 +62,16 @@
     };
     let dead = |world: &mut World, name: &str| worker(world, name).dead = true;
     let lapsed = |world: &mut World, name: &str| {
-        let lease = world.lease();
+        let lease = world.worker_lease();
         let w = worker(world, name);
         w.hung_until = Micros::MAX;
-        let now = w.renewed + lease + Micros(1);
+        let now = w.lease_renewed_at + lease + Micros(1);
         world.now = now;
     };
     for befalls in [fetching as fn(&mut World, &str), dead, lapsed] {
         let mut world = too_many(befalls);
-        world.check();
-        assert!(world.met.peaks[2].1 <= 4_000);
+        world.check_rules();
+        assert!(world.coverage.peak_usage[2].1 <= 4_000);
     }
 }
 
@@ -83,7 +90,7 @@
     };
     let mut peaks = vec![(0, 0); 3];
     for seed in 20_100..20_104 {
-        let mut world = World::sized(seed, trouble, Size { controllers: 3, machines: 24 });
+        let mut world = World::with_size(seed, trouble, ClusterSize { controllers: 3, machines: 24 });
         for n in 0..20 {
             world.add_machine(["c16", "g8"][n % 2], ["east", "west"][n % 4 / 2], false);
         }
@@ -101,13 +108,13 @@
                 ..job
             });
             world.run(world.now + Micros::from_secs(3));
-            let share = world.trouble.withdrawn;
-            if world.odds(share) {
+            let share = world.fault_profile.withdrawn;
+            if world.chance(share) {
                 let id = format!("j-{:06}", n / 2);
                 world.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
             }
         }
-        for (all, one) in peaks.iter_mut().zip(&world.met.peaks) {
+        for (all, one) in peaks.iter_mut().zip(&world.coverage.peak_usage) {
             *all = (all.0.max(one.0), all.1.max(one.1));
         }
     }
--- a/src/coordination/simulation/measure.rs
+++ b/src/coordination/simulation/measure.rs
@@ -3,21 +3,21 @@
 use super::*;
 
 /// What an end of controllers costs, from the end on, in seconds.
-struct Cost {
+struct TakeoverCost {
     /// Until every controller has the view without, or with the new lives of, those that ended.
-    view: f64,
+    view_s: f64,
     /// Until the first and the last job that changed hands may be started again.
-    first: f64,
-    last: f64,
+    first_takeover_s: f64,
+    last_takeover_s: f64,
     /// Tasks waiting in such jobs, times how long.
-    held: f64,
+    waiting_task_s: f64,
     /// Changes of the store in the ten seconds from the end on, beyond those of the ten before.
-    changes: i64,
+    extra_writes: i64,
 }
 
 /// Who ends, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Ended {
+enum CrashScenario {
     /// One stays away.
     One,
     /// One is back after 0.3 s.
@@ -27,8 +27,8 @@
 }
 
 /// A loaded cluster in which a hundredth of the machines dies, and a second later controllers end.
-fn takeover(machines: usize, controllers: usize, ended: Ended) -> Cost {
-    let mut world = World::sized(9, Trouble::default(), Size { controllers, machines });
+fn takeover(machines: usize, controllers: usize, ended: CrashScenario) -> TakeoverCost {
+    let mut world = World::with_size(9, Trouble::default(), ClusterSize { controllers, machines });
     // Limits as a deployment of this size has them.
     for settings in &mut world.settings {
         settings.params.state.rps = 300.0;
@@ -57,33 +57,39 @@
     world.run(Micros::from_secs(51));
     let start = world.now;
     match ended {
-        Ended::All => (0..controllers).for_each(|n| world.crash(n)),
-        Ended::Back => world.crash_for(controllers - 1, Micros::from_millis(300)),
-        Ended::One => {
+        CrashScenario::All => (0..controllers).for_each(|n| world.crash(n)),
+        CrashScenario::Back => world.crash_for(controllers - 1, Micros::from_millis(300)),
+        CrashScenario::One => {
             world.controllers[controllers - 1] = None;
-            world.lives[controllers - 1] += 1;
+            world.incarnations[controllers - 1] += 1;
         }
     }
-    let all = ended == Ended::All;
+    let all = ended == CrashScenario::All;
     let old: Vec<(String, u64)> =
         world.controllers.iter().flatten().next().map_or_else(Vec::new, |c| c.view.members.clone());
-    let count = if ended == Ended::One { controllers - 1 } else { controllers };
+    let count = if ended == CrashScenario::One { controllers - 1 } else { controllers };
     let before = world.store.log.len() as i64;
-    let mut cost = Cost { view: 0.0, first: 0.0, last: 0.0, held: 0.0, changes: 0 };
+    let mut cost = TakeoverCost {
+        view_s: 0.0,
+        first_takeover_s: 0.0,
+        last_takeover_s: 0.0,
+        waiting_task_s: 0.0,
+        extra_writes: 0,
+    };
     let step = Micros::from_millis(50);
     while world.now.since(start) < Micros::from_secs(30) {
         world.run(world.now + step);
         let passed = world.now.since(start).as_secs_f64();
         if world.now.since(start) == Micros::from_secs(10) {
-            cost.changes = world.store.log.len() as i64 - before - usual;
+            cost.extra_writes = world.store.log.len() as i64 - before - usual;
         }
         let up: Vec<&Controller> = world.controllers.iter().flatten().collect();
         let viewed = up.len() == count
             && up.iter().all(|c| c.view.members != old && c.view.members.len() == count && c.in_view());
-        if viewed && cost.view == 0.0 {
-            cost.view = passed;
+        if viewed && cost.view_s == 0.0 {
+            cost.view_s = passed;
         }
-        if cost.view == 0.0 {
+        if cost.view_s == 0.0 {
             continue;
         }
         let mine = |c: &Controller| -> Vec<(bool, u32)> {
@@ -92,13 +98,13 @@
         };
         let jobs: Vec<(bool, u32)> = up.iter().flat_map(|c| mine(c)).collect();
         let waiting: u32 = jobs.iter().filter(|j| j.0).map(|j| j.1).sum();
-        cost.held += f64::from(waiting) * step.as_secs_f64();
+        cost.waiting_task_s += f64::from(waiting) * step.as_secs_f64();
         let free = jobs.iter().any(|j| !j.0);
-        if cost.first == 0.0 && free && (!all || jobs.len() > 1) {
-            cost.first = passed;
+        if cost.first_takeover_s == 0.0 && free && (!all || jobs.len() > 1) {
+            cost.first_takeover_s = passed;
         }
-        if cost.last == 0.0 && jobs.iter().all(|j| !j.0) {
-            cost.last = passed;
+        if cost.last_takeover_s == 0.0 && jobs.iter().all(|j| !j.0) {
+            cost.last_takeover_s = passed;
         }
     }
     cost
@@ -109,11 +115,11 @@
 fn measure_takeovers() {
     println!("machines ended view_s first_s last_s held_task_s changes");
     for machines in [100, 500, 1_400, 2_100] {
-        for ended in [Ended::One, Ended::Back, Ended::All] {
+        for ended in [CrashScenario::One, CrashScenario::Back, CrashScenario::All] {
             let c = takeover(machines, 7, ended);
             println!(
                 "{machines} {ended:?} {:.2} {:.2} {:.2} {:.0} {}",
-                c.view, c.first, c.last, c.held, c.changes
+                c.view_s, c.first_takeover_s, c.last_takeover_s, c.waiting_task_s, c.extra_writes
             );
         }
     }
--- a/src/coordination/simulation/meetings.rs
+++ b/src/coordination/simulation/meetings.rs
@@ -20,16 +20,17 @@
 
 /// Withdraws the jobs that this controller owns by way of others; how many withdrawals they recorded, and confirmed.
 fn withdraw_elsewhere(world: &mut World, leader: usize, length: Micros) -> (usize, usize) {
-    world.passed_over = Some(leader);
+    world.excluded_controller = Some(leader);
     let c = world.controllers[leader].as_ref().unwrap();
     for (id, wish) in &mut world.jobs {
         wish.wants_withdrawal |= c.owner_of(id).as_deref() == Some(c.own_name());
     }
     world.run(world.now + length);
-    world.passed_over = None;
-    let told =
-        |w: &&Wish| w.told_final.is_some_and(|(f, _)| f == FinalState::Withdrawn) && w.told_by != leader;
-    (world.store.withdrawn.len(), world.jobs.values().filter(told).count())
+    world.excluded_controller = None;
+    let told = |w: &&UserJob| {
+        w.known_final.is_some_and(|(f, _)| f == FinalState::Withdrawn) && w.final_state_from != leader
+    };
+    (world.store.withdrawals.len(), world.jobs.values().filter(told).count())
 }
 
 /// Guards withdrawals, also against being confirmed too soon, from a controller that acts on old knowledge: the store refuses the leader alone, another
@@ -43,26 +44,32 @@
         let mut world = full(seed, 12);
         let leader = world.leader().unwrap();
         let refused = Micros(world.rng.random_range(3 * S..13 * S));
-        world.befalls(Spell::StoreRefuses(leader), world.now + refused);
+        world.begin_fault(TimedFault::StoreRefuses(leader), world.now + refused);
         // Peers that can say what is over are as far away as the store in half of the runs.
         if seed % 2 == 0 {
-            world.befalls(Spell::Apart(leader, (leader + 1) % 3), world.now + Micros::from_secs(80));
-            world.befalls(Spell::Apart(leader, (leader + 2) % 3), world.now + Micros::from_secs(80));
+            world.begin_fault(
+                TimedFault::Partitioned(leader, (leader + 1) % 3),
+                world.now + Micros::from_secs(80),
+            );
+            world.begin_fault(
+                TimedFault::Partitioned(leader, (leader + 2) % 3),
+                world.now + Micros::from_secs(80),
+            );
         }
         let (recorded, confirmed) = withdraw_elsewhere(&mut world, leader, Micros::from_millis(2_500));
         assert!(recorded > 0, "seed {seed}: no withdrawal was recorded by another");
         // One that the leader cannot know of is confirmed when it is silent, and not before.
         assert_eq!(confirmed == 0, seed % 2 == 0, "seed {seed}: {confirmed} of {recorded} were confirmed");
         let down = world.now;
-        world.befalls(Spell::StoreDown, down + Micros::from_secs(69));
+        world.begin_fault(TimedFault::StoreDown, down + Micros::from_secs(69));
         let back = down + Micros::from_secs(69);
-        world.will_befall(back, Spell::WatchHangs(leader), Micros::from_secs(8));
+        world.schedule_fault(back, TimedFault::WatchHangs(leader), Micros::from_secs(8));
         world.run(down + Micros::from_secs(100));
-        world.calm_after = world.now;
+        world.fault_free_from = world.now;
         world.run(world.now + Micros::from_secs(20));
-        longest = longest.max(world.met.outlived);
-        let told = |id| world.jobs[id].told_final.is_some();
-        assert!(world.store.withdrawn.keys().all(told), "seed {seed}: withdrawals that nobody was told of");
+        longest = longest.max(world.coverage.max_run_after_withdrawal);
+        let told = |id| world.jobs[id].known_final.is_some();
+        assert!(world.store.withdrawals.keys().all(told), "seed {seed}: withdrawals that nobody was told of");
     }
     // Workers keep reporting to the old leader, so something does live on until its lease and theirs are over.
     eprintln!("longest that a task outlived the record of its withdrawal: {longest:?}");
@@ -79,12 +86,14 @@
         let mut world = full(seed, 12);
         let leader = world.leader().unwrap();
         let start = world.now;
-        world.befalls(Spell::StoreRefuses(leader), start + Micros::from_secs(14));
-        (0..3).for_each(|n| world.befalls(Spell::Apart(leader, n), start + Micros::from_secs(3)));
+        world.begin_fault(TimedFault::StoreRefuses(leader), start + Micros::from_secs(14));
+        (0..3).for_each(|n| {
+            world.begin_fault(TimedFault::Partitioned(leader, n), start + Micros::from_secs(3))
+        });
         let (recorded, _) = withdraw_elsewhere(&mut world, leader, Micros::from_millis(2_500));
         assert!(recorded > 0, "seed {seed}: no withdrawal was recorded by another");
-        world.passed_over = Some(leader);
-        let over: BTreeSet<String> = world.store.withdrawn.keys().cloned().collect();
+        world.excluded_controller = Some(leader);
+        let over: BTreeSet<String> = world.store.withdrawals.keys().cloned().collect();
         let running = |w: &World| {
             let tasks = w.workers.values().flat_map(|w| &w.tasks);
             tasks.filter(|(id, t)| over.contains(&id.job) && t.state == TaskState::Running).count()
@@ -102,7 +111,7 @@
 #[test]
 fn what_is_read_behind_ones_own_end_is_not_taken_into_the_next_life() {
     let mut world = full(3, 2);
-    let (node, life) = (1, world.lives[1]);
+    let (node, life) = (1, world.incarnations[1]);
     let me = world.settings[node].member.clone();
     let c = world.controllers[node].as_ref().unwrap();
     let (after, mine) = (c.applied_revision, c.incarnation().1);
@@ -120,7 +129,7 @@
     let c = world.controllers[node].as_mut().unwrap();
     c.handle_follow_reply(c.now, news);
     assert_eq!((c.jobs.len(), c.applied_revision), (0, 0), "changes of no life are kept");
-    assert_eq!(world.lives[node], life);
+    assert_eq!(world.incarnations[node], life);
 }
 
 /// Guards the gap's other forms: two controllers are refused; one is refused twice; one ends inside and is back at
@@ -133,28 +142,28 @@
             let leader = world.leader().unwrap();
             let other = (leader + 1) % 3;
             let start = world.now;
-            world.befalls(Spell::StoreRefuses(leader), start + Micros::from_secs(9));
+            world.begin_fault(TimedFault::StoreRefuses(leader), start + Micros::from_secs(9));
             match form {
-                0 => world.befalls(Spell::StoreRefuses(other), start + Micros::from_secs(9)),
+                0 => world.begin_fault(TimedFault::StoreRefuses(other), start + Micros::from_secs(9)),
                 1 => {
                     let from = start + Micros::from_secs(40);
-                    world.will_befall(from, Spell::StoreRefuses(leader), Micros::from_secs(30));
+                    world.schedule_fault(from, TimedFault::StoreRefuses(leader), Micros::from_secs(30));
                 }
                 _ => {}
             }
             let (_, confirmed) = withdraw_elsewhere(&mut world, leader, Micros::from_secs(3));
             assert!(confirmed > 0, "form {form}, seed {seed}: nothing was confirmed by another");
             let (down, length) = (world.now, Micros::from_secs(30));
-            world.befalls(Spell::StoreDown, down + length);
+            world.begin_fault(TimedFault::StoreDown, down + length);
             // It is back for a second, or until the second refusal is over.
             let again = down + length + Micros::from_secs(if form == 3 { 1 } else { 8 });
-            world.will_befall(again, Spell::StoreDown, Micros::from_secs(40));
+            world.schedule_fault(again, TimedFault::StoreDown, Micros::from_secs(40));
             if form == 2 {
                 world.run(down + Micros::from_secs(10));
                 world.crash_for(leader, Micros::from_millis(300));
             }
             world.run(again + Micros::from_secs(60));
-            world.all_over(400, &format!("form {form}, seed {seed}"));
+            world.expect_all_jobs_to_end(400, &format!("form {form}, seed {seed}"));
         }
     }
 }
@@ -165,7 +174,7 @@
 fn jobs_whose_tasks_end_far_apart_outlive_changes_of_leader() {
     for seed in 40..48 {
         let mut world = World::new(seed, Trouble::default());
-        (world.far_apart, world.runs_for) = (true, 20 * S..40 * S);
+        (world.first_task_short, world.task_run_time) = (true, 20 * S..40 * S);
         for _ in 0..14 {
             world.add_machine("c16", ["east", "west"][seed as usize % 2], false);
         }
@@ -177,8 +186,9 @@
         }
         world.run(Micros::from_secs(24));
         let partly = |w: &World| {
-            let begun = |w: &&Wish| {
-                !w.tasks_done.is_empty() && w.tasks_done.len() < w.spec.as_ref().unwrap().tasks as usize
+            let begun = |w: &&UserJob| {
+                !w.completed_tasks.is_empty()
+                    && w.completed_tasks.len() < w.spec.as_ref().unwrap().tasks as usize
             };
             w.jobs.values().filter(begun).count()
         };
@@ -188,9 +198,13 @@
             world.crash_for(leader, Micros::from_secs(if seed % 2 == 0 { 1 } else { 25 }));
             world.run(world.now + Micros::from_secs(7));
         }
-        world.all_over(400, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
         // A completion that nobody had recorded when its controller ended may be lost with it.
-        assert!(world.met.done_again <= 2, "seed {seed}: {} tasks ran again", world.met.done_again);
+        assert!(
+            world.coverage.restarts_after_completion <= 2,
+            "seed {seed}: {} tasks ran again",
+            world.coverage.restarts_after_completion
+        );
     }
 }
 
@@ -202,7 +216,7 @@
     for seed in 60..68 {
         let trouble = Trouble { late_writes: 0.3, crash: 0.03, withdrawn: 0.4, ..Default::default() };
         let world = super::troubles::play(seed, trouble);
-        late += world.met.late_commits;
+        late += world.coverage.late_commits;
         let open: Vec<_> =
             world.store.keys.keys().filter(|key| key.starts_with(records::RENTALS_PREFIX)).collect();
         assert!(open.is_empty(), "seed {seed}: rentals that nobody closes: {open:?}");
@@ -238,7 +252,7 @@
             }
             world.run(world.now + Micros::from_secs(6));
         }
-        world.all_over(400, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
     }
 }
 
@@ -248,14 +262,14 @@
 fn a_slow_store_makes_no_answer_older_than_what_was_said() {
     for seed in 100..108 {
         let mut world = full(seed, 90);
-        world.befalls(Spell::StoreSlow, world.now + Micros::from_secs(60));
+        world.begin_fault(TimedFault::StoreSlow, world.now + Micros::from_secs(60));
         for round in 0..6 {
             for wish in world.jobs.values_mut().skip(round).step_by(6) {
                 wish.wants_withdrawal = true;
             }
             world.run(world.now + Micros::from_secs(4));
         }
-        world.all_over(400, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
     }
 }
 
@@ -268,18 +282,18 @@
         let mut world = full(seed, 12);
         let leader = world.leader().unwrap();
         let length = Micros::from_secs([8, 20, 45, 70][seed as usize % 4]);
-        world.befalls(Spell::Isolated(leader), world.now + length);
+        world.begin_fault(TimedFault::Isolated(leader), world.now + length);
         if seed % 2 == 1 {
             let from = world.now + Micros::from_secs(4);
-            world.will_befall(from, Spell::StandsStill(leader), Micros::from_secs(9));
+            world.schedule_fault(from, TimedFault::ControllerPaused(leader), Micros::from_secs(9));
         }
         let (recorded, confirmed) = withdraw_elsewhere(&mut world, leader, Micros::from_secs(4));
         assert!(recorded > 0, "seed {seed}: nothing was withdrawn through another");
         assert_eq!(confirmed, 0, "seed {seed}: confirmed while the old leader may act and cannot know");
-        world.passed_over = None;
+        world.excluded_controller = None;
         world.run(world.now + length);
-        world.all_over(400, &format!("seed {seed}"));
-        late += world.met.late_words;
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
+        late += world.coverage.late_peer_messages;
     }
     assert!(late > 50, "only {late} words came late");
 }
@@ -288,7 +302,7 @@
 /// nothing, with machines that are back at once.
 #[test]
 fn reports_of_earlier_sessions_prove_nothing_to_anybody() {
-    let mut met = Met::default();
+    let mut met = Coverage::default();
     for seed in 140..146 {
         let trouble = Trouble {
             copies: 0.5,
@@ -300,10 +314,10 @@
             ..Default::default()
         };
         let world = super::troubles::play(seed, trouble);
-        met.late_copies += world.met.late_copies;
-        met.earlier_sessions += world.met.earlier_sessions;
+        met.late_duplicates += world.coverage.late_duplicates;
+        met.duplicates_of_earlier_sessions += world.coverage.duplicates_of_earlier_sessions;
     }
-    assert!(met.late_copies > 1_000 && met.earlier_sessions > 100, "{met:?}");
+    assert!(met.late_duplicates > 1_000 && met.duplicates_of_earlier_sessions > 100, "{met:?}");
 }
 
 /// Guards against a leader that ends while machines with long tasks cannot be reached, or do not hear the new one: what
@@ -313,7 +327,7 @@
     let mut out_of_reach = 0;
     for seed in 160..168 {
         let mut world = full(seed, 6);
-        world.runs_for = 60 * S..120 * S;
+        world.task_run_time = 60 * S..120 * S;
         world.run(world.now + Micros::from_secs(25));
         let leader = world.leader().unwrap();
         let c = world.controllers[leader].as_ref().unwrap();
@@ -322,7 +336,7 @@
         for name in &held {
             let Some(w) = world.workers.get_mut(name) else { continue };
             out_of_reach += w.tasks.len();
-            if seed % 2 == 0 { w.cut_until = until } else { w.deaf_until = until }
+            if seed % 2 == 0 { w.partitioned_until = until } else { w.not_receiving_until = until }
         }
         world.run(world.now + Micros::from_secs(1));
         world.crash_for(leader, Micros::from_secs(if seed < 164 { 90 } else { 1 }));
@@ -331,8 +345,8 @@
             wish.wants_withdrawal = true;
         }
         world.run(world.now + Micros::from_secs(80));
-        world.runs_for = S..2 * S;
-        world.all_over(400, &format!("seed {seed}"));
+        world.task_run_time = S..2 * S;
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
     }
     assert!(out_of_reach > 100, "only {out_of_reach} tasks were out of reach when their leader ended");
 }
@@ -345,7 +359,7 @@
     for seed in 180..188 {
         let trouble =
             Trouble { held_up: 0.3, machine_hangs: 0.1, crash: 0.02, withdrawn: 0.5, ..Default::default() };
-        late += super::troubles::play(seed, trouble).met.late_orders;
+        late += super::troubles::play(seed, trouble).coverage.late_orders;
     }
     assert!(late > 10, "only {late} orders were carried out late");
 }
--- a/src/coordination/simulation/meetings_apart.rs
+++ b/src/coordination/simulation/meetings_apart.rs
@@ -17,8 +17,8 @@
 /// away, of which the former holder hears late.
 fn given_away_while_addressed(seed: u64) -> World {
     let mut world = World::new(seed, Trouble::default());
-    world.starts_take = 150 * MS..600 * MS;
-    world.runs_for = 3 * S..10 * S;
+    world.start_order_delay = 150 * MS..600 * MS;
+    world.task_run_time = 3 * S..10 * S;
     for _ in 0..14 {
         world.add_machine("c16", "east", false);
     }
@@ -42,22 +42,22 @@
         for name in &names {
             moved.insert(name.clone(), now);
             if let Some(w) = world.workers.get_mut(name) {
-                w.next_report = now;
+                w.next_report_at = now;
             }
-            world.at(now, Happening::Worker(name.clone()));
+            world.schedule_at(now, SimEvent::WorkerTurn(name.clone()));
         }
         // By then the reports have been answered.
         world.run(now + Micros::from_millis(40));
         // The new holder's words come late to the former one, and so does the change itself.
         let to = (loser + 1 + usize::from(world.rng.random_bool(0.5))) % 3;
         let late = Micros(world.rng.random_range(300 * MS..700 * MS));
-        world.befalls(Spell::Apart(loser, to), world.now + Micros::from_millis(1_500));
-        world.befalls(Spell::WatchHangs(loser), world.now + late);
+        world.begin_fault(TimedFault::Partitioned(loser, to), world.now + Micros::from_millis(1_500));
+        world.begin_fault(TimedFault::WatchHangs(loser), world.now + late);
         let to = world.settings[to].member.clone();
         let moves = names.into_iter().map(|name| (name, to.clone())).collect();
         world.controllers[leader].as_mut().unwrap().grant(moves, Vec::new(), BTreeSet::new(), None);
     }
-    world.all_over(300, &format!("seed {seed}"));
+    world.expect_all_jobs_to_end(300, &format!("seed {seed}"));
     world
 }
 
@@ -68,7 +68,7 @@
 fn a_start_that_came_with_an_answer_is_there_though_the_call_was_rejected() {
     let mut met = 0;
     for seed in 0..6 {
-        met += given_away_while_addressed(seed).met.rejected_but_there;
+        met += given_away_while_addressed(seed).coverage.rejected_but_started;
     }
     assert!(met > 30, "met {met} times");
     eprintln!("{met} calls rejected whose starts were there");
--- a/src/coordination/simulation/meetings_handover.rs
+++ b/src/coordination/simulation/meetings_handover.rs
@@ -15,7 +15,7 @@
         let start = world.now;
         let outage = start + Micros::from_secs(30);
         if seed % 2 == 1 {
-            world.will_befall(outage, Spell::StoreDown, Micros::from_secs(25));
+            world.schedule_fault(outage, TimedFault::StoreDown, Micros::from_secs(25));
         }
         let (before, mut ends, mut inside) = (world.store.revision, 0, 0);
         let mut led = None;
@@ -27,7 +27,7 @@
             let away = Micros::from_millis([300, 4_000, 9_000][ends % 3]);
             world.crash_for(leader, away);
             ends += 1;
-            inside += usize::from(world.under(Spell::StoreDown));
+            inside += usize::from(world.is_active(TimedFault::StoreDown));
             for (i, id) in running(&world).iter().step_by(3).enumerate() {
                 ask_to_withdraw(&mut world, (leader + 1 + i % 2) % 3, id);
             }
@@ -41,9 +41,9 @@
             "seed {seed}: {leaders} leaders"
         );
         assert!(seed % 2 == 0 || inside >= 2, "seed {seed}: {inside} ends inside the outage");
-        world.runs_for = S..3 * S;
+        world.task_run_time = S..3 * S;
         go(&mut world, Micros::from_secs(60));
-        world.all_over(500, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(500, &format!("seed {seed}"));
     }
 }
 
@@ -70,9 +70,9 @@
 }
 
 /// Grants with a new view are late, so that there is time between an eviction and the grant that follows it.
-fn late_views(t: &Transaction) -> Option<Fate> {
+fn late_views(t: &Transaction) -> Option<CommitFault> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::VIEW_KEY));
-    written.then_some(Fate::Late(Micros::from_millis(700)))
+    written.then_some(CommitFault::Delayed(Micros::from_millis(700)))
 }
 
 /// One controller's work changes hands, and its jobs are withdrawn: before its eviction, between that and the grant, or
@@ -101,23 +101,23 @@
     let c = world.controllers[old].as_ref().unwrap();
     let held: Vec<String> = c.machines.iter().filter(|m| c.owns(m.1)).map(|m| m.0.clone()).collect();
     // It does not read of its end for a while, and its machines are out of reach for as long or longer.
-    world.befalls(Spell::WatchHangs(old), world.now + Micros::from_secs(4));
+    world.begin_fault(TimedFault::WatchHangs(old), world.now + Micros::from_secs(4));
     for (i, name) in held.iter().enumerate() {
         let until = world.now + Micros::from_secs(if phase == 2 { 3 } else { [0, 8, 12][i % 3] });
         let w = world.workers.get_mut(name).unwrap();
-        if (i + seed as usize).is_multiple_of(2) { w.cut_until = until } else { w.hung_until = until }
+        if (i + seed as usize).is_multiple_of(2) { w.partitioned_until = until } else { w.hung_until = until }
     }
-    let (view, life) = (viewed(&world), world.lives[old]);
+    let (view, life) = (viewed(&world), world.incarnations[old]);
     let mut evicted = 0;
     if phase > 0 {
-        world.fate_of = (phase == 1).then_some(late_views);
+        world.commit_fault = (phase == 1).then_some(late_views);
         evicted = evict(&mut world, old);
     }
     if phase == 2 {
         assert!(until(&mut world, Micros::from_secs(5), |w| viewed(w) > view), "seed {seed}: no new view");
     }
     let unaware =
-        world.lives[old] == life && world.controllers[old].as_ref().is_some_and(Controller::entitled);
+        world.incarnations[old] == life && world.controllers[old].as_ref().is_some_and(Controller::entitled);
     let left = all(&world);
     ids.iter().for_each(|id| ask_to_withdraw(&mut world, by, id));
     if phase == 0 {
@@ -144,7 +144,11 @@
     let met = ids.iter().filter(in_time).count();
     go(&mut world, Micros::from_secs(40));
     for id in &ids {
-        assert!(world.jobs[id].told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+        assert!(
+            world.jobs[id].known_final.is_some(),
+            "seed {seed}: {id} is not over\n{}",
+            world.describe(id)
+        );
     }
     finish(&mut world, seed);
     (met, left)
@@ -176,14 +180,16 @@
         let (mut world, _) = at_their_limits(seed);
         let leader = world.leader().unwrap();
         if seed % 2 == 0 {
-            world.befalls(Spell::StoreSlow, world.now + Micros::from_secs(12));
+            world.begin_fault(TimedFault::StoreSlow, world.now + Micros::from_secs(12));
             go(&mut world, Micros::from_secs(8));
         }
         let ids = running(&world);
         let refused = Micros::from_secs([2, 6, 15][seed as usize % 3]);
-        world.befalls(Spell::StoreRefuses(leader), world.now + refused);
+        world.begin_fault(TimedFault::StoreRefuses(leader), world.now + refused);
         if seed % 3 == 0 {
-            (0..3).for_each(|n| world.befalls(Spell::Apart(leader, n), world.now + Micros::from_secs(60)));
+            (0..3).for_each(|n| {
+                world.begin_fault(TimedFault::Partitioned(leader, n), world.now + Micros::from_secs(60))
+            });
         }
         for (i, id) in ids.iter().enumerate() {
             ask_to_withdraw(&mut world, (leader + i % 3) % 3, id);
@@ -193,20 +199,20 @@
         before += done.len();
         left += done.iter().map(|id| there(&world, id)).sum::<usize>();
         let away = Micros(world.rng.random_range(36 * S..70 * S));
-        world.befalls(Spell::StoreDown, world.now + away);
+        world.begin_fault(TimedFault::StoreDown, world.now + away);
         let open = ids.len() - done.len();
         go(&mut world, away + Micros::from_secs(30));
         after += open;
         for id in &ids {
             assert!(
-                world.jobs[id].told_final.is_some(),
+                world.jobs[id].known_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
                 world.describe(id)
             );
         }
-        world.runs_for = S..3 * S;
+        world.task_run_time = S..3 * S;
         go(&mut world, Micros::from_secs(60));
-        world.all_over(500, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(500, &format!("seed {seed}"));
     }
     eprintln!(
         "{before} withdrawals recorded before the outage, {after} after it; {left} tasks ran when it began"
--- a/src/coordination/simulation/meetings_jobs.rs
+++ b/src/coordination/simulation/meetings_jobs.rs
@@ -65,7 +65,10 @@
             most("starved", lead.starved.len() + lead.unplaced.len());
         }
         // Questions that wait for an answer: nobody does for longer than a store that says nothing is waited for.
-        let open = world.requests.keys().filter(|(n, life, _)| (*n, *life) == (node, world.lives[node]));
+        let open = world
+            .pending_requests
+            .keys()
+            .filter(|(n, life, _)| (*n, *life) == (node, world.incarnations[node]));
         most("requests open", open.count());
     }
     let under = |prefix: &str| world.store.keys.keys().filter(|key| key.starts_with(prefix)).count();
@@ -95,8 +98,8 @@
     for n in 0..of.machines {
         world.add_machine("c16", if n % 2 == 0 { "east" } else { "west" }, false);
     }
-    world.runs_for = if of.far_apart { 4 * S..9 * S } else { S..8 * S };
-    world.far_apart = of.far_apart;
+    world.task_run_time = if of.far_apart { 4 * S..9 * S } else { S..8 * S };
+    world.first_task_short = of.far_apart;
     world.run(Micros::from_secs(16));
     let each_minute = of.per_s * 60;
     let mut by_minute = vec![Kept::new(); of.minutes];
@@ -137,17 +140,17 @@
         let most = each[0] + each[0] / 2 + slack;
         assert!(each.iter().all(|n| *n <= most), "{name} grows from minute to minute: {each:?}");
     }
-    world.all_over(120, "a stream of small jobs");
+    world.expect_all_jobs_to_end(120, "a stream of small jobs");
     world.run(world.now + Micros::from_secs(40));
     let left = kept(&world);
     for name in LEAVES_NOTHING {
         assert_eq!(left.get(name).copied().unwrap_or(0), 0, "{name} are left: {left:?}");
     }
-    let over = world.jobs.values().filter(|w| w.told_final.is_some()).count();
+    let over = world.jobs.values().filter(|w| w.known_final.is_some()).count();
     let finals = world.store.keys.keys().filter(|key| key.starts_with(records::FINAL_STATES_PREFIX)).count();
     assert_eq!(finals, over, "one final state a job");
     let withdrawn =
-        world.jobs.values().filter(|w| w.told_final.is_some_and(|f| f.0 == FinalState::Withdrawn));
+        world.jobs.values().filter(|w| w.known_final.is_some_and(|f| f.0 == FinalState::Withdrawn));
     let withdrawn = withdrawn.count();
     assert!(withdrawn > over / 10, "only {withdrawn} of {over} were withdrawn");
     world
@@ -188,7 +191,7 @@
 fn small_jobs_leave_no_record_of_progress_and_no_word_on_machines_that_are_gone() {
     let of = Stream { size: 4, far_apart: true, minutes: 3, ..ONE_TASK };
     nothing_piles_up(World::new(2_010, Trouble::default()), of, 16);
-    let mut world = World::sized(2_030, Trouble::default(), Size { controllers: 3, machines: 40 });
+    let mut world = World::with_size(2_030, Trouble::default(), ClusterSize { controllers: 3, machines: 40 });
     for s in &mut world.settings {
         (s.params.state.write_rps, s.params.state.rps) = (120.0, 600.0);
     }
@@ -218,7 +221,7 @@
         let of = Stream { size: 2, minutes: 3, ..ONE_TASK };
         let world = nothing_piles_up(World::new(seed, trouble), of, 100);
         let lost = world.next_machine as usize - world.workers.values().filter(|w| !w.dead).count();
-        let (late, lives) = (world.met.late_commits, world.lives.iter().sum::<u64>());
+        let (late, lives) = (world.coverage.late_commits, world.incarnations.iter().sum::<u64>());
         assert!(late > 10 && lives > 3 && lost > 10, "seed {seed}: {late} late, {lives} lives, {lost} lost");
     }
 }
@@ -227,8 +230,8 @@
 /// the last task ends; nothing else befalls them.
 fn called_off_at_the_end(seed: u64) -> World {
     let mut world = World::new(seed, Trouble { repeats: 0.5, ..Default::default() });
-    (world.looks, world.withdraw_at_end) = (0.6, 0.5);
-    world.runs_for = S..6 * S;
+    (world.request_burst_probability, world.withdraw_at_end_probability) = (0.6, 0.5);
+    world.task_run_time = S..6 * S;
     for n in 0..14 {
         world.add_machine("c16", if n % 2 == 0 { "east" } else { "west" }, false);
     }
@@ -239,15 +242,15 @@
         world.submit(JobSpec { shape, ..spec });
         world.run(world.now + Micros::from_millis(700));
         // Some are called off a little later, everywhere at once: by then the end may be on its way to the store.
-        let ended = |w: &Wish| {
+        let ended = |w: &UserJob| {
             let all = w.spec.as_ref().map_or(0, |s| s.tasks as usize);
-            w.tasks_done.len() == all && w.told_final.is_none() && !w.wants_withdrawal
+            w.completed_tasks.len() == all && w.known_final.is_none() && !w.wants_withdrawal
         };
         let ended: Vec<String> =
             world.jobs.iter().filter(|(_, w)| ended(w)).map(|(id, _)| id.clone()).collect();
         for id in ended {
             world.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
-            (0..3).for_each(|node| world.ask(node, id.clone(), Look::Withdraws));
+            (0..3).for_each(|node| world.send_user_request(node, id.clone(), UserRequest::Withdraw));
         }
     }
     world
@@ -257,7 +260,7 @@
 fn ask_everywhere(world: &mut World) {
     let ids: Vec<String> = world.jobs.keys().cloned().collect();
     for id in ids {
-        world.look_everywhere(&id);
+        world.send_request_burst(&id);
         world.run(world.now + Micros::from_millis(40));
     }
     world.run(world.now + Micros::from_secs(6));
@@ -270,7 +273,7 @@
     let (mut withdrawn, mut done, mut again) = (0, 0, 0);
     for seed in 2_100..2_104 {
         let mut world = called_off_at_the_end(seed);
-        world.all_over(60, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(60, &format!("seed {seed}"));
         ask_everywhere(&mut world);
         (0..3).for_each(|n| world.crash_for(n, Micros::from_millis(300)));
         world.run(world.now + Micros::from_secs(6));
@@ -279,12 +282,12 @@
             let recorded = world.store.log.iter().filter(|l| l.1 == records::final_state_key(id)).count();
             assert_eq!(recorded, 1, "seed {seed}: {id} has {recorded} records of its end");
             let tasks = wish.spec.as_ref().unwrap().tasks as usize;
-            match wish.told_final.unwrap().0 {
-                FinalState::Withdrawn => withdrawn += u32::from(wish.tasks_done.len() == tasks),
+            match wish.known_final.unwrap().0 {
+                FinalState::Withdrawn => withdrawn += u32::from(wish.completed_tasks.len() == tasks),
                 FinalState::Done => done += u32::from(wish.wants_withdrawal),
             }
         }
-        again += world.met.repeated_finals;
+        again += world.coverage.repeated_final_states;
     }
     eprintln!(
         "{withdrawn} withdrawn with all tasks done, {done} done that were called off, {again} told again"
@@ -335,14 +338,14 @@
 ];
 
 /// The answers to two of three transactions of one kind are lost, by what is in them.
-fn loses<const KIND: usize>(t: &Transaction) -> Option<Fate> {
+fn loses<const KIND: usize>(t: &Transaction) -> Option<CommitFault> {
     let text = serde_json::to_vec(t).unwrap();
     let hash =
         text.iter().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3));
-    (KINDS[KIND].1(t) && (hash >> 32) % 3 > 0).then_some(Fate::AnswerLost)
+    (KINDS[KIND].1(t) && (hash >> 32) % 3 > 0).then_some(CommitFault::ReplyLost)
 }
 
-const LOSES: [fn(&Transaction) -> Option<Fate>; 14] = [
+const LOSES: [fn(&Transaction) -> Option<CommitFault>; 14] = [
     loses::<0>,
     loses::<1>,
     loses::<2>,
@@ -362,8 +365,8 @@
 /// A run in which every kind of transaction is made, while all that read what is written act on it.
 fn unanswered(seed: u64, kind: usize) -> World {
     let mut world = World::new(seed, Trouble { repeats: 0.3, ..Default::default() });
-    (world.fate_of, world.looks) = (Some(LOSES[kind]), 0.5);
-    (world.far_apart, world.runs_for) = (true, 3 * S..12 * S);
+    (world.commit_fault, world.request_burst_probability) = (Some(LOSES[kind]), 0.5);
+    (world.first_task_short, world.task_run_time) = (true, 3 * S..12 * S);
     for n in 0..8 {
         world.add_machine("c16", if n % 2 == 0 { "east" } else { "west" }, false);
     }
@@ -390,22 +393,22 @@
             }
             12 => {
                 let still = (leader(&world) + 1) % 3;
-                world.befalls(Spell::StandsStill(still), now + Micros::from_secs(16));
+                world.begin_fault(TimedFault::ControllerPaused(still), now + Micros::from_secs(16));
             }
             20 => {
                 let still = leader(&world);
-                world.befalls(Spell::StandsStill(still), now + Micros::from_secs(16));
+                world.begin_fault(TimedFault::ControllerPaused(still), now + Micros::from_secs(16));
             }
             30 => {
                 let still = (leader(&world) + 2) % 3;
-                world.befalls(Spell::StandsStill(still), now + Micros::from_secs(16));
+                world.begin_fault(TimedFault::ControllerPaused(still), now + Micros::from_secs(16));
             }
-            24 | 34 => world.befalls(Spell::Apart(0, 1), now + Micros::from_secs(8)),
+            24 | 34 => world.begin_fault(TimedFault::Partitioned(0, 1), now + Micros::from_secs(8)),
             _ => {}
         }
     }
-    world.fate_of = None;
-    world.all_over(400, &format!("{} {seed}", KINDS[kind].0));
+    world.commit_fault = None;
+    world.expect_all_jobs_to_end(400, &format!("{} {seed}", KINDS[kind].0));
     for prefix in [records::RENTALS_PREFIX, records::COMPLETIONS_PREFIX, records::LIVE_JOBS_PREFIX] {
         let left = world.store.keys.keys().filter(|key| key.starts_with(prefix)).count();
         assert_eq!(left, 0, "{} {seed}: {left} records under {prefix}", KINDS[kind].0);
@@ -419,7 +422,7 @@
 fn transactions_that_only_lose_their_answer_mislead_nobody() {
     let mut met = Vec::new();
     for (kind, (name, _)) in KINDS.iter().enumerate() {
-        let lost: u32 = (0..4).map(|seed| unanswered(2_200 + seed, kind).met.answers_lost).sum();
+        let lost: u32 = (0..4).map(|seed| unanswered(2_200 + seed, kind).coverage.lost_commit_replies).sum();
         met.push((*name, lost));
     }
     eprintln!("answers lost: {met:?}");
--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -24,7 +24,7 @@
 /// What each team's tasks take by now, by its name: processors and accelerators.
 fn used(world: &World) -> BTreeMap<String, (u64, u64)> {
     let teams = world.settings[0].params.teams.iter().map(|t| t.name.clone());
-    teams.zip(world.taken()).collect()
+    teams.zip(world.running_usage()).collect()
 }
 
 pub(super) fn go(world: &mut World, length: Micros) {
@@ -64,7 +64,7 @@
 /// How many tasks of a job are there.
 pub(super) fn there(world: &World, id: &str) -> usize {
     let tasks = world.workers.values().filter(|w| !w.dead).flat_map(|w| &w.tasks);
-    tasks.filter(|(t, r)| t.job == id && r.is_here()).count()
+    tasks.filter(|(t, r)| t.job == id && r.counts_as_running()).count()
 }
 
 /// A job's tasks below this number end within the next half second.
@@ -72,7 +72,7 @@
     let now = world.now;
     for w in world.workers.values_mut() {
         let some = w.tasks.iter_mut().filter(|(t, _)| t.job == id && t.index < below);
-        some.for_each(|(_, t)| t.until = t.until.min(now));
+        some.for_each(|(_, t)| t.state_until = t.state_until.min(now));
     }
 }
 
@@ -80,7 +80,7 @@
 pub(super) fn roomy(seed: u64, teams: &[(&str, f64, f64)]) -> World {
     let mut world = World::new(seed, Trouble::default());
     limit(&mut world, teams);
-    (world.runs_for, world.tuning.idle_return_s) = (300 * S..400 * S, 900.0);
+    (world.task_run_time, world.tuning.idle_return_s) = (300 * S..400 * S, 900.0);
     for _ in 0..14 {
         world.add_machine("c16", "east", false);
     }
@@ -117,11 +117,11 @@
 }
 
 /// From the record chosen on all are carried out late, by so much that what was true then no longer is.
-fn late_allotments(t: &Transaction) -> Option<Fate> {
+fn late_allotments(t: &Transaction) -> Option<CommitFault> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::QUOTA_KEY));
     let from = LATE.get().filter(|_| written)?;
     CAME.set(CAME.get() + 1);
-    (CAME.get() >= from).then_some(Fate::Late(Micros::from_secs(15)))
+    (CAME.get() >= from).then_some(CommitFault::Delayed(Micros::from_secs(15)))
 }
 
 /// Records of allotments that the store holds by now.
@@ -144,7 +144,7 @@
         new_view(&mut world);
         LATE.set(Some(1 + seed as u32 % 2));
         CAME.set(0);
-        world.fate_of = Some(late_allotments);
+        world.commit_fault = Some(late_allotments);
         of_team(&mut world, next(0), "blue", 15);
         assert!(
             until(&mut world, Micros::from_secs(12), |_| CAME.get() >= LATE.get().unwrap()),
@@ -168,19 +168,19 @@
         go(&mut world, Micros::from_secs(5));
         go(&mut world, Micros::from_secs(7));
         finish(&mut world, seed);
-        assert!(world.jobs[&last].told_final.is_some(), "seed {seed}");
+        assert!(world.jobs[&last].known_final.is_some(), "seed {seed}");
     }
     assert!(late >= 10, "only in {late} runs was the record late enough");
 }
 
 /// Lets all tasks end soon, and all jobs with them.
 pub(super) fn finish(world: &mut World, seed: u64) {
-    (world.runs_for, world.fate_of) = (S..2 * S, None);
+    (world.task_run_time, world.commit_fault) = (S..2 * S, None);
     for id in world.jobs.keys().cloned().collect::<Vec<_>>() {
         end_some(world, &id, u32::MAX);
     }
     go(world, Micros::from_secs(20));
-    world.all_over(300, &format!("seed {seed}"));
+    world.expect_all_jobs_to_end(300, &format!("seed {seed}"));
 }
 
 /// Guards a team's limit when another team meets its own in the same view: the record was written anew for both, and
@@ -206,7 +206,7 @@
         go(&mut world, Micros::from_secs(15));
         LATE.set(Some(1));
         CAME.set(0);
-        world.fate_of = Some(late_allotments);
+        world.commit_fault = Some(late_allotments);
         of_rank(&mut world, next(0), "blue", 30, Priority::High);
         of_team(&mut world, next(2), "green", 120);
         assert!(
@@ -245,10 +245,10 @@
         go(&mut world, Micros::from_secs(3));
         let cut = world.now + Micros::from_secs(25);
         for (i, w) in world.workers.values_mut().filter(|w| !w.tasks.is_empty()).enumerate() {
-            if (i + seed as usize).is_multiple_of(2) { w.cut_until = cut } else { w.hung_until = cut }
+            if (i + seed as usize).is_multiple_of(2) { w.partitioned_until = cut } else { w.hung_until = cut }
         }
         ask_to_withdraw(&mut world, leader, &first);
-        let told = |w: &World| w.jobs[&first].told_final.is_some();
+        let told = |w: &World| w.jobs[&first].known_final.is_some();
         assert!(until(&mut world, Micros::from_secs(10), told), "seed {seed}: not withdrawn");
         world.crash_for(owner, Micros::from_millis(300));
         go(&mut world, Micros::from_millis(1_500));
@@ -266,7 +266,7 @@
 /// A user asks this controller to withdraw a job, within milliseconds; if that does not do, others later.
 pub(super) fn ask_to_withdraw(world: &mut World, node: usize, id: &str) {
     world.jobs.get_mut(id).unwrap().wants_withdrawal = true;
-    world.ask(node, id.to_owned(), Look::Withdraws);
+    world.send_user_request(node, id.to_owned(), UserRequest::Withdraw);
 }
 
 const TEAMS: [(&str, f64, f64); 3] = [("blue", 30.0, 6.0), ("green", 20.0, 4.0), ("red", 12.0, 3.0)];
@@ -276,7 +276,7 @@
 pub(super) fn with_more_than_limits_allow(seed: u64) -> (World, u32) {
     let mut world = World::new(seed, Trouble::default());
     limit(&mut world, &TEAMS);
-    world.runs_for = 25 * S..60 * S;
+    world.task_run_time = 25 * S..60 * S;
     for n in 0..16 {
         world.add_machine(["c16", "g8"][n % 2], ["east", "west"][n / 2 % 2], false);
     }
@@ -293,12 +293,12 @@
         let at = |((_, cpus, gpus), (cpu, gpu)): (&(&str, f64, f64), &(u64, u64))| {
             *cpu as f64 >= (cpus - 1.0) * 1e3 && *gpu as f64 >= gpus * 5e2
         };
-        TEAMS.iter().zip(&w.met.peaks).all(at)
+        TEAMS.iter().zip(&w.coverage.peak_usage).all(at)
     };
     assert!(
         until(&mut world, Micros::from_secs(120), full),
         "seed {seed}: {:?} of {TEAMS:?}",
-        world.met.peaks
+        world.coverage.peak_usage
     );
     (world, n)
 }
@@ -320,17 +320,17 @@
 
 /// Jobs with tasks that run and that nobody has asked to withdraw.
 pub(super) fn running(world: &World) -> Vec<String> {
-    let on = |id: &String, w: &Wish| !w.wants_withdrawal && w.told_accepted && there(world, id) > 0;
+    let on = |id: &String, w: &UserJob| !w.wants_withdrawal && w.known_accepted && there(world, id) > 0;
     world.jobs.iter().filter(|(id, w)| on(id, w)).map(|(id, _)| id.clone()).collect()
 }
 
 /// Tasks of jobs whose withdrawal has been confirmed, on machines that are cut off or hang.
 fn left_out_of_reach(world: &World) -> usize {
-    let unreachable = |w: &&Worker| !w.dead && (w.cut_until > world.now || w.hung_until > world.now);
+    let unreachable = |w: &&Worker| !w.dead && (w.partitioned_until > world.now || w.hung_until > world.now);
     let withdrawn =
-        |id: &TaskId| world.jobs[&id.job].told_final.is_some_and(|(f, _)| f == FinalState::Withdrawn);
+        |id: &TaskId| world.jobs[&id.job].known_final.is_some_and(|(f, _)| f == FinalState::Withdrawn);
     let machines = world.workers.values().filter(unreachable);
-    machines.flat_map(|w| &w.tasks).filter(|(id, t)| withdrawn(id) && t.is_here()).count()
+    machines.flat_map(|w| &w.tasks).filter(|(id, t)| withdrawn(id) && t.counts_as_running()).count()
 }
 
 /// Guards all teams' limits, processors and accelerators, while jobs are withdrawn whose machines are cut off or hang
@@ -355,7 +355,11 @@
             for (i, name) in hosts.iter().enumerate() {
                 let until = world.now + Micros(world.rng.random_range(8 * S..30 * S));
                 let w = world.workers.get_mut(name).unwrap();
-                if (i + seed as usize).is_multiple_of(2) { w.cut_until = until } else { w.hung_until = until }
+                if (i + seed as usize).is_multiple_of(2) {
+                    w.partitioned_until = until
+                } else {
+                    w.hung_until = until
+                }
             }
             let away = Micros::from_millis(if seed % 2 == 0 { 300 } else { 20_000 });
             let before = world.store.revision;
@@ -383,10 +387,10 @@
                 used_again += if left_out_of_reach(&world) > 0 { full.count() } else { 0 };
             }
         }
-        world.runs_for = S..3 * S;
+        world.task_run_time = S..3 * S;
         go(&mut world, Micros::from_secs(60));
-        world.all_over(400, &format!("seed {seed}"));
-        for (all, one) in peaks.iter_mut().zip(&world.met.peaks) {
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
+        for (all, one) in peaks.iter_mut().zip(&world.coverage.peak_usage) {
             *all = (all.0.max(one.0), all.1.max(one.1));
         }
     }
--- a/src/coordination/simulation/meetings_looks.rs
+++ b/src/coordination/simulation/meetings_looks.rs
@@ -5,19 +5,19 @@
 use crate::coordination::knowledge::Liveness;
 
 /// Plays runs in which users look everywhere, under further trouble; what they met together.
-fn looked(seeds: std::ops::Range<u64>, trouble: Trouble) -> Met {
-    let mut met = Met::default();
+fn looked(seeds: std::ops::Range<u64>, trouble: Trouble) -> Coverage {
+    let mut met = Coverage::default();
     let count = (seeds.end - seeds.start) * super::troubles::soak();
     for seed in seeds.start..seeds.start + count {
         let world = play(seed, Trouble { looks: 0.7, withdrawn: 0.3, ..trouble });
-        met.looks += world.met.looks;
-        met.repeated_finals += world.met.repeated_finals;
-        met.answers_lost += world.met.answers_lost;
-        met.late_commits += world.met.late_commits;
-        met.overlapped += world.met.overlapped;
+        met.request_bursts += world.coverage.request_bursts;
+        met.repeated_final_states += world.coverage.repeated_final_states;
+        met.lost_commit_replies += world.coverage.lost_commit_replies;
+        met.late_commits += world.coverage.late_commits;
+        met.overlapping_answers += world.coverage.overlapping_answers;
     }
     eprintln!("{met:?}");
-    assert!(met.looks > 100 && met.repeated_finals > 400, "{met:?}");
+    assert!(met.request_bursts > 100 && met.repeated_final_states > 400, "{met:?}");
     met
 }
 
@@ -43,7 +43,7 @@
 #[test]
 fn users_who_look_everywhere_hear_of_what_was_carried_out_without_an_answer() {
     let met = looked(30_100..30_104, Trouble { answers_lost: 0.3, ..Default::default() });
-    assert!(met.answers_lost > 100, "{met:?}");
+    assert!(met.lost_commit_replies > 100, "{met:?}");
 }
 
 /// The same with transactions that are carried out seconds later.
@@ -76,23 +76,23 @@
     play(262_009, Trouble { store_slow: 0.02, gap: 0.01, withdrawn: 0.3, ..Default::default() });
     let (mut world, id) = with_one_job(7);
     // The first answer is lost, and two controllers follow nothing while the third finds the record.
-    world.fate_of = Some(|t| {
+    world.commit_fault = Some(|t| {
         let ends =
             |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::FINAL_STATES_PREFIX));
-        t.writes.iter().any(ends).then_some(Fate::AnswerLost)
+        t.writes.iter().any(ends).then_some(CommitFault::ReplyLost)
     });
-    (0..3).for_each(|n| world.befalls(Spell::WatchHangs(n), world.now + Micros::from_secs(1)));
+    (0..3).for_each(|n| world.begin_fault(TimedFault::WatchHangs(n), world.now + Micros::from_secs(1)));
     world.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
-    world.ask(0, id.clone(), Look::Withdraws);
+    world.send_user_request(0, id.clone(), UserRequest::Withdraw);
     world.run(world.now + Micros::from_millis(100));
-    assert!(world.store.withdrawn.contains_key(&id) && world.jobs[&id].told_final.is_none());
+    assert!(world.store.withdrawals.contains_key(&id) && world.jobs[&id].known_final.is_none());
     assert!((0..3).all(|n| world.controllers[n].as_ref().unwrap().final_states.get(&id).is_none()));
-    world.ask(1, id.clone(), Look::Withdraws);
+    world.send_user_request(1, id.clone(), UserRequest::Withdraw);
     world.run(world.now + Micros::from_millis(400));
     let known = |n: usize| world.controllers[n].as_ref().unwrap().final_states.get(&id).is_some();
     assert!((0..3).all(known), "what one has found the others do not know");
     world.run(world.now + Micros::from_secs(2));
-    assert!(world.jobs[&id].told_final.is_some(), "all know, and its user has not been told");
+    assert!(world.jobs[&id].known_final.is_some(), "all know, and its user has not been told");
 }
 
 /// Guards accepted jobs against a controller that has not heard of them and whose list of machine types is partial, or
@@ -104,25 +104,25 @@
         (0..4).for_each(|n| drop(world.add_machine("c16", ["east", "west"][n % 2], false)));
         world.run(Micros::from_secs(20));
         let node = seed as usize % 3;
-        world.befalls(Spell::WatchHangs(node), world.now + Micros::from_secs(6));
-        world.passed_over = Some(node);
+        world.begin_fault(TimedFault::WatchHangs(node), world.now + Micros::from_secs(6));
+        world.excluded_controller = Some(node);
         let spec = super::takeovers::array(&mut world, 1, 40);
         let id = spec.id.clone();
         world.submit(spec.clone());
         world.run(world.now + Micros::from_secs(1));
-        assert!(world.jobs[&id].told_accepted);
+        assert!(world.jobs[&id].known_accepted);
         let c = world.controllers[node].as_mut().unwrap();
         assert!(!c.jobs.contains_key(&id), "seed {seed}: it knows the job");
         c.machine_types.values_mut().for_each(|t| t.cpus = 0.5);
         let never = JobSpec { id: "j-000500".into(), ..spec };
-        world.jobs.insert(never.id.clone(), Wish { spec: Some(never), ..Default::default() });
-        let before = world.jobs[&id].answered;
+        world.jobs.insert(never.id.clone(), UserJob { spec: Some(never), ..Default::default() });
+        let before = world.jobs[&id].last_answered_at;
         for job in [id.clone(), "j-000500".into()] {
-            (0..3).for_each(|_| world.ask(node, job.clone(), Look::Submits));
+            (0..3).for_each(|_| world.send_user_request(node, job.clone(), UserRequest::Submit));
         }
         world.run(world.now + Micros::from_secs(1));
-        assert!(world.jobs[&id].answered > before, "seed {seed}: its user was told nothing");
-        assert!(world.jobs["j-000500"].refused, "seed {seed}: one that was never accepted is not refused");
+        assert!(world.jobs[&id].last_answered_at > before, "seed {seed}: its user was told nothing");
+        assert!(world.jobs["j-000500"].rejected, "seed {seed}: one that was never accepted is not refused");
     }
 }
 
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -2,7 +2,7 @@
 //! (`docs/meetings.md`). Each asserts that it took place.
 
 use super::meetings::full;
-use super::spells::Fate;
+use super::spells::CommitFault;
 use super::takeovers::array;
 use super::*;
 use crate::bookkeeping::blocks::Block;
@@ -11,7 +11,7 @@
 
 /// Writes to blocks and rentals lag: a third is carried out at once and its answer lost, a third 3 to 12 s late. A repeat
 /// that builds on the same fares the same.
-fn lagging(t: &Transaction) -> Option<Fate> {
+fn lagging(t: &Transaction) -> Option<CommitFault> {
     let keys = t.writes.iter().map(|w| match w {
         Write::Put { key, .. } | Write::Delete { key } => key,
     });
@@ -24,8 +24,8 @@
     }
     let n = named.iter().sum::<u64>() + t.conditions.iter().map(|c| c.stamp).sum::<u64>();
     match n % 3 {
-        0 => Some(Fate::AnswerLost),
-        1 => Some(Fate::Late(Micros::from_secs(3 + n / 3 % 10))),
+        0 => Some(CommitFault::ReplyLost),
+        1 => Some(CommitFault::Delayed(Micros::from_secs(3 + n / 3 % 10))),
         _ => None,
     }
 }
@@ -48,12 +48,13 @@
 fn machines_up_at_once_under_writes_that_lag_outlive_their_leader() {
     let (mut unlisted, mut unrecorded, mut unanswered, mut late) = (0, 0, 0, 0);
     for seed in 200..210 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 20 });
-        world.boots = 200 * MS..2 * S;
+        let mut world =
+            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 20 });
+        world.boot_time = 200 * MS..2 * S;
         world.settings.iter_mut().for_each(|s| s.params.cloud.list_lag_s = 4.0);
         match seed % 2 {
-            0 => world.fate_of = Some(lagging),
-            _ => (world.trouble.late_writes, world.trouble.answers_lost) = (0.2, 0.3),
+            0 => world.commit_fault = Some(lagging),
+            _ => (world.fault_profile.late_writes, world.fault_profile.answers_lost) = (0.2, 0.3),
         }
         world.run(Micros::from_secs(4));
         for n in 0..8 {
@@ -64,12 +65,12 @@
         while world.now < Micros::from_secs(100) {
             world.run(world.now + Micros::from_millis(50));
             // At work though not listed, or listed as starting as long again; up and in no block; rented while the record stands.
-            let young = |w: &&Worker| world.now.since(w.rented) <= Micros::from_secs(6);
+            let young = |w: &&Worker| world.now.since(w.rented_at) <= Micros::from_secs(6);
             let early = world.workers.values().filter(|w| young(w) && !w.tasks.is_empty()).count();
             let known: BTreeSet<String> = recorded(&world).into_iter().collect();
             let strange = world.workers.iter().filter(|(n, w)| w.tally > 0 && !known.contains(*n)).count();
             let open = |name: &&String| world.store.keys.contains_key(&records::rental_key(name));
-            let open = world.charters.keys().filter(open).count();
+            let open = world.rentals.keys().filter(open).count();
             let pause = Micros::from_secs([9, 25][usize::from([early, strange, open][ends % 3] == 0)]);
             if early + strange + open == 0 || ends == 6 || world.now.since(last) < pause {
                 continue;
@@ -82,16 +83,16 @@
             }
         }
         assert!(ends > 1, "seed {seed}: the leader ended {ends} times");
-        world.fate_of = None;
-        late += world.met.late_commits + world.met.answers_lost;
-        world.all_over(400, &format!("seed {seed}"));
+        world.commit_fault = None;
+        late += world.coverage.late_commits + world.coverage.lost_commit_replies;
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
         world.run(world.now + Micros::from_secs(60));
         let left: Vec<_> = world.workers.keys().collect();
         assert!(left.is_empty(), "seed {seed}: rented for ever: {left:?}");
         let open: Vec<_> =
             world.store.keys.keys().filter(|key| key.starts_with(records::RENTALS_PREFIX)).collect();
         assert!(open.is_empty(), "seed {seed}: rentals that nobody closes: {open:?}");
-        assert_eq!(world.met.begun_again, 0, "seed {seed}");
+        assert_eq!(world.coverage.repeated_starts, 0, "seed {seed}");
     }
     eprintln!("{unlisted} unlisted, {unrecorded} unrecorded, {unanswered} unanswered, {late} writes lagged");
     assert!(unlisted > 5 && unrecorded > 5 && unanswered > 2 && late > 50);
@@ -102,7 +103,7 @@
 /// was that nobody had ever held the machine, and a controller that joined took over what ran there.
 #[test]
 fn a_machine_is_recorded_in_one_block_whatever_lags() {
-    let mut world = World::sized(300, Trouble::default(), Size { controllers: 3, machines: 0 });
+    let mut world = World::with_size(300, Trouble::default(), ClusterSize { controllers: 3, machines: 0 });
     for n in 0..8 {
         let spec = array(&mut world, n, 400);
         world.submit(spec);
@@ -119,7 +120,7 @@
     world.workers.get_mut(&names[0]).unwrap().dead = true;
     world.run(world.now + Micros::from_secs(30));
     let leader = world.leader().unwrap();
-    let clock = world.clock(leader);
+    let clock = world.local_time(leader);
     let c = world.controllers[leader].as_mut().unwrap();
     let last = c.shards.iter().rfind(|(_, (block, _))| !block.is_empty()).unwrap();
     assert!(*last.0 > 1, "all in one block: {:?}", c.shards);
@@ -171,10 +172,10 @@
 /// sessions and attempts, with completions and without.
 #[test]
 fn old_reports_to_every_controller_as_a_new_leader_begins_prove_nothing() {
-    let mut met = Met::default();
+    let mut met = Coverage::default();
     for seed in 220..224 {
         let mut world = full(seed, 12);
-        world.keeps_reports = 0.4;
+        world.report_retention = 0.4;
         for round in 0..3 {
             world.run(world.now + Micros::from_secs(6));
             reboot(&mut world, |n| n % 3 == round);
@@ -183,16 +184,16 @@
             world.crash_for(leader, Micros::from_millis([300, 25_000][(seed as usize + round) % 2]));
             world.run(world.now + Micros::from_secs(28));
         }
-        world.all_over(500, &format!("seed {seed}"));
-        assert_eq!(world.met.begun_again, 0, "seed {seed}");
-        met.kept_given += world.met.kept_given;
-        met.earlier_sessions += world.met.earlier_sessions;
-        met.earlier_attempts += world.met.earlier_attempts;
-        met.old_done += world.met.old_done;
+        world.expect_all_jobs_to_end(500, &format!("seed {seed}"));
+        assert_eq!(world.coverage.repeated_starts, 0, "seed {seed}");
+        met.retained_reports_delivered += world.coverage.retained_reports_delivered;
+        met.duplicates_of_earlier_sessions += world.coverage.duplicates_of_earlier_sessions;
+        met.duplicate_tasks_of_earlier_attempts += world.coverage.duplicate_tasks_of_earlier_attempts;
+        met.duplicate_completed_tasks += world.coverage.duplicate_completed_tasks;
     }
     eprintln!("{met:?}");
-    assert!(met.kept_given > 500 && met.earlier_sessions > 100, "{met:?}");
-    assert!(met.earlier_attempts > 100 && met.old_done > 100, "{met:?}");
+    assert!(met.retained_reports_delivered > 500 && met.duplicates_of_earlier_sessions > 100, "{met:?}");
+    assert!(met.duplicate_tasks_of_earlier_attempts > 100 && met.duplicate_completed_tasks > 100, "{met:?}");
 }
 
 /// Guards machines against being taken for deaf: of several old reports that came at once, each was answered, and the next
@@ -202,7 +203,7 @@
     let (mut given, mut deaf) = (0, 0);
     for seed in 230..234 {
         let mut world = full(seed, 12);
-        world.keeps_reports = 1.0;
+        world.report_retention = 1.0;
         world.run(world.now + Micros::from_secs(20));
         let leader = world.leader().unwrap();
         world.crash_for(leader, Micros::from_millis([300, 40_000][seed as usize % 2]));
@@ -216,9 +217,9 @@
                 .map(Controller::non_receiving_machine_count)
                 .sum::<usize>();
         }
-        given += world.met.kept_given;
-        assert_eq!(world.met.lost_by_lease, 0, "seed {seed}: tasks were lost");
-        world.all_over(400, &format!("seed {seed}"));
+        given += world.coverage.retained_reports_delivered;
+        assert_eq!(world.coverage.tasks_lost_to_lease_expiry, 0, "seed {seed}: tasks were lost");
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
     }
     eprintln!("{given} copies");
     assert!(given > 500, "only {given} copies were given");
@@ -241,7 +242,7 @@
 /// session, from one that is over, with tasks that run elsewhere in a later attempt by now, with completions and without.
 #[test]
 fn a_report_held_back_until_the_new_leader_has_acted_proves_nothing() {
-    let mut met = Met::default();
+    let mut met = Coverage::default();
     for (form, seed) in (0..4).flat_map(|form| (0..3).map(move |n| (form, 250 + 10 * form + n))) {
         let mut world = full(seed, 12);
         world.run(world.now + Micros::from_secs(5));
@@ -249,7 +250,7 @@
             let now = world.now;
             let sent = world.workers.iter_mut().map(|(name, w)| {
                 w.tally += 1;
-                w.report(name, now)
+                w.build_report(name, now)
             });
             sent.collect()
         };
@@ -269,7 +270,7 @@
         // Nothing newer comes from some before the new leader has acted.
         let until = world.now + Micros::from_secs(10);
         for (_, w) in world.workers.values_mut().enumerate().filter(|(n, _)| n % 2 == 0) {
-            w.cut_until = until;
+            w.partitioned_until = until;
         }
         let begun = |w: &World| {
             w.leader().is_some_and(|n| n != leader || w.controllers[n].as_ref().unwrap().is_view_member)
@@ -281,7 +282,10 @@
             let after = [0, 50, 300, 1_000, 3_000, 9_000][(n + seed as usize) % 6];
             for node in 0..3 {
                 let report = report.clone();
-                world.at(world.now + Micros::from_millis(after), Happening::Copy { node, report });
+                world.schedule_at(
+                    world.now + Micros::from_millis(after),
+                    SimEvent::DuplicateReport { node, report },
+                );
             }
         }
         // Until a machine is resolved, an older report takes back nothing that came later.
@@ -300,16 +304,16 @@
             before = now;
         }
         world.run(world.now + Micros::from_secs(28));
-        world.all_over(400, &format!("form {form}, seed {seed}"));
-        assert_eq!(world.met.begun_again, 0, "form {form}, seed {seed}");
-        met.late_copies += world.met.late_copies;
-        met.earlier_sessions += world.met.earlier_sessions;
-        met.earlier_attempts += world.met.earlier_attempts;
-        met.old_done += world.met.old_done;
+        world.expect_all_jobs_to_end(400, &format!("form {form}, seed {seed}"));
+        assert_eq!(world.coverage.repeated_starts, 0, "form {form}, seed {seed}");
+        met.late_duplicates += world.coverage.late_duplicates;
+        met.duplicates_of_earlier_sessions += world.coverage.duplicates_of_earlier_sessions;
+        met.duplicate_tasks_of_earlier_attempts += world.coverage.duplicate_tasks_of_earlier_attempts;
+        met.duplicate_completed_tasks += world.coverage.duplicate_completed_tasks;
     }
     eprintln!("{met:?}");
-    assert!(met.late_copies > 200 && met.earlier_sessions > 100, "{met:?}");
-    assert!(met.earlier_attempts > 50 && met.old_done > 50, "{met:?}");
+    assert!(met.late_duplicates > 200 && met.duplicates_of_earlier_sessions > 100, "{met:?}");
+    assert!(met.duplicate_tasks_of_earlier_attempts > 50 && met.duplicate_completed_tasks > 50, "{met:?}");
 }
 
 /// Guards against machines that reach no controller while direct commands reach them, with withdrawals and an end of the
@@ -320,33 +324,34 @@
     let (mut withdrawn, mut lost, mut wasted) = (0, 0, 0);
     for seed in 290..298 {
         let mut world = full(seed, 12);
-        world.runs_for = 20 * S..60 * S;
-        world.looks = [0.0, 0.5][seed as usize / 2 % 2];
+        world.task_run_time = 20 * S..60 * S;
+        world.request_burst_probability = [0.0, 0.5][seed as usize / 2 % 2];
         world.run(world.now + Micros::from_secs(20));
         let names: Vec<String> = world.workers.keys().cloned().collect();
         let until = world.now + Micros::from_secs([12, 45][seed as usize % 2]);
         for (n, name) in names.iter().enumerate().filter(|(n, _)| n % 3 == 0) {
-            world.workers.get_mut(name).unwrap().mute_until = if n < 6 { Micros::MAX } else { until };
+            world.workers.get_mut(name).unwrap().reports_blocked_until =
+                if n < 6 { Micros::MAX } else { until };
         }
         let ever = [&names[0], &names[3]];
         world.run(world.now + Micros::from_secs(2));
-        withdrawn += world.withdraw_now(4, Micros::ZERO);
+        withdrawn += world.withdraw_running_jobs(4, Micros::ZERO);
         world.run(world.now + Micros::from_millis([300, 8_000][seed as usize / 2 % 2]));
         let leader = world.leader().unwrap();
         world.crash_for(leader, Micros::from_millis([300, 25_000][seed as usize / 4 % 2]));
         world.run(world.now + Micros::from_secs(2));
-        withdrawn += world.withdraw_now(3, Micros::ZERO);
+        withdrawn += world.withdraw_running_jobs(3, Micros::ZERO);
         world.run(world.now + Micros::from_secs(40));
-        let begun = |w: &World| w.begun.iter().filter(|(name, ..)| ever.contains(&name)).count();
+        let begun = |w: &World| w.started_attempts.iter().filter(|(name, ..)| ever.contains(&name)).count();
         let before = begun(&world);
         world.run(world.now + Micros::from_secs(60));
         wasted += begun(&world) - before;
         let kept = ever.iter().filter(|name| world.workers.contains_key(**name)).count();
         assert_eq!(kept, 0, "seed {seed}: kept though it reaches nobody\n{}", world.describe(""));
-        lost += world.met.lost_by_lease;
-        world.runs_for = S..2 * S;
-        world.all_over(500, &format!("seed {seed}"));
-        assert_eq!(world.met.begun_again, 0, "seed {seed}");
+        lost += world.coverage.tasks_lost_to_lease_expiry;
+        world.task_run_time = S..2 * S;
+        world.expect_all_jobs_to_end(500, &format!("seed {seed}"));
+        assert_eq!(world.coverage.repeated_starts, 0, "seed {seed}");
     }
     eprintln!("{withdrawn} withdrawn, {lost} lost by lease, {wasted} wasted");
     assert!(withdrawn > 20 && lost > 100, "{withdrawn} withdrawn, {lost} tasks lost by lease");
@@ -361,21 +366,21 @@
     for seed in 310..318 {
         let mut world = full(seed, 12);
         if seed % 2 == 0 {
-            world.runs_for = 20 * S..60 * S;
+            world.task_run_time = 20 * S..60 * S;
         }
-        world.looks = [0.0, 0.5][seed as usize / 2 % 2];
+        world.request_burst_probability = [0.0, 0.5][seed as usize / 2 % 2];
         world.run(world.now + Micros::from_secs(8));
-        withdrawn += world.withdraw_now(4, Micros::ZERO);
+        withdrawn += world.withdraw_running_jobs(4, Micros::ZERO);
         world.run(world.now + Micros::from_millis([100, 700][seed as usize / 2 % 2]));
-        let before = world.met.lost_by_lease;
+        let before = world.coverage.tasks_lost_to_lease_expiry;
         // Shorter than a lease, about as long, and longer: some machines have lapsed then and others have not.
-        world.all_away(Micros::from_secs([17, 40, 13, 90][seed as usize % 4]));
+        world.stop_all_controllers(Micros::from_secs([17, 40, 13, 90][seed as usize % 4]));
         world.run(world.now + Micros::from_secs(100));
-        lost += world.met.lost_by_lease - before;
-        outlived = outlived.max(world.met.outlived);
-        world.runs_for = S..2 * S;
-        world.all_over(400, &format!("seed {seed}"));
-        assert_eq!(world.met.begun_again, 0, "seed {seed}");
+        lost += world.coverage.tasks_lost_to_lease_expiry - before;
+        outlived = outlived.max(world.coverage.max_run_after_withdrawal);
+        world.task_run_time = S..2 * S;
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
+        assert_eq!(world.coverage.repeated_starts, 0, "seed {seed}");
     }
     eprintln!("{lost} lost, {withdrawn} withdrawn, outlived {outlived:?}");
     assert!(lost > 200 && withdrawn > 20, "{lost} tasks lost by lease, {withdrawn} jobs withdrawn");
@@ -393,26 +398,29 @@
             world.add_machine("c16", ["east", "west"][n % 2], false);
         }
         world.run(Micros::from_secs(5));
-        world.runs_for = 10 * S..40 * S;
-        world.looks = [0.0, 0.5][seed as usize / 2 % 2];
+        world.task_run_time = 10 * S..40 * S;
+        world.request_burst_probability = [0.0, 0.5][seed as usize / 2 % 2];
         for n in 0..12 {
             let spec = array(&mut world, n, 100);
             world.submit(spec);
         }
         world.run(Micros::from_secs(25));
         let zone = ["east", "west"][seed as usize % 2];
-        world.befalls(Spell::ZoneCut(zone), world.now + Micros::from_secs([20, 50][seed as usize / 2 % 2]));
+        world.begin_fault(
+            TimedFault::ZonePartitioned(zone),
+            world.now + Micros::from_secs([20, 50][seed as usize / 2 % 2]),
+        );
         world.run(world.now + Micros::from_secs(1));
-        withdrawn += world.withdraw_now(4, Micros::ZERO);
+        withdrawn += world.withdraw_running_jobs(4, Micros::ZERO);
         world.run(world.now + Micros::from_secs(8));
         let within = world.workers.values().filter(|w| w.zone == zone);
         inside += within.map(|w| w.tasks.len()).sum::<usize>();
-        withdrawn += world.withdraw_now(2, Micros::ZERO);
+        withdrawn += world.withdraw_running_jobs(2, Micros::ZERO);
         world.run(world.now + Micros::from_secs(60));
-        lost += world.met.lost_by_lease;
-        world.runs_for = S..2 * S;
-        world.all_over(400, &format!("seed {seed}"));
-        assert_eq!(world.met.begun_again, 0, "seed {seed}");
+        lost += world.coverage.tasks_lost_to_lease_expiry;
+        world.task_run_time = S..2 * S;
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
+        assert_eq!(world.coverage.repeated_starts, 0, "seed {seed}");
     }
     eprintln!("{inside} inside, {withdrawn} withdrawn, {lost} lost by lease");
     assert!(inside > 100 && withdrawn > 30 && lost > 100, "{inside}, {withdrawn}, {lost}");
@@ -426,8 +434,8 @@
     let (mut there, mut confirmed, mut outlived) = (0, 0, Micros::ZERO);
     for seed in 350..362 {
         let mut world = full(seed, 8);
-        world.runs_for = 60 * S..120 * S;
-        world.looks = [0.0, 0.5][seed as usize / 2 % 2];
+        world.task_run_time = 60 * S..120 * S;
+        world.request_burst_probability = [0.0, 0.5][seed as usize / 2 % 2];
         world.run(world.now + Micros::from_secs(25));
         let leader = world.leader().unwrap();
         let c = world.controllers[leader].as_ref().unwrap();
@@ -442,7 +450,7 @@
         for name in &held {
             let w = world.workers.get_mut(name).unwrap();
             jobs.extend(w.tasks.keys().map(|id| id.job.clone()));
-            if seed % 2 == 0 { w.deaf_until = until } else { w.hung_until = until }
+            if seed % 2 == 0 { w.not_receiving_until = until } else { w.hung_until = until }
         }
         world.crash_for(leader, Micros::from_millis([300, 90_000][(seed as usize - 350) / 6]));
         world.run(world.now + Micros::from_millis([0, 1_000, 4_000, 9_000][seed as usize % 4]));
@@ -456,12 +464,12 @@
         there += tasks(&world);
         world.run(world.now + Micros::from_secs(45));
         let wanted = || world.jobs.values().filter(|w| w.wants_withdrawal);
-        assert!(wanted().all(|w| w.told_final.is_some()), "seed {seed}: not confirmed");
+        assert!(wanted().all(|w| w.known_final.is_some()), "seed {seed}: not confirmed");
         confirmed += wanted().count();
-        outlived = outlived.max(world.met.outlived);
-        world.runs_for = S..2 * S;
-        world.all_over(400, &format!("seed {seed}"));
-        assert_eq!(world.met.begun_again, 0, "seed {seed}");
+        outlived = outlived.max(world.coverage.max_run_after_withdrawal);
+        world.task_run_time = S..2 * S;
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
+        assert_eq!(world.coverage.repeated_starts, 0, "seed {seed}");
     }
     eprintln!("{there} there, {confirmed} confirmed, outlived {outlived:?}");
     assert!(there > 300 && confirmed > 30, "{there} tasks out of hearing, {confirmed} withdrawals confirmed");
--- a/src/coordination/simulation/meetings_room.rs
+++ b/src/coordination/simulation/meetings_room.rs
@@ -5,7 +5,7 @@
 
 /// How many of the jobs named are not over.
 fn open(world: &World, ids: &[String]) -> usize {
-    ids.iter().filter(|id| world.jobs[*id].told_final.is_none()).count()
+    ids.iter().filter(|id| world.jobs[*id].known_final.is_none()).count()
 }
 
 fn submit(world: &mut World, spec: JobSpec) -> String {
@@ -21,12 +21,13 @@
 fn jobs_bound_to_a_zone_that_lost_its_machines_wait_and_hold_up_nothing() {
     let (mut lost, mut waited) = (0, 0);
     for seed in 2_300..2_306 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 7 });
+        let mut world =
+            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 7 });
         for _ in 0..7 {
             world.add_machine("c16", "west", false);
         }
         world.run(Micros::from_secs(3));
-        world.runs_for = 100 * S..160 * S;
+        world.task_run_time = 100 * S..160 * S;
         let mut bound = Vec::new();
         for n in 0..14 {
             let spec = array(&mut world, n, 4);
@@ -37,16 +38,16 @@
         }
         world.run(world.now + Micros::from_secs(30));
         // The other zone has machines from now on, and the first one loses some; nobody rents any.
-        world.boots = S..2 * S;
+        world.boot_time = S..2 * S;
         let east: Vec<String> = (0..7).map(|_| world.add_machine("c16", "east", false)).collect();
-        world.capacity = 0;
+        world.cloud_capacity = 0;
         let west: Vec<String> = world.workers.keys().filter(|name| !east.contains(name)).cloned().collect();
         for name in west.iter().take(3 + seed as usize % 2) {
             let w = world.workers.get_mut(name).unwrap();
             w.dead = true;
             lost += w.tasks.len();
         }
-        world.runs_for = S..4 * S;
+        world.task_run_time = S..4 * S;
         let from = world.now;
         let free: Vec<String> = (100..108)
             .map(|n| {
@@ -62,8 +63,8 @@
         eprintln!("seed {seed}: {left} left after {took} s, while {waits} bound jobs wait");
         assert_eq!(left, 0, "seed {seed}: held up by jobs that are bound elsewhere");
         waited += waits;
-        world.capacity = 14;
-        world.all_over(400, &format!("seed {seed}"));
+        world.cloud_capacity = 14;
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
     }
     eprintln!("{lost} tasks were lost, {waited} jobs waited");
     assert!(lost > 40 && waited > 40, "{lost} tasks were lost, {waited} jobs waited");
@@ -81,8 +82,8 @@
 
 /// More work than room, of which so many machines are all that there is, over slow links.
 fn more_than_room(seed: u64, ranks: &[Priority]) -> (World, Stops) {
-    let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 10 });
-    world.links = 20 * MS..400 * MS;
+    let mut world = World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 10 });
+    world.extra_link_delay = 20 * MS..400 * MS;
     for s in &mut world.settings {
         s.params.objectives.push(crate::settings::Objective {
             kind: "wait".into(),
@@ -125,17 +126,17 @@
                 world.jobs.get_mut(id).unwrap().wants_withdrawal = true;
             }
         }
-        let seen = world.stops.len();
+        let seen = world.stopped_tasks.len();
         world.run(world.now + Micros::from_millis(100));
         let now = world.now;
-        for wish in world.jobs.values().filter(|w| w.told_final.is_none() && !w.refused) {
+        for wish in world.jobs.values().filter(|w| w.known_final.is_none() && !w.rejected) {
             waited.insert(wish.spec.as_ref().unwrap().priority as u8, now);
         }
-        for task in &world.stops[seen..] {
+        for task in &world.stopped_tasks[seen..] {
             let wish = &world.jobs[&task.job];
             let spec = wish.spec.as_ref().unwrap();
             stops.all += 1;
-            let over = wish.tasks_done.len() == spec.tasks as usize || wish.wants_withdrawal;
+            let over = wish.completed_tasks.len() == spec.tasks as usize || wish.wants_withdrawal;
             if over {
                 continue;
             }
@@ -146,7 +147,7 @@
             }
         }
     }
-    world.all_over(500, &format!("seed {seed}"));
+    world.expect_all_jobs_to_end(500, &format!("seed {seed}"));
     (world, stops)
 }
 
@@ -158,11 +159,19 @@
     for seed in 2_400..2_404 {
         let (world, stops) = more_than_room(seed, &[Priority::Normal]);
         assert_eq!(stops.of_live, 0, "seed {seed}: stopped for work of its own rank");
-        assert_eq!((world.met.done_again, world.met.lost_by_lease), (0, 0), "seed {seed}: lost");
+        assert_eq!(
+            (world.coverage.restarts_after_completion, world.coverage.tasks_lost_to_lease_expiry),
+            (0, 0),
+            "seed {seed}: lost"
+        );
         let (world, stops) = more_than_room(seed, &[Priority::Low, Priority::High, Priority::Normal]);
         eprintln!("seed {seed}: {} stops, {} of live jobs", stops.all, stops.of_live);
         assert_eq!(stops.without_reason, [], "seed {seed}: stopped for nothing");
-        assert_eq!((world.met.done_again, world.met.lost_by_lease), (0, 0), "seed {seed}: lost");
+        assert_eq!(
+            (world.coverage.restarts_after_completion, world.coverage.tasks_lost_to_lease_expiry),
+            (0, 0),
+            "seed {seed}: lost"
+        );
         stopped += stops.of_live;
     }
     assert!(stopped > 20, "only {stopped} tasks had to give way");
--- a/src/coordination/simulation/meetings_starts.rs
+++ b/src/coordination/simulation/meetings_starts.rs
@@ -12,12 +12,12 @@
     let mut late = 0;
     for seed in 370..378 {
         let mut world = full(seed, 12);
-        world.trouble.held_up = 0.4;
-        world.runs_for = 50 * MS..S;
+        world.fault_profile.held_up = 0.4;
+        world.task_run_time = 50 * MS..S;
         world.run(world.now + Micros::from_secs(60));
-        late += world.met.late_orders;
-        assert_eq!(world.met.begun_again, 0, "seed {seed}: tasks began again in the same attempt");
-        world.all_over(400, &format!("seed {seed}"));
+        late += world.coverage.late_orders;
+        assert_eq!(world.coverage.repeated_starts, 0, "seed {seed}: tasks began again in the same attempt");
+        world.expect_all_jobs_to_end(400, &format!("seed {seed}"));
     }
     eprintln!("{late} late");
     assert!(late > 100, "only {late} orders were carried out late");
@@ -26,7 +26,7 @@
 /// A controller, one of its machines, and a task whose start is on its way straight to the machine.
 pub(super) fn starting(seed: u64) -> (World, usize, String, TaskId) {
     let mut world = full(seed, 12);
-    world.trouble.held_up = 1.0;
+    world.fault_profile.held_up = 1.0;
     let until = world.now + Micros::from_secs(20);
     while world.now < until {
         world.run(world.now + Micros::from_millis(5));
@@ -47,10 +47,10 @@
 
 /// The machine's next report comes, with this said of a task; the orders that answer it.
 pub(super) fn orders(world: &mut World, n: usize, name: &str, with: Option<ReportedTask>) -> Vec<Order> {
-    let (now, clock) = (world.now, world.clock(n));
+    let (now, clock) = (world.now, world.local_time(n));
     let w = world.workers.get_mut(name).unwrap();
     w.tally += 1;
-    let mut report = w.report(name, now);
+    let mut report = w.build_report(name, now);
     report.tasks.extend(with);
     let effects = world.controllers[n].as_mut().unwrap().handle(clock, Event::Report(900_000, report));
     let answers = effects.into_iter().find_map(|e| match e {
@@ -75,7 +75,7 @@
         assert!(!forgets(orders(&mut world, n, &name, Some(failed.clone()))), "seed {seed}");
         // Nobody knows whether it arrived: until a fresh token rules that out, the task stays.
         let (clock, token) =
-            (world.clock(n), world.controllers[n].as_ref().unwrap().machines[&name].row.token);
+            (world.local_time(n), world.controllers[n].as_ref().unwrap().machines[&name].row.token);
         let unclear = Event::WorkerReply { machine: name.clone(), token, reply: DirectReply::Unclear };
         world.controllers[n].as_mut().unwrap().handle(clock, unclear);
         assert!(!forgets(orders(&mut world, n, &name, Some(failed.clone()))), "seed {seed}: unclear");
@@ -98,7 +98,7 @@
         let starts = orders(&mut world, n, &name, None);
         let here = |o: &Order| matches!(o, Order::Start { task, .. } if *task == id.text());
         assert!(starts.iter().any(here), "seed {seed}: the answer did not take it along");
-        let clock = world.clock(n);
+        let clock = world.local_time(n);
         let c = world.controllers[n].as_mut().unwrap();
         let token = c.machines[&name].row.token;
         c.handle(clock, Event::WorkerReply { machine: name.clone(), token, reply: DirectReply::NotSent });
--- a/src/coordination/simulation/mistakes.rs
+++ b/src/coordination/simulation/mistakes.rs
@@ -10,7 +10,8 @@
 #[test]
 fn mistaken_jobs_cost_no_machine_and_hold_nothing_up() {
     for seed in 0..6 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 26 });
+        let mut world =
+            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 26 });
         let machines: Vec<String> = (0..24)
             .map(|n| world.add_machine(if n < 18 { "c16" } else { "g8" }, ["east", "west"][n % 2], false))
             .collect();
@@ -26,7 +27,7 @@
             if n % 4 == 0 {
                 spec.shape = [Shape::Array, Shape::Gang, Shape::Array, Shape::Service][n as usize / 4 % 4];
                 spec.tasks = [20, 4, 1, 2][n as usize / 4 % 4];
-                world.mistaken.insert(spec.id.clone());
+                world.broken_jobs.insert(spec.id.clone());
                 mistaken.push(spec.id.clone());
             }
             world.submit(spec);
@@ -34,14 +35,14 @@
         }
         let n = world.rng.random_range(0..3);
         world.crash(n);
-        let before = world.started;
+        let before = world.tasks_started;
         let mut left = true;
         while left && world.now < Micros::from_secs(400) {
             world.run(world.now + Micros::from_millis(500));
             left = world
                 .jobs
                 .iter()
-                .any(|(id, w)| !mistaken.contains(id) && w.told_final.is_none() && !w.refused);
+                .any(|(id, w)| !mistaken.contains(id) && w.known_final.is_none() && !w.rejected);
             for c in world.controllers.iter().flatten() {
                 for (name, m) in c.machines.iter().filter(|(name, _)| machines.contains(name)) {
                     let wronged = m.quarantined && !faulty.contains(name);
@@ -51,15 +52,15 @@
         }
         for (id, wish) in world.jobs.iter().filter(|(id, _)| !mistaken.contains(id)) {
             assert!(
-                wish.refused || wish.told_final.is_some(),
+                wish.rejected || wish.known_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
                 world.describe(id)
             );
         }
         // Ten more minutes of tries: they become rare, and the users can still cancel.
-        let (so_far, from) = (world.started, world.now);
+        let (so_far, from) = (world.tasks_started, world.now);
         world.run(from + Micros::from_secs(600));
-        let tries = world.started - so_far;
+        let tries = world.tasks_started - so_far;
         assert!(
             tries < 400,
             "seed {seed}: {tries} tries of four mistaken jobs in ten minutes, {before} before"
@@ -68,7 +69,7 @@
         world.run(world.now + Micros::from_secs(40));
         for id in &mistaken {
             assert!(
-                world.jobs[id].told_final.is_some(),
+                world.jobs[id].known_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
                 world.describe(id)
             );
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -40,7 +40,7 @@
 fn what_the_volumes_leave_of_a_limit_goes_to_a_job_that_fits() {
     for seed in 3_000..3_003 {
         let mut world = roomy(seed, &RED);
-        world.runs_for = 8 * S..12 * S;
+        world.task_run_time = 8 * S..12 * S;
         let high = |owner, nth, shape, tasks| Wanted {
             owner,
             nth,
@@ -55,9 +55,9 @@
         submit(&mut world, "red", high(2, 0, Shape::Gang, 4));
         let low = Wanted { priority: Priority::Low, cpus: 3.0, ..high(1, 1, Shape::Array, 10) };
         let low = submit(&mut world, "red", low);
-        let begun = |w: &World| w.jobs[&low].begun > Micros::ZERO;
+        let begun = |w: &World| w.jobs[&low].last_task_start > Micros::ZERO;
         assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&low));
-        assert!(world.taken()[0].0 <= 24_000);
+        assert!(world.running_usage()[0].0 <= 24_000);
     }
 }
 
@@ -69,7 +69,7 @@
 fn a_gang_as_large_as_its_teams_limit_begins_beside_small_jobs_that_fit_into_the_rest() {
     for seed in 3_010..3_013 {
         let mut world = roomy(seed, &RED);
-        world.runs_for = 8 * S..12 * S;
+        world.task_run_time = 8 * S..12 * S;
         let low = |owner, nth| Wanted {
             owner,
             nth,
@@ -127,10 +127,10 @@
 }
 
 /// Records of progress come late.
-fn late_progress(t: &Transaction) -> Option<Fate> {
+fn late_progress(t: &Transaction) -> Option<CommitFault> {
     let progress =
         |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::COMPLETIONS_PREFIX));
-    t.writes.iter().any(progress).then_some(Fate::Late(Micros::from_secs(12)))
+    t.writes.iter().any(progress).then_some(CommitFault::Delayed(Micros::from_secs(12)))
 }
 
 /// A task that has ended stays on its machine until its completion is recorded, and counted against its team's limit until
@@ -139,7 +139,7 @@
 #[test]
 fn tasks_that_have_ended_and_are_not_recorded_yet_hold_nothing_of_a_limit() {
     let mut world = roomy(3_030, &RED);
-    world.runs_for = 3 * S..5 * S;
+    world.task_run_time = 3 * S..5 * S;
     let job = |owner| Wanted {
         owner,
         nth: 0,
@@ -152,11 +152,11 @@
     submit(&mut world, "red", job(1));
     submit(&mut world, "red", job(2));
     go(&mut world, Micros::from_secs(20));
-    world.fate_of = Some(late_progress);
+    world.commit_fault = Some(late_progress);
     let (mut used, samples) = (0, 300);
     for _ in 0..samples {
         go(&mut world, Micros::from_millis(200));
-        used += world.taken()[0].0;
+        used += world.running_usage()[0].0;
     }
     let part = used as f64 / samples as f64 / 24_000.0;
     assert!(part > 0.6, "{part:.2} of the limit was in use");
@@ -167,12 +167,13 @@
 #[test]
 fn a_plain_job_takes_an_idle_accelerator_machine_where_there_is_no_other() {
     for seed in 3_040..3_043 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 3 });
+        let mut world =
+            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 3 });
         world.tuning.idle_return_s = 900.0;
         for _ in 0..3 {
             world.add_machine("g8", "east", false);
         }
-        world.capacity = 0;
+        world.cloud_capacity = 0;
         world.run(Micros::from_secs(12));
         let accelerated = Wanted {
             owner: 1,
@@ -196,7 +197,7 @@
             gpus: 0.0,
         };
         let plain = submit(&mut world, "green", plain);
-        let begun = |w: &World| w.jobs[&plain].begun > Micros::ZERO;
+        let begun = |w: &World| w.jobs[&plain].last_task_start > Micros::ZERO;
         assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&plain));
     }
 }
@@ -250,7 +251,7 @@
         cpus,
         gpus: 0.0,
     };
-    world.runs_for = 500 * S..600 * S;
+    world.task_run_time = 500 * S..600 * S;
     submit(&mut world, "green", job(200, Shape::Array, 200, 8.0));
     for nth in 0..100 {
         submit(&mut world, "red", job(nth, Shape::Array, 1, 1.0));
@@ -284,7 +285,7 @@
 fn at_a_limit_in_full_use_a_job_that_has_waited_too_long_takes_the_next_place() {
     for seed in 3_060..3_063 {
         let mut world = roomy(seed, &RED);
-        world.runs_for = 55 * S..65 * S;
+        world.task_run_time = 55 * S..65 * S;
         let array = |owner, nth| Wanted {
             owner,
             nth,
@@ -297,11 +298,11 @@
         let first = submit(&mut world, "red", array(0, 0));
         go(&mut world, Micros::from_secs(8));
         let others: Vec<String> = (1..9).map(|nth| submit(&mut world, "red", array(nth % 3, nth))).collect();
-        let all_begun = |w: &World| others.iter().all(|id| w.jobs[id].begun > Micros::ZERO);
+        let all_begun = |w: &World| others.iter().all(|id| w.jobs[id].last_task_start > Micros::ZERO);
         let in_time = until(&mut world, AIM, all_begun);
-        let begun = others.iter().filter(|id| world.jobs[*id].begun > Micros::ZERO).count();
+        let begun = others.iter().filter(|id| world.jobs[*id].last_task_start > Micros::ZERO).count();
         assert!(in_time, "seed {seed}: {begun} of 8 begun; {}", world.describe(&first));
-        assert!(world.taken()[0].0 <= 24_000);
+        assert!(world.running_usage()[0].0 <= 24_000);
     }
 }
 
@@ -311,7 +312,8 @@
 #[test]
 fn machines_that_wait_for_the_rest_of_a_gang_to_boot_are_not_returned() {
     for seed in 3_070..3_073 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 60 });
+        let mut world =
+            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 60 });
         world.run(Micros::from_secs(12));
         let gang = Wanted {
             owner: 1,
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -9,7 +9,7 @@
 use super::*;
 
 /// Takes out of the queue what is under way and of this kind.
-fn take_out(world: &mut World, kind: impl Fn(&Happening) -> bool) -> Vec<Happening> {
+fn take_out(world: &mut World, kind: impl Fn(&SimEvent) -> bool) -> Vec<SimEvent> {
     let (taken, kept): (Vec<_>, Vec<_>) =
         std::mem::take(&mut world.queue).into_iter().partition(|scheduled| kind(&scheduled.2));
     world.queue = kept.into();
@@ -26,12 +26,13 @@
         world.run(world.now + Micros::from_millis(1));
         let lost = take_out(
             world,
-            |what| matches!(what, Happening::Orders { node, machine: to, .. } if *node == from && to == machine),
+            |what| matches!(what, SimEvent::Orders { node, machine: to, .. } if *node == from && to == machine),
         );
         for call in lost {
-            let Happening::Orders { node, life, machine, orders, .. } = call else { continue };
+            let SimEvent::Orders { node, incarnation: life, machine, orders, .. } = call else { continue };
             let event = Event::WorkerReply { machine, token: orders.token, reply: DirectReply::Unclear };
-            world.at(world.now + PATIENCE, Happening::ToController { node, life, event });
+            world
+                .schedule_at(world.now + PATIENCE, SimEvent::ToController { node, incarnation: life, event });
         }
     }
     true
@@ -56,8 +57,8 @@
 fn end_elsewhere(world: &mut World, job: &str, machine: &str, after: Micros) {
     let at = world.now + after;
     for (_, w) in world.workers.iter_mut().filter(|(name, _)| *name != machine) {
-        let running = w.tasks.iter_mut().filter(|(id, t)| id.job == job && t.is_here());
-        running.for_each(|(_, t)| t.until = at);
+        let running = w.tasks.iter_mut().filter(|(id, t)| id.job == job && t.counts_as_running());
+        running.for_each(|(_, t)| t.state_until = at);
     }
 }
 
@@ -67,8 +68,8 @@
     world.crash_for(owner, Micros::from_secs(60));
     let node = records::registration_key(&world.settings[owner].member);
     world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
-    let testimony = |what: &Happening| {
-        let Happening::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
+    let testimony = |what: &SimEvent| {
+        let SimEvent::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
         *node == heir && matches!(message, PeerMessage::Testimony { .. })
     };
     let end = world.now + Micros::from_secs(4);
@@ -92,8 +93,8 @@
         let (job, machine) = full(&mut world, passing_on(owner, newcomer).next().unwrap(), owner);
         // The newcomer's load is held up until the machine has changed hands.
         world.crash_for(newcomer, Micros::from_millis(200));
-        let load = |what: &Happening| {
-            matches!(what, Happening::StoreCall { node, call: StoreCall::List { prefix, .. }, .. }
+        let load = |what: &SimEvent| {
+            matches!(what, SimEvent::StoreCall { node, call: StoreCall::List { prefix, .. }, .. }
                 if *node == newcomer && prefix == records::WATCHED_PREFIX)
         };
         let mut held_up = Vec::new();
@@ -110,7 +111,7 @@
         };
         let all_have = |w: &World| (0..3).filter(|n| *n != newcomer).all(|n| in_view(w, n));
         assert!(until(&mut world, Micros::from_secs(4), all_have), "seed {seed}: no view names it");
-        world.befalls(Spell::WatchHangs(owner), Micros::MAX);
+        world.begin_fault(TimedFault::WatchHangs(owner), Micros::MAX);
         let leader = world.leader().unwrap();
         grant_to(&mut world, &machine, newcomer);
         let given = |w: &World| {
@@ -119,7 +120,7 @@
         };
         assert!(until(&mut world, Micros::from_secs(2), given), "seed {seed}: not granted");
         for call in held_up {
-            world.at(world.now, call);
+            world.schedule_at(world.now, call);
         }
         let known = |w: &World| {
             let Some(c) = w.controllers[newcomer].as_ref() else { return false };
@@ -127,7 +128,7 @@
         };
         assert!(until_unreached(&mut world, newcomer, &machine, known), "seed {seed}: nobody witnessed it");
         // The former holder goes on without the newcomer, which hears nothing of it.
-        world.befalls(Spell::Apart(owner, newcomer), Micros::MAX);
+        world.begin_fault(TimedFault::Partitioned(owner, newcomer), Micros::MAX);
         let before: BTreeSet<TaskId> = world.workers[&machine].tasks.keys().cloned().collect();
         end_some(&mut world, &job, u32::MAX);
         let begun = |w: &World| {
@@ -149,7 +150,7 @@
 /// A controller ends for long, and its registration with it; once the view is without it.
 fn is_away(world: &mut World, away: usize) {
     world.controllers[away] = None;
-    world.lives[away] += 1;
+    world.incarnations[away] += 1;
     let node = records::registration_key(&world.settings[away].member);
     world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
     let gone = |w: &World| w.controllers.iter().flatten().all(|c| c.view.members.len() == 2);
@@ -179,8 +180,8 @@
 
 /// One status of a controller reaches another that has never heard it, and what that one answers is lost.
 fn one_status(world: &mut World, from: usize, to: usize) {
-    let apart = Spell::Apart(from, to);
-    world.spells.retain(|(spell, ..)| *spell != apart);
+    let apart = TimedFault::Partitioned(from, to);
+    world.faults.retain(|(spell, ..)| *spell != apart);
     let member = world.settings[from].member.clone();
     let heard = |w: &World| w.controllers[to].as_ref().unwrap().peers.contains_key(&member);
     let end = world.now + Micros::from_secs(3);
@@ -188,9 +189,9 @@
         assert!(world.now < end, "nothing is heard");
         world.run(world.now + Micros::from_millis(1));
     }
-    world.befalls(apart, Micros::MAX);
+    world.begin_fault(apart, Micros::MAX);
     take_out(world, |what| {
-        let Happening::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
+        let SimEvent::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
         *node == from && matches!(message, PeerMessage::ResyncRequest)
     });
 }
@@ -208,14 +209,14 @@
         let (job, [room, machine]) = on_two_machines(&mut world, number, witness);
         // The witness knows all that is on a machine that it gives to the holder, and hears nothing of that one after it.
         grant_to(&mut world, &machine, holder);
-        world.befalls(Spell::Apart(holder, witness), Micros::MAX);
-        world.befalls(Spell::Apart(holder, newcomer), Micros::MAX);
+        world.begin_fault(TimedFault::Partitioned(holder, witness), Micros::MAX);
+        world.begin_fault(TimedFault::Partitioned(holder, newcomer), Micros::MAX);
         let token = |w: &World, by: usize| w.controllers[by].as_ref().unwrap().machines[&machine].row.token;
         let held = |w: &World| holds(w, holder, &machine) && token(w, holder) == token(w, witness);
         assert!(until(&mut world, Micros::from_secs(3), held), "seed {seed}: not granted");
         // The newcomer is in the view, of which the holder does not read yet.
-        world.befalls(Spell::WatchHangs(holder), Micros::MAX);
-        world.at(world.now, Happening::Start(newcomer));
+        world.begin_fault(TimedFault::WatchHangs(holder), Micros::MAX);
+        world.schedule_at(world.now, SimEvent::Start(newcomer));
         let three = |w: &World| w.controllers[witness].as_ref().unwrap().view.members.len() == 3;
         assert!(until(&mut world, Micros::from_secs(4), three), "seed {seed}: no view names it");
         grant_to(&mut world, &room, newcomer);
@@ -228,7 +229,7 @@
         }
         met += 1;
         // From here on the witness reads nothing either. The holder starts tasks of which nobody else hears.
-        world.befalls(Spell::WatchHangs(witness), Micros::MAX);
+        world.begin_fault(TimedFault::WatchHangs(witness), Micros::MAX);
         let before: BTreeSet<TaskId> = world.workers[&machine].tasks.keys().cloned().collect();
         end_some(&mut world, &job, u32::MAX);
         let begun = |w: &World| {
@@ -238,7 +239,7 @@
         let all = until(&mut world, Micros::from_secs(10), |w| begun(w) == 16);
         assert!(all, "seed {seed}: {} begun", begun(&world));
         // It reads of the newcomer, and goes on without that one too.
-        world.spells.retain(|(spell, ..)| *spell != Spell::WatchHangs(holder));
+        world.faults.retain(|(spell, ..)| *spell != TimedFault::WatchHangs(holder));
         let alone = |w: &World| w.controllers[holder].as_ref().unwrap().announcements.uninformed().len() == 2;
         assert!(until(&mut world, Micros::from_secs(3), alone), "seed {seed}: it waits for somebody");
         // What it said of these tasks is lost.
--- a/src/coordination/simulation/odd.rs
+++ b/src/coordination/simulation/odd.rs
@@ -8,38 +8,38 @@
 
 impl World {
     /// A user asks one controller, or all, for something that makes no sense.
-    pub(super) fn ask_oddly(&mut self) {
+    pub(super) fn send_invalid_request(&mut self) {
         let node = self.rng.random_range(0..self.settings.len());
-        self.meets("odd");
+        self.record_fault("odd");
         match self.rng.random_range(0..5) {
             0 => {
-                let unfinished = |w: &Wish| w.told_accepted && w.told_final.is_none();
-                self.ask_of_one(node, Look::Submits, unfinished);
+                let unfinished = |w: &UserJob| w.known_accepted && w.known_final.is_none();
+                self.request_for_random_job(node, UserRequest::Submit, unfinished);
             }
             1 => {
-                let done = |w: &Wish| w.told_final.is_some_and(|(state, _)| state == FinalState::Done);
-                self.ask_of_one(node, Look::Withdraws, done);
+                let done = |w: &UserJob| w.known_final.is_some_and(|(state, _)| state == FinalState::Done);
+                self.request_for_random_job(node, UserRequest::Withdraw, done);
             }
             2 => {
-                self.ask_of_one(node, Look::Asks, |w: &Wish| w.refused);
-                self.ask_of_one(node, Look::Withdraws, |w: &Wish| w.refused);
+                self.request_for_random_job(node, UserRequest::Query, |w: &UserJob| w.rejected);
+                self.request_for_random_job(node, UserRequest::Withdraw, |w: &UserJob| w.rejected);
             }
-            3 => self.submit_unfit(),
-            _ => self.ask_of_unknown(),
+            3 => self.submit_infeasible_job(),
+            _ => self.request_unknown_job(),
         }
     }
 
     /// Asks about one of the jobs of which something is so.
-    fn ask_of_one(&mut self, node: usize, look: Look, which: fn(&Wish) -> bool) {
+    fn request_for_random_job(&mut self, node: usize, look: UserRequest, which: fn(&UserJob) -> bool) {
         let jobs: Vec<String> =
             self.jobs.iter().filter(|(_, wish)| which(wish)).map(|(id, _)| id.clone()).collect();
         if !jobs.is_empty() {
             let job = jobs[self.rng.random_range(0..jobs.len())].clone();
-            self.look(node, job, look);
+            self.try_user_request(node, job, look);
         }
     }
 
-    fn submit_unfit(&mut self) {
+    fn submit_infeasible_job(&mut self) {
         let number = 700_000 + self.jobs.len() as u32;
         let mut job = self.random_job(number);
         match self.rng.random_range(0..5) {
@@ -54,9 +54,9 @@
     }
 
     /// What can never run was refused, and nobody has said anything else since.
-    pub(super) fn odd_ones_refused(&self) {
+    pub(super) fn check_infeasible_jobs_rejected(&self) {
         for (id, wish) in self.jobs.iter().filter(|(id, _)| id.starts_with(UNFIT)) {
-            assert!(wish.refused && !wish.told_accepted, "accepted, and can never run: {:?}", wish.spec);
+            assert!(wish.rejected && !wish.known_accepted, "accepted, and can never run: {:?}", wish.spec);
             assert!(
                 !self.store.keys.contains_key(&records::live_job_key(id)),
                 "{id} is kept, and can never run"
--- a/src/coordination/simulation/outages.rs
+++ b/src/coordination/simulation/outages.rs
@@ -24,9 +24,9 @@
         (world.store_calls - before) as f64 / seconds as f64
     };
     let usual = rate(&mut world, 5);
-    let over = |world: &World| world.jobs.values().filter(|w| w.told_final.is_some()).count();
+    let over = |world: &World| world.jobs.values().filter(|w| w.known_final.is_some()).count();
     let before = over(&world);
-    world.befalls(Spell::StoreDown, world.now + Micros::from_secs(25));
+    world.begin_fault(TimedFault::StoreDown, world.now + Micros::from_secs(25));
     world.run(world.now + Micros::from_secs(10));
     let away = rate(&mut world, 15);
     assert!(away < usual * 1.5 + 10.0, "{away} calls a second to a store that is away, {usual} before");
@@ -36,7 +36,7 @@
     assert!(before < 40, "no job was left to end in the outage");
     world.run(world.now + Micros::from_secs(200));
     for (id, wish) in &world.jobs {
-        assert!(wish.told_final.is_some(), "{id} is not over\n{}", world.describe(id));
+        assert!(wish.known_final.is_some(), "{id} is not over\n{}", world.describe(id));
     }
 }
 
@@ -48,7 +48,7 @@
         let w = &mut s.params.workers;
         (w.report_s, w.lease_s, w.cancel_s) = (report_s, lease_s, cancel_s);
     }
-    world.runs_for = 200 * S..300 * S;
+    world.task_run_time = 200 * S..300 * S;
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
     }
@@ -58,10 +58,10 @@
         world.submit(spec);
     }
     world.run(Micros::from_secs(30));
-    assert!(world.started > 50, "seed {seed}: only {} tasks run", world.started);
-    world.befalls(Spell::StoreDown, world.now + Micros::from_secs(seconds));
+    assert!(world.tasks_started > 50, "seed {seed}: only {} tasks run", world.tasks_started);
+    world.begin_fault(TimedFault::StoreDown, world.now + Micros::from_secs(seconds));
     world.run(world.now + Micros::from_secs(seconds + 30));
-    world.met.lost_by_lease
+    world.coverage.tasks_lost_to_lease_expiry
 }
 
 /// The times of the deployments: the rig's, maapoue-cores, selatferi-hq, selatcargo.
@@ -109,19 +109,19 @@
         for round in 0..4u64 {
             let n = (seed + round) as usize % 3;
             let length = [4, 9, 17, 37][round as usize];
-            world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(length));
+            world.begin_fault(TimedFault::ControllerPaused(n), world.now + Micros::from_secs(length));
             if round % 2 == 1 {
                 world.crash((n + 1) % 3);
             }
             world.run(world.now + Micros::from_secs(length + 8));
         }
-        world.trouble = Trouble::default();
+        world.fault_profile = Trouble::default();
         for wish in world.jobs.values_mut() {
             wish.wants_withdrawal |= wish.spec.as_ref().is_some_and(|s| s.shape == Shape::Service);
         }
         world.run(world.now + Micros::from_secs(400));
         for (id, wish) in &world.jobs {
-            let over = wish.refused || wish.told_final.is_some();
+            let over = wish.rejected || wish.known_final.is_some();
             assert!(over, "seed {seed}: {id} is not over\n{}", world.describe(id));
         }
     }
--- a/src/coordination/simulation/overload.rs
+++ b/src/coordination/simulation/overload.rs
@@ -19,7 +19,7 @@
 }
 
 fn cluster(seed: u64, machines: usize) -> World {
-    let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines });
+    let mut world = World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines });
     for n in 0..machines {
         world.add_machine("c16", if n % 2 == 0 { "east" } else { "west" }, false);
     }
@@ -40,8 +40,8 @@
 fn done(world: &World) -> (f64, f64) {
     let specs = || world.jobs.values().filter_map(|w| Some((w, w.spec.as_ref()?)));
     let tasks: u32 = specs().map(|(_, s)| s.tasks).sum();
-    let tasks_done: usize = specs().map(|(w, _)| w.tasks_done.len()).sum();
-    let jobs = specs().filter(|(w, s)| w.tasks_done.len() == s.tasks as usize).count();
+    let tasks_done: usize = specs().map(|(w, _)| w.completed_tasks.len()).sum();
+    let jobs = specs().filter(|(w, s)| w.completed_tasks.len() == s.tasks as usize).count();
     (tasks_done as f64 / f64::from(tasks), jobs as f64 / world.jobs.len() as f64)
 }
 
@@ -68,7 +68,7 @@
         assert!(jobs >= tasks - 0.05, "seed {seed}: {jobs:.2} of the jobs, {tasks:.2} of the tasks");
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
         }
     }
 }
@@ -76,7 +76,7 @@
 /// A flood of one class, then a few jobs of another: how long the longest of these takes, in seconds.
 fn quiet_beside_flood(seed: u64, alone: bool) -> f64 {
     let mut world = cluster(seed, 16);
-    world.alone = alone;
+    world.ignore_leader_volumes = alone;
     world.run(Micros::from_secs(5));
     for n in 0..120 {
         let spec = plain(&mut world, n, "flood", "green", 30);
@@ -93,7 +93,7 @@
             id
         })
         .collect();
-    let over = |w: &World, id: &String| w.jobs[id].tasks_done.len() == 5;
+    let over = |w: &World, id: &String| w.jobs[id].completed_tasks.len() == 5;
     while !quiet.iter().all(|id| over(&world, id)) && world.now < from + Micros::from_secs(400) {
         world.run(world.now + Micros::from_secs(1));
     }
@@ -135,9 +135,9 @@
                 6 => world.crash(seed as usize % 3),
                 10 => {
                     let n = (seed as usize + 1) % 3;
-                    world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(8));
+                    world.begin_fault(TimedFault::ControllerPaused(n), world.now + Micros::from_secs(8));
                 }
-                16 => world.befalls(Spell::Apart(0, 1), world.now + Micros::from_secs(12)),
+                16 => world.begin_fault(TimedFault::Partitioned(0, 1), world.now + Micros::from_secs(12)),
                 24 => {
                     let leads = |c: &Option<Controller>| c.as_ref().is_some_and(Controller::leading);
                     if let Some(n) = world.controllers.iter().position(leads) {
@@ -150,13 +150,13 @@
         }
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
             let quiet = wish.spec.as_ref().is_some_and(|s| s.class == "quiet");
             let most = if quiet { 6 } else { 12 };
-            assert!(wish.turned_away <= most, "seed {seed}: {id} was turned away {} times", wish.turned_away);
+            assert!(wish.deferrals <= most, "seed {seed}: {id} was turned away {} times", wish.deferrals);
         }
         // In any five seconds: the rate and one burst. Those that are on their way add a little.
-        let changes = &world.changes;
+        let changes = &world.store_writes;
         for (i, (from, _)) in changes.iter().enumerate() {
             let within = changes[i..].iter().take_while(|(at, _)| at.since(*from) < Micros::from_secs(5));
             let sum: u32 = within.map(|c| c.1).sum();
--- a/src/coordination/simulation/pairs.rs
+++ b/src/coordination/simulation/pairs.rs
@@ -106,7 +106,7 @@
         let mut alone = Trouble::default();
         brings(&mut alone);
         let met =
-            |seed| super::troubles::play(seed, alone).met.troubles.get(name).copied().unwrap_or_default();
+            |seed| super::troubles::play(seed, alone).coverage.faults.get(name).copied().unwrap_or_default();
         let met: u32 = (0..3).map(|seed| met(90_000 + 10 * n as u64 + seed)).sum();
         eprintln!("{name}: {met}");
         assert!(met > 0, "{name} was not met");
--- a/src/coordination/simulation/quota_guard.rs
+++ b/src/coordination/simulation/quota_guard.rs
@@ -80,9 +80,9 @@
 }
 
 /// What the leader writes of divisions comes late.
-fn late_divisions(t: &Transaction) -> Option<Fate> {
+fn late_divisions(t: &Transaction) -> Option<CommitFault> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::QUOTA_KEY));
-    written.then_some(Fate::Late(Micros::from_secs(60)))
+    written.then_some(CommitFault::Delayed(Micros::from_secs(60)))
 }
 
 /// Guards production: after a breach nothing more of the team starts, of others all does, and once the rule holds again the
@@ -93,7 +93,7 @@
     world.controllers.iter_mut().flatten().for_each(|c| c.quota_guard.tolerate_breaches = true);
     // The leader would mend the record at once.
     let leader = world.leader().unwrap();
-    world.fate_of = Some(late_divisions);
+    world.commit_fault = Some(late_divisions);
     let sound = division(&world);
     grant_each(&mut world, 30_000);
     go(&mut world, Micros::from_millis(1_500));
@@ -114,9 +114,9 @@
 }
 
 /// What controllers record of those that they do not wait for comes late.
-fn late_records_of_the_uninformed(t: &Transaction) -> Option<Fate> {
+fn late_records_of_the_uninformed(t: &Transaction) -> Option<CommitFault> {
     let key = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::UNINFORMED_PREFIX));
-    t.writes.iter().any(key).then_some(Fate::Late(Micros::from_secs(30)))
+    t.writes.iter().any(key).then_some(CommitFault::Delayed(Micros::from_secs(30)))
 }
 
 /// Guards a limit against starts that were planned within a share of a former view: they wait to be sent while the view
@@ -129,10 +129,10 @@
         let (waits, leader) = (1, world.leader().unwrap());
         assert_ne!(waits, leader, "seed {seed}");
         let back = 2 - leader;
-        world.passed_over = Some(waits);
+        world.excluded_controller = Some(waits);
         // Another member does not hear of its starts, nor can it record that it goes on without that one.
-        world.fate_of = Some(late_records_of_the_uninformed);
-        world.befalls(Spell::Apart(waits, back), world.now + Micros::from_secs(14));
+        world.commit_fault = Some(late_records_of_the_uninformed);
+        world.begin_fault(TimedFault::Partitioned(waits, back), world.now + Micros::from_secs(14));
         let waiting = |w: &World| -> Vec<TaskId> {
             let machines = w.controllers[waits].as_ref().unwrap().machines.values();
             let tasks = machines.flat_map(|m| &m.tasks).filter(|(_, t)| t.pending.is_some());
--- a/src/coordination/simulation/replaced_links.rs
+++ b/src/coordination/simulation/replaced_links.rs
@@ -19,10 +19,11 @@
         let last = world.sequence;
         // Messages are on their way for longer than a step.
         world.run(world.now + Micros::from_millis(1));
-        let mut new: Vec<&Scheduled> = world.queue.iter().filter(|scheduled| scheduled.1 > last).collect();
+        let mut new: Vec<&ScheduledEvent> =
+            world.queue.iter().filter(|scheduled| scheduled.1 > last).collect();
         new.sort_by_key(|scheduled| scheduled.1);
         for scheduled in new {
-            let Happening::ToController { node, event: Event::Peer(by, message), .. } = &scheduled.2 else {
+            let SimEvent::ToController { node, event: Event::Peer(by, message), .. } = &scheduled.2 else {
                 continue;
             };
             if *node == to {
@@ -36,7 +37,7 @@
 /// All of it comes once more, in its order.
 fn comes_again(world: &mut World, to: usize, told: &Told) {
     for (by, message) in told {
-        world.tell(to, Event::Peer(by.clone(), message.clone()));
+        world.deliver_event(to, Event::Peer(by.clone(), message.clone()));
     }
 }
 
--- a/src/coordination/simulation/returns.rs
+++ b/src/coordination/simulation/returns.rs
@@ -36,7 +36,7 @@
         let all = (0..3).map(|n| (n, held(world.controllers[n].as_ref().unwrap())));
         let (n, machines) = all.max_by_key(|(_, held)| held.len()).unwrap();
         for name in machines.iter().take(2) {
-            world.workers.get_mut(name).unwrap().cut_until = Micros::MAX;
+            world.workers.get_mut(name).unwrap().partitioned_until = Micros::MAX;
         }
         world.crash_for(n, Micros::from_millis(300));
         let since = world.now;
@@ -50,7 +50,7 @@
             "seed {seed}: back for 1 s, waits for {:?}",
             c.unresolved_machines
         );
-        world.all_over(600, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(600, &format!("seed {seed}"));
     }
 }
 
@@ -69,7 +69,7 @@
             lead.is_some_and(|lead| lead.grant_in_flight)
         }),
         ("within a second", |w, n| {
-            w.controllers[n].is_some() && w.booted[n] + Micros::from_millis(400) < w.now
+            w.controllers[n].is_some() && w.started_at[n] + Micros::from_millis(400) < w.now
         }),
     ];
     let trouble =
@@ -80,7 +80,7 @@
             let mut world = busy(40 + seed + 10 * i as u64, trouble, 300);
             for round in 0..6usize {
                 if round == 3 {
-                    world.befalls(Spell::StoreDown, world.now + Micros::from_secs(3));
+                    world.begin_fault(TimedFault::StoreDown, world.now + Micros::from_secs(3));
                 }
                 let leader = (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::leading));
                 let n = leader.filter(|_| round % 2 == 0).unwrap_or(round % 3);
@@ -100,7 +100,7 @@
                 }
                 world.run(world.now + Micros::from_millis(1_500));
             }
-            world.all_over(600, &format!("seed {seed}"));
+            world.expect_all_jobs_to_end(600, &format!("seed {seed}"));
         }
         assert!(met >= 6, "{name}: met only {met} times");
     }
@@ -113,16 +113,16 @@
     let trouble = Trouble { machine_dies: 0.03, machine_cut: 0.05, ..Default::default() };
     for seed in 0..4 {
         let mut world = busy(80 + seed, trouble, 600);
-        let before = world.started;
+        let before = world.tasks_started;
         for n in 0..40 {
             let back = Micros(world.rng.random_range(50 * MS..700 * MS));
             world.crash_for(n % 3, back);
             let pause = Micros(world.rng.random_range(500 * MS..2_500 * MS));
             world.run(world.now + pause);
         }
-        let started = world.started - before;
+        let started = world.tasks_started - before;
         assert!(started > 200, "seed {seed}: {started} starts while controllers ended again and again");
-        world.all_over(600, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(600, &format!("seed {seed}"));
     }
 }
 
@@ -146,7 +146,7 @@
                 c.unresolved_machines
             );
         }
-        world.all_over(600, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(600, &format!("seed {seed}"));
     }
 }
 
--- a/src/coordination/simulation/second_starts.rs
+++ b/src/coordination/simulation/second_starts.rs
@@ -19,7 +19,7 @@
         let c = world.controllers[leader].as_mut().unwrap();
         let moves = [(machine.to_owned(), format!("n-{to}"))].into();
         if c.grant(moves, Vec::new(), BTreeSet::new(), None) {
-            return world.tell(leader, Event::Tick);
+            return world.deliver_event(leader, Event::Tick);
         }
         assert!(world.now < until, "nothing can be granted");
         world.run(world.now + Micros::from_millis(1));
@@ -34,13 +34,13 @@
     let mut there = 0;
     for seed in 500..520 {
         let (mut world, n, name, id) = starting(seed);
-        world.trouble.held_up = 0.0;
-        world.runs_for = 20 * S..30 * S;
+        world.fault_profile.held_up = 0.0;
+        world.task_run_time = 20 * S..30 * S;
         let starts = orders(&mut world, n, &name, None);
         let c = world.controllers[n].as_ref().unwrap();
         let (token, session) = (c.machines[&name].row.token, c.machines[&name].session);
         let sent = world.now;
-        world.execute(&name, DirectOrders { token, session, orders: starts }, sent);
+        world.execute_orders(&name, DirectOrders { token, session, orders: starts }, sent);
         let to = other_than(&world, n);
         // The call is still under way when the new holder's token is at the machine.
         grant_to(&mut world, &name, to);
@@ -48,10 +48,10 @@
         while world.workers[&name].token == token && world.now < until {
             world.run(world.now + Micros::from_millis(1));
         }
-        let report = world.workers[&name].report(&name, world.now);
+        let report = world.workers[&name].build_report(&name, world.now);
         there += u32::from(world.workers[&name].tasks.contains_key(&id));
         let rejected = DirectReply::Rejected(Box::new(report));
-        world.tell(n, Event::WorkerReply { machine: name.clone(), token, reply: rejected });
+        world.deliver_event(n, Event::WorkerReply { machine: name.clone(), token, reply: rejected });
         // The judge of the rules sees each start.
         world.run(world.now + Micros::from_secs(15));
     }
@@ -114,7 +114,7 @@
         };
         let c = world.controllers[n].as_ref().unwrap();
         assert_eq!(c.machines[&machine].row.token, status.machines[0].token, "seed {seed}: moved meanwhile");
-        world.tell(n, Event::Peer(from, PeerMessage::Status(status)));
+        world.deliver_event(n, Event::Peer(from, PeerMessage::Status(status)));
         let c = world.controllers[n].as_ref().unwrap();
         let still = c.machines[&name].tasks.get(&id);
         assert!(still.is_none(), "seed {seed}: {id:?} stays planned on {name}, and may run on {machine}");
@@ -136,7 +136,7 @@
         let (mut world, n, name, id) = starting(seed);
         // By then the call is at the machine, and held up there.
         world.run(world.now + Micros::from_millis(10));
-        world.trouble.held_up = 0.0;
+        world.fault_profile.held_up = 0.0;
         let machine = &world.controllers[n].as_ref().unwrap().machines[&name];
         let (token, session, attempt) = (machine.row.token, machine.session, machine.tasks[&id].attempt);
         let sent = world.now;
@@ -149,10 +149,10 @@
         latest = latest.max(world.now.since(sent));
         // The call arrives now at the earliest: it is late.
         let start = vec![Order::Start { task: id.text(), attempt }];
-        let reply = world.execute(&name, DirectOrders { token, session, orders: start }, sent);
+        let reply = world.execute_orders(&name, DirectOrders { token, session, orders: start }, sent);
         assert!(matches!(reply, DirectReply::Rejected(_)), "seed {seed}: {reply:?}");
         world.run(world.now + Micros::from_secs(10));
-        assert!(world.jobs[&id.job].told_final.is_some(), "seed {seed}: the withdrawal was not confirmed");
+        assert!(world.jobs[&id.job].known_final.is_some(), "seed {seed}: the withdrawal was not confirmed");
     }
     eprintln!("a fresh token after {latest:?} at most");
 }
--- a/src/coordination/simulation/services.rs
+++ b/src/coordination/simulation/services.rs
@@ -43,7 +43,7 @@
 
 /// Standing machines with accelerators in both zones, and services in a hurry.
 fn hurried(seed: u64, trouble: Trouble, machines: usize, standing: usize, guaranteed: f64) -> World {
-    let mut world = World::sized(seed, trouble, Size { controllers: 3, machines });
+    let mut world = World::with_size(seed, trouble, ClusterSize { controllers: 3, machines });
     in_a_hurry(&mut world, guaranteed);
     for n in 0..standing {
         world.add_machine("g8", ["east", "west"][n % 2], false);
@@ -80,7 +80,7 @@
             let next = world.now + Micros::from_secs(4);
             world.run(next);
         }
-        world.calm_after = world.now;
+        world.fault_free_from = world.now;
         world.jobs.get_mut("j-000003").unwrap().wants_withdrawal = true;
         let end = world.now + Micros::from_secs(120);
         world.run(end);
@@ -90,7 +90,7 @@
             assert_eq!(serving(&world, &id), tasks, "seed {seed}: {id}\n{}", world.describe(&id));
         }
         assert_eq!(serving(&world, "j-000003"), 0, "seed {seed}: a withdrawn service runs");
-        assert!(world.jobs["j-000003"].told_final.is_some());
+        assert!(world.jobs["j-000003"].known_final.is_some());
     }
 }
 
@@ -134,13 +134,13 @@
     };
     let dying = used(&world)[0].clone();
     // Gone, though the cloud still lists it as running.
-    world.workers.get_mut(&dying).unwrap().cut_until = Micros::MAX;
+    world.workers.get_mut(&dying).unwrap().partitioned_until = Micros::MAX;
     world.run(Micros::from_secs(54));
     assert!(!world.workers.contains_key(&dying), "the dead machine was not returned");
     assert_eq!(all(&world), 64, "not replaced 14 s after its machine died: {}", world.describe("j-000000"));
     let before: Vec<String> = used(&world);
     for w in world.workers.values_mut().filter(|w| w.zone == "east") {
-        w.cut_until = Micros::from_secs(64);
+        w.partitioned_until = Micros::from_secs(64);
     }
     world.run(Micros::from_secs(80));
     let gone: Vec<&String> = before.iter().filter(|name| !world.workers.contains_key(*name)).collect();
--- a/src/coordination/simulation/spells.rs
+++ b/src/coordination/simulation/spells.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Spell {
+pub(super) enum TimedFault {
     /// The store answers nobody, and afterwards all leases regain their time.
     StoreDown,
     /// The store refuses this controller alone; its leases run out meanwhile.
@@ -16,24 +16,24 @@
     /// A controller reaches neither the store nor the other controllers; workers and users reach it.
     Isolated(usize),
     /// A controller stands still while its clock runs on: what comes for it waits.
-    StandsStill(usize),
+    ControllerPaused(usize),
     /// A controller stands still between a decision and the sending of what it has decided: the first event in the spell
     /// is handled, its effects leave when the spell is over, and whatever else comes for it waits.
-    StallsBeforeSending(usize),
+    PausedBeforeSending(usize),
     /// Two controllers do not reach each other.
-    Apart(usize, usize),
+    Partitioned(usize, usize),
     /// No controller reaches another.
-    AllApart,
+    AllPartitioned,
     /// The workers and controllers of a zone reach only each other.
-    ZoneCut(&'static str),
+    ZonePartitioned(&'static str),
 }
 
 /// What befalls a transaction that reaches the store: it is carried out at once and its answer lost, or gets no answer
 /// and is carried out that much later.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Fate {
-    AnswerLost,
-    Late(Micros),
+pub(super) enum CommitFault {
+    ReplyLost,
+    Delayed(Micros),
 }
 
 /// How long a client waits for the store beyond what a watch is to be held for.
@@ -43,37 +43,37 @@
 
 impl World {
     /// A spell begins now.
-    pub(super) fn befalls(&mut self, spell: Spell, until: Micros) {
+    pub(super) fn begin_fault(&mut self, spell: TimedFault, until: Micros) {
         let now = self.now;
-        self.spells.retain(|(.., until)| *until > now);
-        self.spells.push((spell, now, until));
-        self.spells_over = self.spells_over.max(until);
-        if spell == Spell::StoreDown {
-            let until = self.until(spell);
-            self.store.regain(until);
+        self.faults.retain(|(.., until)| *until > now);
+        self.faults.push((spell, now, until));
+        self.faults_end = self.faults_end.max(until);
+        if spell == TimedFault::StoreDown {
+            let until = self.active_until(spell);
+            self.store.renew_all_leases(until);
         }
     }
 
     /// A spell begins later.
-    pub(super) fn will_befall(&mut self, from: Micros, spell: Spell, length: Micros) {
-        self.at(from, Happening::Befalls(spell, from + length));
+    pub(super) fn schedule_fault(&mut self, from: Micros, spell: TimedFault, length: Micros) {
+        self.schedule_at(from, SimEvent::FaultBegins(spell, from + length));
     }
 
-    pub(super) fn under(&self, spell: Spell) -> bool {
-        self.spells.iter().any(|(s, _, until)| *s == spell && self.now < *until)
+    pub(super) fn is_active(&self, spell: TimedFault) -> bool {
+        self.faults.iter().any(|(s, _, until)| *s == spell && self.now < *until)
     }
 
     /// When what one controller says to another now will arrive, though they are cut off from each other. A link holds
     /// what was sent before its sender noticed that nothing moves, and brings it in order when the cut is over.
-    pub(super) fn held_until(&self, from: usize, to: usize) -> Option<Micros> {
+    pub(super) fn held_message_arrival(&self, from: usize, to: usize) -> Option<Micros> {
         let zones = [self.controller_zones[from], self.controller_zones[to]];
-        let between = |s: &Spell| match s {
-            Spell::ZoneCut(zone) => zones[0] != zones[1] && zones.contains(zone),
-            Spell::Isolated(n) => [from, to].contains(n),
-            Spell::Apart(a, b) => [(from, to), (to, from)].contains(&(*a, *b)),
+        let between = |s: &TimedFault| match s {
+            TimedFault::ZonePartitioned(zone) => zones[0] != zones[1] && zones.contains(zone),
+            TimedFault::Isolated(n) => [from, to].contains(n),
+            TimedFault::Partitioned(a, b) => [(from, to), (to, from)].contains(&(*a, *b)),
             _ => false,
         };
-        let cuts = self.spells.iter().filter(|(s, _, until)| between(s) && self.now < *until);
+        let cuts = self.faults.iter().filter(|(s, _, until)| between(s) && self.now < *until);
         let (since, until) = cuts.fold((Micros::MAX, Micros::ZERO), |(since, until), (_, from, to)| {
             (since.min(*from), until.max(*to))
         });
@@ -81,36 +81,38 @@
     }
 
     /// When the last spell of a kind ends.
-    pub(super) fn until(&self, spell: Spell) -> Micros {
-        let ends = self.spells.iter().filter(|(s, ..)| *s == spell).map(|(.., until)| *until);
+    pub(super) fn active_until(&self, spell: TimedFault) -> Micros {
+        let ends = self.faults.iter().filter(|(s, ..)| *s == spell).map(|(.., until)| *until);
         ends.max().unwrap_or_default()
     }
 
     /// Until when a zone is cut off.
-    pub(super) fn zone_cut_until(&self, zone: &str) -> Micros {
-        let cuts = self.spells.iter().filter(|(s, ..)| matches!(s, Spell::ZoneCut(z) if *z == zone));
+    pub(super) fn zone_partitioned_until(&self, zone: &str) -> Micros {
+        let cuts =
+            self.faults.iter().filter(|(s, ..)| matches!(s, TimedFault::ZonePartitioned(z) if *z == zone));
         cuts.map(|(.., until)| *until).max().unwrap_or_default()
     }
 
     /// Until when a controller does not reach the store, nor the store it.
-    fn off_until(&self, node: usize) -> Micros {
-        self.until(Spell::Isolated(node)).max(self.zone_cut_until(self.controller_zones[node]))
+    fn store_unreachable_until(&self, node: usize) -> Micros {
+        self.active_until(TimedFault::Isolated(node))
+            .max(self.zone_partitioned_until(self.controller_zones[node]))
     }
 
     /// All controllers end and stay away for so long.
-    pub(super) fn all_away(&mut self, length: Micros) {
-        self.all_away = self.now + length;
+    pub(super) fn stop_all_controllers(&mut self, length: Micros) {
+        self.controllers_down_until = self.now + length;
         (0..self.settings.len()).for_each(|n| self.crash_for(n, length));
     }
 
     /// Users call off so many of the running jobs within 0.2 s, and up to eight of their machines hang for so long.
     /// How many were called off.
-    pub(super) fn withdraw_now(&mut self, count: usize, hang: Micros) -> usize {
+    pub(super) fn withdraw_running_jobs(&mut self, count: usize, hang: Micros) -> usize {
         let mut running: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (name, w) in self.workers.iter().filter(|(_, w)| !w.dead) {
             for (id, _) in w.tasks.iter().filter(|(_, t)| t.state == TaskState::Running) {
                 let wish = &self.jobs[&id.job];
-                if wish.told_accepted && !wish.wants_withdrawal && wish.told_final.is_none() {
+                if wish.known_accepted && !wish.wants_withdrawal && wish.known_final.is_none() {
                     running.entry(id.job.clone()).or_default().push(name.clone());
                 }
             }
@@ -121,7 +123,7 @@
             let n = self.rng.random_range(0..running.len());
             let Some(id) = running.keys().nth(n).cloned() else { break };
             machines.extend(running.remove(&id).unwrap_or_default());
-            self.call_off(id, 200 * MS);
+            self.withdraw_job(id, 200 * MS);
         }
         if hang > Micros::ZERO {
             let until = self.now + hang;
@@ -133,38 +135,41 @@
     }
 
     /// A user calls a job off, beside whatever it is about to ask, within so many microseconds.
-    pub(super) fn call_off(&mut self, id: String, within: u64) {
+    pub(super) fn withdraw_job(&mut self, id: String, within: u64) {
         self.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
-        self.soon(0, within, Happening::User(id));
+        self.schedule_within(0, within, SimEvent::UserTurn(id));
     }
 
     /// The last task of a job has ended this moment.
-    pub(super) fn has_ended(&mut self, id: String) {
-        let share = self.withdraw_at_end;
-        if self.odds(share) && self.meets("at_end") {
-            self.call_off(id, 5 * MS);
+    pub(super) fn job_tasks_completed(&mut self, id: String) {
+        let share = self.withdraw_at_end_probability;
+        if self.chance(share) && self.record_fault("at_end") {
+            self.withdraw_job(id, 5 * MS);
         }
     }
 
     /// A new leader has appeared: copies of reports that were kept for it come to every controller.
-    fn give_kept(&mut self) {
-        let leader =
-            self.store.keys.get(records::LEADER_KEY).map_or(self.last_leader, |(_, stamp, _)| *stamp);
-        if self.last_leader == leader {
+    fn deliver_retained_reports(&mut self) {
+        let leader = self
+            .store
+            .keys
+            .get(records::LEADER_KEY)
+            .map_or(self.last_leader_revision, |(_, stamp, _)| *stamp);
+        if self.last_leader_revision == leader {
             return;
         }
-        self.last_leader = leader;
-        for report in std::mem::take(&mut self.kept) {
+        self.last_leader_revision = leader;
+        for report in std::mem::take(&mut self.retained_reports) {
             for node in 0..self.settings.len() {
-                self.met.kept_given += 1;
-                self.meets("kept_reports");
-                self.soon(0, 2 * S, Happening::Copy { node, report: report.clone() });
+                self.coverage.retained_reports_delivered += 1;
+                self.record_fault("kept_reports");
+                self.schedule_within(0, 2 * S, SimEvent::DuplicateReport { node, report: report.clone() });
             }
         }
     }
 
     /// A call has come to the store, or a watch is looked at again.
-    pub(super) fn at_the_store(
+    pub(super) fn handle_store_call(
         &mut self,
         node: usize,
         life: u64,
@@ -172,110 +177,119 @@
         call: StoreCall,
         since: Micros,
     ) {
-        let refused = self.under(Spell::StoreDown) || self.under(Spell::StoreRefuses(node));
-        let slow = self.under(Spell::StoreSlow);
-        let off = self.off_until(node) > self.now;
+        let refused = self.is_active(TimedFault::StoreDown) || self.is_active(TimedFault::StoreRefuses(node));
+        let slow = self.is_active(TimedFault::StoreSlow);
+        let off = self.store_unreachable_until(node) > self.now;
         if let StoreCall::Follow { prefix, after, hold_ms } = &call {
             let open = since < self.now;
             let waited = self.now.since(since);
             let hold = Micros::from_millis(*hold_ms);
             // A watch that is open stays open while nobody, or its controller alone, is served.
-            let hangs = self.under(Spell::WatchHangs(node));
+            let hangs = self.is_active(TimedFault::WatchHangs(node));
             let waits = if refused {
                 open
             } else {
-                hangs || waited < hold && self.store.news(prefix, *after).is_empty()
+                hangs || waited < hold && self.store.changes_since(prefix, *after).is_empty()
             };
             if waits && !off {
                 if waited > hold + PATIENCE {
                     let event = Event::Store(id, StoreReply::Unclear);
-                    return self.at(self.now, Happening::ToController { node, life, event });
+                    return self
+                        .schedule_at(self.now, SimEvent::ToController { node, incarnation: life, event });
                 }
                 let again = self.now + Micros::from_millis(40);
-                return self.at(again, Happening::Watch { node, life, id, call, since });
+                return self.schedule_at(
+                    again,
+                    SimEvent::Watch { node, incarnation: life, id, call, opened_at: since },
+                );
             }
         }
         let fate =
-            self.fate_of.and_then(|fate| if let StoreCall::Commit(t) = &call { fate(t) } else { None });
+            self.commit_fault.and_then(|fate| if let StoreCall::Commit(t) = &call { fate(t) } else { None });
         if off {
-            let isolated = self.under(Spell::Isolated(node));
-            self.meets(if isolated { "isolated" } else { "zone_cut" });
+            let isolated = self.is_active(TimedFault::Isolated(node));
+            self.record_fault(if isolated { "isolated" } else { "zone_cut" });
         } else if refused {
-            let all = self.under(Spell::StoreDown);
-            self.meets(if all { "store_outage" } else { "store_refuses_one" });
+            let all = self.is_active(TimedFault::StoreDown);
+            self.record_fault(if all { "store_outage" } else { "store_refuses_one" });
         }
         let reply = if off {
             // Held back, and delivered when the cut is over.
             if let StoreCall::Commit(t) = &call
                 && self.rng.random_bool(0.5)
             {
-                let until = self.off_until(node);
-                self.at(until, Happening::LateCommit { node, sent: self.now, transaction: t.clone() });
+                let until = self.store_unreachable_until(node);
+                self.schedule_at(
+                    until,
+                    SimEvent::LateCommit { node, sent_at: self.now, transaction: t.clone() },
+                );
             }
             StoreReply::Unclear
         } else if refused {
             StoreReply::Refused
         } else if let StoreCall::Commit(t) = &call
-            && let Some(fate) = fate.or_else(|| self.any_fate())
+            && let Some(fate) = fate.or_else(|| self.random_commit_fault())
         {
-            let late = Happening::LateCommit { node, sent: self.now, transaction: t.clone() };
+            let late = SimEvent::LateCommit { node, sent_at: self.now, transaction: t.clone() };
             match fate {
-                Fate::Late(after) => self.at(self.now + after, late),
-                Fate::AnswerLost => {
-                    let reply = self.store.call(self.now, &call);
+                CommitFault::Delayed(after) => self.schedule_at(self.now + after, late),
+                CommitFault::ReplyLost => {
+                    let reply = self.store.handle(self.now, &call);
                     let done = matches!(reply, StoreReply::Committed { .. });
-                    self.met.answers_lost += u32::from(done);
+                    self.coverage.lost_commit_replies += u32::from(done);
                     if done {
-                        self.meets("answers_lost");
-                        self.newest_commit[node] = self.now;
+                        self.record_fault("answers_lost");
+                        self.last_commit_at[node] = self.now;
                     }
-                    self.give_kept();
+                    self.deliver_retained_reports();
                 }
             }
             let event = Event::Store(id, StoreReply::Unclear);
-            return self.at(self.now + PATIENCE, Happening::ToController { node, life, event });
-        } else if self.lost() {
+            return self
+                .schedule_at(self.now + PATIENCE, SimEvent::ToController { node, incarnation: life, event });
+        } else if self.is_message_lost() {
             // Lost on the way there, on the way back, or held up and applied much later.
             if let StoreCall::Commit(t) = &call {
-                let late = self.trouble.late;
-                if self.odds(late) {
-                    let late = Happening::LateCommit { node, sent: self.now, transaction: t.clone() };
-                    self.soon(S, 60 * S, late);
+                let late = self.fault_profile.late;
+                if self.chance(late) {
+                    let late = SimEvent::LateCommit { node, sent_at: self.now, transaction: t.clone() };
+                    self.schedule_within(S, 60 * S, late);
                 }
             } else if self.rng.random_bool(0.5) {
-                self.store.call(self.now, &call);
+                self.store.handle(self.now, &call);
             }
             StoreReply::Unclear
         } else {
-            self.store.call(self.now, &call)
+            self.store.handle(self.now, &call)
         };
         if matches!(reply, StoreReply::Committed { .. }) {
-            self.newest_commit[node] = self.now;
-            self.give_kept();
+            self.last_commit_at[node] = self.now;
+            self.deliver_retained_reports();
         }
         let event = Event::Store(id, reply);
-        let most = if slow && self.rng.random_bool(0.5) && self.meets("store_slow") { 1_400 } else { 12 };
-        self.soon(MS, most * MS, Happening::ToController { node, life, event });
+        let most =
+            if slow && self.rng.random_bool(0.5) && self.record_fault("store_slow") { 1_400 } else { 12 };
+        self.schedule_within(MS, most * MS, SimEvent::ToController { node, incarnation: life, event });
     }
 
     /// What befalls a transaction by the odds of the run.
-    fn any_fate(&mut self) -> Option<Fate> {
-        let (late, lost) = (self.trouble.late_writes, self.trouble.answers_lost);
-        if self.odds(late) && self.meets("late_writes") {
-            return Some(Fate::Late(Micros(self.rng.random_range(2 * S..=12 * S))));
+    fn random_commit_fault(&mut self) -> Option<CommitFault> {
+        let (late, lost) = (self.fault_profile.late_writes, self.fault_profile.answers_lost);
+        if self.chance(late) && self.record_fault("late_writes") {
+            return Some(CommitFault::Delayed(Micros(self.rng.random_range(2 * S..=12 * S))));
         }
-        self.odds(lost).then_some(Fate::AnswerLost)
+        self.chance(lost).then_some(CommitFault::ReplyLost)
     }
 
     /// A transaction that got no answer is carried out after all.
-    pub(super) fn late_commit(&mut self, node: usize, sent: Micros, transaction: Transaction) {
-        if self.under(Spell::StoreDown) {
-            let until = self.until(Spell::StoreDown);
-            return self.at(until, Happening::LateCommit { node, sent, transaction });
+    pub(super) fn apply_late_commit(&mut self, node: usize, sent: Micros, transaction: Transaction) {
+        if self.is_active(TimedFault::StoreDown) {
+            let until = self.active_until(TimedFault::StoreDown);
+            return self.schedule_at(until, SimEvent::LateCommit { node, sent_at: sent, transaction });
         }
-        self.store.expire(self.now);
+        self.store.expire_leases(self.now);
         let done = matches!(self.store.commit(transaction), StoreReply::Committed { .. });
-        self.met.late_commits += u32::from(done && self.newest_commit[node] > sent);
-        self.give_kept();
+        self.coverage.late_commits += u32::from(done && self.last_commit_at[node] > sent);
+        self.deliver_retained_reports();
     }
 }
--- a/src/coordination/simulation/start_orders.rs
+++ b/src/coordination/simulation/start_orders.rs
@@ -9,7 +9,7 @@
 
 /// All that a controller says of its machines at this moment, as it answers one that has missed something.
 pub(super) fn whole_status(world: &mut World, from: usize, to: usize) -> Status {
-    let (clock, asker) = (world.clock(from), world.settings[to].member.clone());
+    let (clock, asker) = (world.local_time(from), world.settings[to].member.clone());
     let controller = world.controllers[from].as_mut().unwrap();
     let effects = controller.handle(clock, Event::Peer(asker.clone(), PeerMessage::ResyncRequest));
     let mut whole = None;
@@ -22,27 +22,29 @@
             other => others.push(other),
         }
     }
-    world.carry_out(from, others);
+    world.apply_effects(from, others);
     whole.expect("nothing was told")
 }
 
 /// A status arrives, however long it was on its way.
 pub(super) fn arrives(world: &mut World, from: usize, to: usize, status: &Status) {
     let event = Event::Peer(world.settings[from].member.clone(), PeerMessage::Status(status.clone()));
-    world.tell(to, event);
+    world.deliver_event(to, event);
 }
 
 /// Tasks of a job that have their image, and their machines.
 pub(super) fn running(world: &World, job: &str) -> Vec<(TaskId, String)> {
     let all = world.workers.iter().flat_map(|(name, w)| w.tasks.iter().map(move |(id, t)| (id, t, name)));
-    let here = all.filter(|(id, t, _)| id.job == job && t.is_here());
+    let here = all.filter(|(id, t, _)| id.job == job && t.counts_as_running());
     here.map(|(id, _, name)| (id.clone(), name.clone())).collect()
 }
 
 /// Of these tasks, those that a controller takes for gone though they are on their machines.
 pub(super) fn forgotten(world: &World, by: usize, begun: &[(TaskId, String)]) -> usize {
     let c = world.controllers[by].as_ref().unwrap();
-    let here = |id: &TaskId, name: &String| world.workers[name].tasks.get(id).is_some_and(Running::is_here);
+    let here = |id: &TaskId, name: &String| {
+        world.workers[name].tasks.get(id).is_some_and(WorkerTask::counts_as_running)
+    };
     let known = |id: &TaskId, name: &String| c.machines.get(name).is_none_or(|m| m.tasks.contains_key(id));
     begun.iter().filter(|(id, name)| here(id, name) && !known(id, name)).count()
 }
@@ -54,7 +56,7 @@
     let others = c.machines.iter().filter(|(name, m)| c.owns(m) && begun.iter().all(|(_, on)| on != *name));
     assert!(others.count() > 0, "nobody would notice the owner's end before its lease is over");
     for (_, name) in begun {
-        world.workers.get_mut(name).unwrap().cut_until = world.now + Micros::from_secs(30);
+        world.workers.get_mut(name).unwrap().partitioned_until = world.now + Micros::from_secs(30);
     }
 }
 
@@ -94,8 +96,8 @@
 
 /// Statuses from one controller to another that are under way and name tasks.
 fn under_way(world: &World, from: usize, to: usize) -> Vec<Status> {
-    let status = |s: &Scheduled| match &s.2 {
-        Happening::ToController { node, event: Event::Peer(by, PeerMessage::Status(status)), .. }
+    let status = |s: &ScheduledEvent| match &s.2 {
+        SimEvent::ToController { node, event: Event::Peer(by, PeerMessage::Status(status)), .. }
             if *node == to && *by == world.settings[from].member =>
         {
             Some(status.clone())
@@ -164,7 +166,7 @@
     world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
     let away = |w: &World| w.controllers[w.leader().unwrap()].as_ref().unwrap().view.members.len() == 2;
     assert!(until(world, Micros::from_secs(4), away), "there is no new view");
-    world.spells.retain(|(spell, ..)| *spell != Spell::WatchHangs(heir));
+    world.faults.retain(|(spell, ..)| *spell != TimedFault::WatchHangs(heir));
     world.run(world.now + Micros::from_secs(15));
 }
 
@@ -177,8 +179,8 @@
 /// What one controller says to another until something holds is lost; the first status after that shows it.
 fn lose_statuses(world: &mut World, from: usize, to: usize, lost_until: impl Fn(&World) -> bool) -> usize {
     let member = world.settings[from].member.clone();
-    let is_status = |s: &Scheduled| {
-        matches!(&s.2, Happening::ToController { node, event: Event::Peer(by, PeerMessage::Status(_)), .. }
+    let is_status = |s: &ScheduledEvent| {
+        matches!(&s.2, SimEvent::ToController { node, event: Event::Peer(by, PeerMessage::Status(_)), .. }
             if *node == to && *by == member)
     };
     let (mut count, end) = (0, world.now + Micros::from_secs(3));
@@ -199,7 +201,7 @@
 fn a_word_kept_for_an_unread_grant_outlives_a_whole_status() {
     for seed in 720..723 {
         let (mut world, owner, heir) = with_heir(seed);
-        world.befalls(Spell::WatchHangs(heir), Micros::MAX);
+        world.begin_fault(TimedFault::WatchHangs(heir), Micros::MAX);
         let machine = idle_machine(&world);
         grant_to(&mut world, &machine, owner);
         let begun = fill(&mut world, owner, heir, &machine);
--- a/src/coordination/simulation/store.rs
+++ b/src/coordination/simulation/store.rs
@@ -12,20 +12,20 @@
     pub(super) log: Vec<(u64, String, Option<Value>)>,
     pub(super) now: Micros,
     /// When each withdrawal was recorded.
-    pub(super) withdrawn: BTreeMap<String, Micros>,
+    pub(super) withdrawals: BTreeMap<String, Micros>,
     pub(super) txn_ops: usize,
     pub(super) value_limit: usize,
 }
 
 impl Store {
-    pub(super) fn expire(&mut self, now: Micros) {
+    pub(super) fn expire_leases(&mut self, now: Micros) {
         self.now = now;
         let over: Vec<u64> =
             self.leases.iter().filter(|(_, (end, _))| *end <= now).map(|(l, _)| *l).collect();
-        over.into_iter().for_each(|l| self.end(l));
+        over.into_iter().for_each(|l| self.end_lease(l));
     }
 
-    pub(super) fn end(&mut self, lease: u64) {
+    pub(super) fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> =
             self.keys.iter().filter(|(_, v)| v.2 == Some(lease)).map(|(k, _)| k.clone()).collect();
@@ -61,7 +61,7 @@
                     if let Some(job) = key.strip_prefix(records::FINAL_STATES_PREFIX)
                         && value["state"] == "withdrawn"
                     {
-                        self.withdrawn.insert(job.to_owned(), self.now);
+                        self.withdrawals.insert(job.to_owned(), self.now);
                     }
                     self.keys.insert(key, (value, self.revision, lease));
                 }
@@ -75,7 +75,7 @@
         StoreReply::Committed { revision: self.revision }
     }
 
-    pub(super) fn news(&self, prefix: &str, after: u64) -> Vec<Change> {
+    pub(super) fn changes_since(&self, prefix: &str, after: u64) -> Vec<Change> {
         let first = self.log.partition_point(|(revision, ..)| *revision <= after);
         let new = self.log[first..].iter().filter(|(_, key, _)| key.starts_with(prefix));
         new.map(|(stamp, key, value)| match value {
@@ -85,8 +85,8 @@
         .collect()
     }
 
-    pub(super) fn call(&mut self, now: Micros, call: &StoreCall) -> StoreReply {
-        self.expire(now);
+    pub(super) fn handle(&mut self, now: Micros, call: &StoreCall) -> StoreReply {
+        self.expire_leases(now);
         match call {
             StoreCall::Get { key } => match self.keys.get(key) {
                 Some((value, stamp, _)) => StoreReply::Found { value: value.clone(), stamp: *stamp },
@@ -120,16 +120,17 @@
                 if !self.leases.contains_key(lease) {
                     return StoreReply::Missing;
                 }
-                self.end(*lease);
+                self.end_lease(*lease);
                 StoreReply::Renewed
             }
-            StoreCall::Follow { prefix, after, .. } => {
-                StoreReply::News(ChangeBatch { revision: self.revision, changes: self.news(prefix, *after) })
-            }
+            StoreCall::Follow { prefix, after, .. } => StoreReply::News(ChangeBatch {
+                revision: self.revision,
+                changes: self.changes_since(prefix, *after),
+            }),
         }
     }
 
-    pub(super) fn regain(&mut self, now: Micros) {
+    pub(super) fn renew_all_leases(&mut self, now: Micros) {
         for (end, life) in self.leases.values_mut() {
             *end = now + *life;
         }
