--- a/src/coordination/simulation/takeovers.rs
+++ b/src/coordination/simulation/takeovers.rs
@@ -30,12 +30,12 @@
 /// machines any more; the other takes the job over.
 fn an_end_nobody_was_told_of(seed: u64, careless: bool) -> World {
     let mut world = World::new(seed, Trouble::default());
-    world.careless = careless;
+    world.skip_confirmations = careless;
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
     }
     world.run(Micros::from_secs(12));
-    world.befalls(Spell::Apart(0, 1), Micros::MAX);
+    world.begin_fault(TimedFault::Partitioned(0, 1), Micros::MAX);
     let ids: Vec<u32> = passing(["n-0", "n-1", "n-2"]).take(3).collect();
     for n in &ids {
         let spec = array(&mut world, *n, 30);
@@ -48,10 +48,10 @@
     assert!(begun(&world) > 10, "seed {seed}: the first controller has started {}", begun(&world));
     // Some still turn to the others, so that the end is noticed before any lease has run out.
     for name in held.iter().skip(2) {
-        world.workers.get_mut(name).unwrap().cut_until = Micros::MAX;
+        world.workers.get_mut(name).unwrap().partitioned_until = Micros::MAX;
     }
     world.controllers[0] = None;
-    world.lives[0] += 1;
+    world.incarnations[0] += 1;
     world.run(Micros::from_secs(52));
     world
 }
@@ -94,7 +94,7 @@
         let c = world.controllers[n].as_ref().unwrap();
         let held: Vec<String> = c.machines.iter().filter(|m| c.owns(m.1)).map(|m| m.0.clone()).collect();
         for name in held.iter().skip(2).take(2) {
-            world.workers.get_mut(name).unwrap().cut_until = Micros::MAX;
+            world.workers.get_mut(name).unwrap().partitioned_until = Micros::MAX;
         }
         world.crash(n);
         let back = |w: &World| w.controllers[n].as_ref().is_some_and(|c| c.is_view_member);
@@ -108,7 +108,7 @@
         quick += usize::from(!c.takeover_in_progress && open > 0);
         world.run(world.now + Micros::from_secs(500));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
         }
     }
     assert!(quick > 0, "the way that needs no wait was never taken");
@@ -138,7 +138,7 @@
         let (n, held) = all.max_by_key(|(_, held)| held.len()).unwrap();
         world.workers.get_mut(&held[0]).unwrap().dead = true;
         world.controllers[n] = None;
-        world.lives[n] += 1;
+        world.incarnations[n] += 1;
         let viewed = |w: &World| w.controllers.iter().flatten().all(|c| c.view.members.len() == 2);
         while !viewed(&world) {
             world.run(world.now + Micros::from_millis(50));
@@ -157,7 +157,7 @@
         quick += listed;
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
         }
     }
     assert!(quick > 0, "the way that needs no wait was never taken");
--- a/src/coordination/simulation/troubles.rs
+++ b/src/coordination/simulation/troubles.rs
@@ -70,95 +70,95 @@
 impl World {
     /// These troubles may be drawn from now on.
     pub(super) fn bring(&mut self, trouble: Trouble) {
-        self.trouble = trouble;
-        self.boots = if trouble.quick_boots { 200 * MS..2 * S } else { S..15 * S };
-        self.links = if trouble.slow_links { 50 * MS..400 * MS } else { 0..0 };
-        self.keeps_reports = trouble.kept_reports;
-        self.withdraw_at_end = trouble.at_end;
-        self.looks = trouble.looks;
+        self.fault_profile = trouble;
+        self.boot_time = if trouble.quick_boots { 200 * MS..2 * S } else { S..15 * S };
+        self.extra_link_delay = if trouble.slow_links { 50 * MS..400 * MS } else { 0..0 };
+        self.report_retention = trouble.kept_reports;
+        self.withdraw_at_end_probability = trouble.at_end;
+        self.request_burst_probability = trouble.looks;
     }
 
     pub(super) fn make_trouble(&mut self, seconds: f64) {
-        let t = self.trouble;
+        let t = self.fault_profile;
         let s = |p: f64| p * seconds;
-        if self.odds(s(t.crash)) {
+        if self.chance(s(t.crash)) {
             let n = self.rng.random_range(0..self.settings.len());
             let there = self.controllers[n].is_some();
             self.crash(n);
-            there.then(|| self.meets("crash"));
+            there.then(|| self.record_fault("crash"));
         }
-        if self.odds(s(t.crash_all)) && self.meets("crash_all") {
+        if self.chance(s(t.crash_all)) && self.record_fault("crash_all") {
             (0..self.settings.len()).for_each(|n| self.crash(n));
         }
-        if self.odds(s(t.store_outage)) {
+        if self.chance(s(t.store_outage)) {
             let length = Micros(self.rng.random_range(S..20 * S));
-            self.befalls(Spell::StoreDown, self.now + length);
+            self.begin_fault(TimedFault::StoreDown, self.now + length);
         }
-        if self.odds(s(t.store_refuses_one)) {
+        if self.chance(s(t.store_refuses_one)) {
             let length = Micros(self.rng.random_range(5 * S..35 * S));
             let n = self.rng.random_range(0..self.settings.len());
-            self.befalls(Spell::StoreRefuses(n), self.now + length);
+            self.begin_fault(TimedFault::StoreRefuses(n), self.now + length);
         }
-        if self.odds(s(t.store_slow)) {
+        if self.chance(s(t.store_slow)) {
             let length = Micros(self.rng.random_range(5 * S..40 * S));
-            self.befalls(Spell::StoreSlow, self.now + length);
+            self.begin_fault(TimedFault::StoreSlow, self.now + length);
         }
-        if self.odds(s(t.gap))
+        if self.chance(s(t.gap))
             && let Some(leader) = self.leader()
         {
             let refused = Micros(self.rng.random_range(S..15 * S));
             let away = Micros(self.rng.random_range(20 * S..70 * S));
-            self.meets("gap");
-            self.befalls(Spell::StoreRefuses(leader), self.now + refused);
+            self.record_fault("gap");
+            self.begin_fault(TimedFault::StoreRefuses(leader), self.now + refused);
             let from = Micros(self.rng.random_range(0..refused.0));
-            self.will_befall(self.now + from, Spell::StoreDown, away);
+            self.schedule_fault(self.now + from, TimedFault::StoreDown, away);
         }
-        if self.odds(s(t.stands_still)) {
+        if self.chance(s(t.stands_still)) {
             let length = Micros(self.rng.random_range(S..40 * S));
             let n = self.rng.random_range(0..self.settings.len());
-            self.befalls(Spell::StandsStill(n), self.now + length);
+            self.begin_fault(TimedFault::ControllerPaused(n), self.now + length);
         }
-        if self.odds(s(t.isolated)) {
+        if self.chance(s(t.isolated)) {
             let length = Micros(self.rng.random_range(S..45 * S));
             let n = self.rng.random_range(0..self.settings.len());
-            self.befalls(Spell::Isolated(n), self.now + length);
+            self.begin_fault(TimedFault::Isolated(n), self.now + length);
         }
-        if self.odds(s(t.cloud_outage)) {
-            self.cloud_down = self.now + Micros(self.rng.random_range(S..30 * S));
+        if self.chance(s(t.cloud_outage)) {
+            self.cloud_down_until = self.now + Micros(self.rng.random_range(S..30 * S));
         }
-        if self.odds(s(t.peers_apart)) {
+        if self.chance(s(t.peers_apart)) {
             let a = self.rng.random_range(0..self.settings.len());
             let until = self.now + Micros(self.rng.random_range(S..30 * S));
-            self.befalls(Spell::Apart(a, (a + 1) % self.settings.len()), until);
+            self.begin_fault(TimedFault::Partitioned(a, (a + 1) % self.settings.len()), until);
         }
         if t.leaders
-            && self.now >= self.next_end
-            && self.now < self.calm_after
+            && self.now >= self.next_leader_crash
+            && self.now < self.fault_free_from
             && let Some(leader) = self.leader()
         {
-            self.next_end = self.now + Micros::from_secs(12);
+            self.next_leader_crash = self.now + Micros::from_secs(12);
             self.crash(leader);
-            self.meets("leaders");
+            self.record_fault("leaders");
         }
-        if self.odds(s(t.call_off)) {
+        if self.chance(s(t.call_off)) {
             let count = self.rng.random_range(2..8);
             let hang = if self.rng.random_bool(0.5) { self.rng.random_range(S..40 * S) } else { 0 };
-            if self.withdraw_now(count, Micros(hang)) > 0 {
-                self.meets("call_off");
+            if self.withdraw_running_jobs(count, Micros(hang)) > 0 {
+                self.record_fault("call_off");
             }
         }
-        if self.odds(s(t.odd)) {
-            self.ask_oddly();
+        if self.chance(s(t.odd)) {
+            self.send_invalid_request();
         }
-        let lease = self.lease().0;
-        if self.odds(s(t.zone_cut)) {
+        let lease = self.worker_lease().0;
+        if self.chance(s(t.zone_cut)) {
             let length = Micros(self.rng.random_range(lease + S..lease * 3));
             let zone = ["east", "west"][self.rng.random_range(0..2)];
-            self.befalls(Spell::ZoneCut(zone), self.now + length);
+            self.begin_fault(TimedFault::ZonePartitioned(zone), self.now + length);
         }
-        if self.odds(s(t.all_away)) && self.meets("all_away") {
+        if self.chance(s(t.all_away)) && self.record_fault("all_away") {
             let length = Micros(self.rng.random_range(lease + S..lease * 3));
-            self.all_away(length);
+            self.stop_all_controllers(length);
         }
         let names: Vec<String> =
             self.workers.iter().filter(|(_, w)| !w.dead).map(|(n, _)| n.clone()).collect();
@@ -167,41 +167,42 @@
         }
         let name = names[self.rng.random_range(0..names.len())].clone();
         let (now, length) = (self.now, Micros(self.rng.random_range(S..50 * S)));
-        let (deaf, reboots, mute) = (self.odds(s(t.deaf)), self.odds(s(t.reboots)), self.odds(s(t.mute)));
+        let (deaf, reboots, mute) =
+            (self.chance(s(t.deaf)), self.chance(s(t.reboots)), self.chance(s(t.mute)));
         let (dies, cut, hangs, faulty, taken) = (
-            self.odds(s(t.machine_dies)),
-            self.odds(s(t.machine_cut)),
-            self.odds(s(t.machine_hangs)),
-            self.odds(s(t.faulty)),
-            self.odds(s(t.spot_taken)),
+            self.chance(s(t.machine_dies)),
+            self.chance(s(t.machine_cut)),
+            self.chance(s(t.machine_hangs)),
+            self.chance(s(t.faulty)),
+            self.chance(s(t.spot_taken)),
         );
         let Some(w) = self.workers.get_mut(&name) else { return };
         let taken = taken && w.spot;
         w.dead |= dies;
         w.faulty |= faulty;
         if deaf {
-            w.deaf_until = now + length;
+            w.not_receiving_until = now + length;
         }
         if mute {
-            w.mute_until = now + length;
+            w.reports_blocked_until = now + length;
         }
         if reboots {
             w.reboot(now);
         }
         if cut {
-            w.cut_until = now + length;
+            w.partitioned_until = now + length;
         }
         if hangs {
             w.hung_until = now + length;
         }
         if taken {
-            match w.notice {
-                None => w.notice = Some(now + Micros::from_secs(12)),
+            match w.preempted_at {
+                None => w.preempted_at = Some(now + Micros::from_secs(12)),
                 Some(_) => w.dead = true,
             }
         }
         for (drawn, trouble) in [(dies, "machine_dies"), (taken, "spot_taken"), (reboots, "reboots")] {
-            drawn.then(|| self.meets(trouble));
+            drawn.then(|| self.record_fault(trouble));
         }
     }
 
@@ -259,8 +260,8 @@
     /// Ends a controller, which is started again after a time of one's own.
     pub(super) fn crash_for(&mut self, n: usize, away: Micros) {
         if self.controllers[n].take().is_some() {
-            self.lives[n] += 1;
-            self.at(self.now + away, Happening::Start(n));
+            self.incarnations[n] += 1;
+            self.schedule_at(self.now + away, SimEvent::Start(n));
         }
     }
 }
@@ -275,7 +276,7 @@
         let spec = world.random_job(n);
         let mistaken = trouble.mistaken > 0.0 && world.rng.random_bool(trouble.mistaken);
         if mistaken {
-            world.mistaken.insert(spec.id.clone());
+            world.broken_jobs.insert(spec.id.clone());
         }
         if mistaken || spec.shape == Shape::Service {
             endless.push(spec.id.clone());
@@ -293,7 +294,7 @@
             world.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
         }
     }
-    world.calm_after = world.now;
+    world.fault_free_from = world.now;
     for w in world.workers.values_mut() {
         w.faulty = false;
     }
@@ -304,15 +305,15 @@
     world.run(end);
     for (id, wish) in &world.jobs {
         assert!(
-            wish.refused || wish.told_final.is_some(),
+            wish.rejected || wish.known_final.is_some(),
             "seed {seed}: {id} is not over: {:?}, done {:?}\n{}",
             wish.spec,
-            wish.tasks_done,
+            wish.completed_tasks,
             world.describe(id)
         );
     }
-    assert!(world.started > 50, "seed {seed}: hardly anything ran");
-    world.odd_ones_refused();
+    assert!(world.tasks_started > 50, "seed {seed}: hardly anything ran");
+    world.check_infeasible_jobs_rejected();
     world
 }
 
--- a/src/coordination/simulation/uninformed_orders.rs
+++ b/src/coordination/simulation/uninformed_orders.rs
@@ -17,7 +17,7 @@
 /// A cluster whose owner of jobs goes on without the heir: nothing that they say to each other arrives.
 fn going_on_without_heir(seed: u64) -> (World, usize, usize) {
     let (mut world, owner, heir) = with_heir(seed);
-    world.befalls(Spell::Apart(owner, heir), Micros::MAX);
+    world.begin_fault(TimedFault::Partitioned(owner, heir), Micros::MAX);
     of_team(&mut world, passing_on(owner, heir).next().unwrap(), "blue", 2);
     let alone = |w: &World| goes_on_alone(w, owner);
     assert!(until(&mut world, Micros::from_secs(3), alone), "seed {seed}: the heir is still waited for");
@@ -32,7 +32,7 @@
     grant_to(world, machine, heir);
     let given_away = |w: &World| has_given_away(w, owner, machine);
     assert!(until(world, Micros::from_secs(2), given_away), "the grant is not read");
-    world.spells.retain(|(spell, ..)| *spell != Spell::Apart(owner, heir));
+    world.faults.retain(|(spell, ..)| *spell != TimedFault::Partitioned(owner, heir));
     let relied_on = |w: &World| !goes_on_alone(w, owner);
     assert!(until(world, Micros::from_secs(4), relied_on), "never relied on again");
     ends_unread(world, owner, heir);
@@ -46,7 +46,7 @@
     for seed in 722..725 {
         let (mut world, owner, heir) = going_on_without_heir(seed);
         // The heir reads no changes from here on.
-        world.befalls(Spell::WatchHangs(heir), Micros::MAX);
+        world.begin_fault(TimedFault::WatchHangs(heir), Micros::MAX);
         let machine = idle_machine(&world);
         grant_to(&mut world, &machine, owner);
         let begun = fill(&mut world, owner, heir, &machine);
@@ -81,7 +81,7 @@
             "seed {seed}: the whole status was not taken in"
         );
         // The heir reads no changes from here on.
-        world.befalls(Spell::WatchHangs(heir), Micros::MAX);
+        world.begin_fault(TimedFault::WatchHangs(heir), Micros::MAX);
         let begun = fill(&mut world, owner, heir, &machine);
         assert!(goes_on_alone(&world, owner), "seed {seed}: the heir was waited for again too soon");
         ends_relied_on(&mut world, owner, heir, &machine, &begun);
--- a/src/coordination/simulation/users.rs
+++ b/src/coordination/simulation/users.rs
@@ -3,126 +3,135 @@
 use super::*;
 
 #[derive(Default)]
-pub(super) struct Wish {
+pub(super) struct UserJob {
     pub(super) spec: Option<JobSpec>,
-    pub(super) told_accepted: bool,
+    pub(super) known_accepted: bool,
     /// When it was first told that the job is accepted.
-    pub(super) accepted: Micros,
-    pub(super) told_final: Option<(FinalState, Micros)>,
+    pub(super) accepted_at: Micros,
+    pub(super) known_final: Option<(FinalState, Micros)>,
     pub(super) wants_withdrawal: bool,
     /// When the first answer that confirmed its withdrawal left its controller.
-    pub(super) confirmed: Option<Micros>,
+    pub(super) withdrawal_confirmed_at: Option<Micros>,
     /// The controller that told its final state first.
-    pub(super) told_by: usize,
-    pub(super) next_try: Micros,
+    pub(super) final_state_from: usize,
+    pub(super) next_request_at: Micros,
     /// How often its submission was turned away.
-    pub(super) turned_away: u32,
+    pub(super) deferrals: u32,
     /// When a question about it was last answered.
-    pub(super) answered: Micros,
-    pub(super) tasks_done: BTreeSet<u32>,
+    pub(super) last_answered_at: Micros,
+    pub(super) completed_tasks: BTreeSet<u32>,
     /// When a task of it last had its image.
-    pub(super) begun: Micros,
-    pub(super) refused: bool,
+    pub(super) last_task_start: Micros,
+    pub(super) rejected: bool,
 }
 
 /// A user's request that was answered.
-pub(super) struct Asking {
+pub(super) struct AnsweredRequest {
     pub(super) job: String,
     pub(super) withdraw: bool,
-    pub(super) sent: Micros,
+    pub(super) sent_at: Micros,
 }
 
 impl World {
     pub(super) fn submit(&mut self, spec: JobSpec) {
         let id = spec.id.clone();
-        self.jobs.insert(id.clone(), Wish { spec: Some(spec), ..Default::default() });
-        self.at(self.now, Happening::User(id));
+        self.jobs.insert(id.clone(), UserJob { spec: Some(spec), ..Default::default() });
+        self.schedule_at(self.now, SimEvent::UserTurn(id));
     }
 
-    pub(super) fn user_turn(&mut self, id: String) {
+    pub(super) fn advance_user(&mut self, id: String) {
         let Some(wish) = self.jobs.get(&id) else { return };
-        if wish.refused {
+        if wish.rejected {
             return;
         }
-        if self.now < wish.next_try {
-            let at = wish.next_try;
-            return self.at(at, Happening::User(id));
+        if self.now < wish.next_request_at {
+            let at = wish.next_request_at;
+            return self.schedule_at(at, SimEvent::UserTurn(id));
         }
-        let accepted = wish.told_accepted;
+        let accepted = wish.known_accepted;
         let withdraw = accepted && wish.wants_withdrawal;
         let submits = wish.spec.is_some();
-        let others = (0..self.settings.len()).filter(|n| Some(*n) != self.passed_over);
+        let others = (0..self.settings.len()).filter(|n| Some(*n) != self.excluded_controller);
         let others: Vec<usize> = others.collect();
         let node = others[self.rng.random_range(0..others.len())];
-        if self.controllers[node].is_some() && !self.lost() {
-            let repeats = self.trouble.repeats;
-            let again = accepted && self.odds(repeats);
+        if self.controllers[node].is_some() && !self.is_message_lost() {
+            let repeats = self.fault_profile.repeats;
+            let again = accepted && self.chance(repeats);
             let look = if submits && (!accepted || again && !withdraw) {
-                Look::Submits
+                UserRequest::Submit
             } else if withdraw {
-                Look::Withdraws
+                UserRequest::Withdraw
             } else {
-                Look::Asks
+                UserRequest::Query
             };
-            self.ask(node, id.clone(), look);
+            self.send_user_request(node, id.clone(), look);
         }
-        self.soon(S, 3 * S, Happening::User(id));
+        self.schedule_within(S, 3 * S, SimEvent::UserTurn(id));
     }
 
     /// A user's request is on its way to a controller.
-    pub(super) fn ask(&mut self, node: usize, job: String, look: Look) {
+    pub(super) fn send_user_request(&mut self, node: usize, job: String, look: UserRequest) {
         let request = self.next_request;
         self.next_request += 1;
-        let (life, sent) = (self.lives[node], self.now);
+        let (life, sent) = (self.incarnations[node], self.now);
         let spec = self.jobs.get(&job).and_then(|wish| wish.spec.clone());
         let event = match (look, spec) {
-            (Look::Submits, Some(spec)) => Event::Submit(request, Box::new(spec)),
-            (Look::Withdraws, _) => Event::Withdraw(request, job.clone()),
+            (UserRequest::Submit, Some(spec)) => Event::Submit(request, Box::new(spec)),
+            (UserRequest::Withdraw, _) => Event::Withdraw(request, job.clone()),
             _ => Event::Query(request, job.clone()),
         };
         let patience = if matches!(event, Event::Query(..)) { 2 } else { 5 };
         let until = sent + Micros::from_secs(patience);
         let withdraw = matches!(event, Event::Withdraw(..));
-        self.requests.insert((node, life, request), Asked::User { job, withdraw, sent, until });
-        self.soon(MS, 5 * MS, Happening::ToController { node, life, event });
+        self.pending_requests.insert(
+            (node, life, request),
+            PendingRequest::User { job, withdraw, sent_at: sent, deadline: until },
+        );
+        self.schedule_within(MS, 5 * MS, SimEvent::ToController { node, incarnation: life, event });
     }
 
     /// An answer has come to its user. By a node's word a job is accepted or over for every request that is sent from
     /// then on, at whichever node, to the microsecond: what an older answer to one that was sent before may be is
     /// judged apart (`is_older`).
-    pub(super) fn user_answered(&mut self, asking: Asking, answer: Answer, by: usize, given: Micros) {
+    pub(super) fn handle_user_answer(
+        &mut self,
+        asking: AnsweredRequest,
+        answer: Answer,
+        by: usize,
+        given: Micros,
+    ) {
         let now = self.now;
-        let Asking { job: id, withdraw, sent } = asking;
-        let Some(wish) = self.jobs.get_mut(&id) else { return self.heard_of_unknown(&id, answer) };
-        let accepted = wish.told_accepted.then_some(wish.accepted);
+        let AnsweredRequest { job: id, withdraw, sent_at: sent } = asking;
+        let Some(wish) = self.jobs.get_mut(&id) else { return self.check_unknown_job_answer(&id, answer) };
+        let accepted = wish.known_accepted.then_some(wish.accepted_at);
         match answer {
             Answer::Job { state, id: told, .. } => {
                 assert_eq!(told, id);
-                wish.answered = now;
+                wish.last_answered_at = now;
                 if accepted.is_none() {
-                    (wish.told_accepted, wish.accepted) = (true, now);
-                    self.look_everywhere(&id);
+                    (wish.known_accepted, wish.accepted_at) = (true, now);
+                    self.send_request_burst(&id);
                 }
-                self.told_state(&id, withdraw, state, by, sent, given);
+                self.apply_told_state(&id, withdraw, state, by, sent, given);
             }
             Answer::NotFound => {
                 if let Some(heard) = accepted {
-                    self.is_older(&format!("forgotten: {id}"), heard, sent, given);
+                    self.check_answer_order(&format!("forgotten: {id}"), heard, sent, given);
                 }
             }
             Answer::Rejected(why) => {
-                assert!(!wish.told_accepted, "forgotten: {id}: {why}");
-                wish.refused = true;
+                assert!(!wish.known_accepted, "forgotten: {id}: {why}");
+                wish.rejected = true;
             }
             Answer::RetryLater(seconds) => {
-                wish.turned_away += u32::from(!wish.told_accepted);
-                wish.next_try = now + Micros::from_secs(u64::from(seconds));
+                wish.deferrals += u32::from(!wish.known_accepted);
+                wish.next_request_at = now + Micros::from_secs(u64::from(seconds));
             }
             _ => {}
         }
     }
 
-    fn told_state(
+    fn apply_told_state(
         &mut self,
         id: &str,
         withdraw: bool,
@@ -137,24 +146,25 @@
             JobState::Final(f) => {
                 if f == FinalState::Done {
                     let all = wish.spec.as_ref().map_or(0, |s| s.tasks as usize);
-                    assert_eq!(wish.tasks_done.len(), all, "not_done: {id}");
+                    assert_eq!(wish.completed_tasks.len(), all, "not_done: {id}");
                 } else {
                     assert!(wish.wants_withdrawal, "went_back: {id} was not withdrawn by its user");
-                    wish.confirmed = Some(wish.confirmed.map_or(given, |before| before.min(given)));
+                    wish.withdrawal_confirmed_at =
+                        Some(wish.withdrawal_confirmed_at.map_or(given, |before| before.min(given)));
                 }
-                if let Some((before, heard)) = wish.told_final {
+                if let Some((before, heard)) = wish.known_final {
                     assert_eq!(before, f, "went_back: {id}");
-                    self.met.repeated_finals += u32::from(sent >= heard);
+                    self.coverage.repeated_final_states += u32::from(sent >= heard);
                 } else {
-                    wish.told_final = Some((f, now));
-                    wish.told_by = by;
-                    self.look_everywhere(id);
+                    wish.known_final = Some((f, now));
+                    wish.final_state_from = by;
+                    self.send_request_burst(id);
                 }
             }
             _ => {
                 assert!(!withdraw, "a withdrawal of {id} was answered with a live state");
-                if let Some((_, heard)) = wish.told_final {
-                    self.is_older(&format!("went_back: {id} is live again"), heard, sent, given);
+                if let Some((_, heard)) = wish.known_final {
+                    self.check_answer_order(&format!("went_back: {id} is live again"), heard, sent, given);
                 }
             }
         }
@@ -163,10 +173,10 @@
     /// An answer is older than what its user had heard by then. Nothing excuses it where the request was sent after
     /// that. Where both were on their way at once it may have been given before; `judges_arrivals` holds a controller
     /// also to what had arrived, from any of them, when it gave its answer.
-    fn is_older(&mut self, what: &str, heard: Micros, sent: Micros, given: Micros) {
+    fn check_answer_order(&mut self, what: &str, heard: Micros, sent: Micros, given: Micros) {
         assert!(sent < heard, "{what}: asked at {sent:?}, heard at {heard:?}, answered at {given:?}");
-        self.met.overlapped += 1;
-        let late = self.judges_arrivals && given > heard;
+        self.coverage.overlapping_answers += 1;
+        let late = self.checks_answer_times && given > heard;
         assert!(!late, "{what}, overlapping: asked at {sent:?}, heard at {heard:?}, answered at {given:?}");
     }
 
--- a/src/coordination/simulation/withdrawals.rs
+++ b/src/coordination/simulation/withdrawals.rs
@@ -11,9 +11,10 @@
     let job = JobSpec { zone: None, spot: true, team: "green".into(), ..job };
     let (id, at) = (TaskId::new(&job.id, 0), Micros::from_secs(100));
     world.now = at + ago;
-    let wish = Wish { spec: Some(job), told_accepted: true, wants_withdrawal: true, ..Default::default() };
+    let wish =
+        UserJob { spec: Some(job), known_accepted: true, wants_withdrawal: true, ..Default::default() };
     world.jobs.insert(id.job.clone(), wish);
-    let asking = Asking { job: id.job.clone(), withdraw: true, sent: at };
+    let asking = AnsweredRequest { job: id.job.clone(), withdraw: true, sent_at: at };
     let told = Answer::Job {
         created: false,
         id: id.job.clone(),
@@ -22,18 +23,18 @@
         running: 0,
     };
     let now = std::mem::replace(&mut world.now, at + Micros(2 * MS));
-    world.user_answered(asking, told, 0, at);
+    world.handle_user_answer(asking, told, 0, at);
     world.now = now;
-    let running = Running {
+    let running = WorkerTask {
         attempt: 1,
         state: TaskState::Running,
         cause: None,
-        until: Micros::MAX,
-        ordered: at + ordered,
-        arrived: at + ordered,
+        state_until: Micros::MAX,
+        ordered_at: at + ordered,
+        arrived_at: at + ordered,
     };
     let w = world.workers.get_mut(&name).unwrap();
-    (w.renewed, w.hung_until) = (now, now);
+    (w.lease_renewed_at, w.hung_until) = (now, now);
     w.tasks.insert(id.clone(), running);
     (world, name, id)
 }
@@ -43,16 +44,16 @@
 #[should_panic(expected = "ran_cancelled: TaskId")]
 fn a_start_ordered_after_a_confirmed_withdrawal_is_a_fault() {
     let (mut world, name, id) = withdrawn(Micros::from_secs(1), Micros(1));
-    world.has_begun(&name, &id);
+    world.check_task_start(&name, &id);
 }
 
 /// A command that was under way when the withdrawal was confirmed may still start its task.
 #[test]
 fn a_start_in_flight_at_a_confirmed_withdrawal_is_none() {
     let (mut world, name, id) = withdrawn(Micros::from_secs(1), Micros::ZERO);
-    world.has_begun(&name, &id);
-    world.check();
-    assert_eq!(world.met.in_flight, 1);
+    world.check_task_start(&name, &id);
+    world.check_rules();
+    assert_eq!(world.coverage.starts_in_flight_at_confirmation, 1);
 }
 
 /// Guards the judge of withdrawn tasks: one that is there when its machine, which hung, goes on within its lease.
@@ -60,14 +61,14 @@
 #[should_panic(expected = "still runs")]
 fn a_withdrawn_task_that_goes_on_with_its_hung_machine_is_a_fault() {
     let (mut world, ..) = withdrawn(Micros::from_secs(30), Micros::ZERO);
-    world.check();
+    world.check_rules();
 }
 
 /// A start that was under way when the withdrawal was confirmed reached its machine later.
 fn arrived_late(ago: Micros) -> World {
     let (mut world, name, id) = withdrawn(ago, Micros::ZERO);
     let task = world.workers.get_mut(&name).unwrap().tasks.get_mut(&id).unwrap();
-    task.arrived = task.ordered + Micros::from_secs(2);
+    task.arrived_at = task.ordered_at + Micros::from_secs(2);
     world
 }
 
@@ -77,12 +78,12 @@
 /// `cancel_s` of 34 s.
 #[test]
 fn a_start_that_arrives_after_the_confirmation_has_the_time_of_the_whole_sum() {
-    arrived_late(Micros::from_secs(20)).check();
+    arrived_late(Micros::from_secs(20)).check_rules();
 }
 
 /// Guards the judge of withdrawn tasks: not for longer, whenever the start arrived.
 #[test]
 #[should_panic(expected = "still runs")]
 fn a_start_that_arrives_after_the_confirmation_and_goes_on_is_a_fault() {
-    arrived_late(Micros::from_secs(30)).check();
+    arrived_late(Micros::from_secs(30)).check_rules();
 }
--- a/src/coordination/simulation/workers.rs
+++ b/src/coordination/simulation/workers.rs
@@ -2,21 +2,21 @@
 
 use super::*;
 
-pub(super) struct Running {
+pub(super) struct WorkerTask {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
     pub(super) cause: Option<Cause>,
     /// When the present state ends by itself.
-    pub(super) until: Micros,
+    pub(super) state_until: Micros,
     /// When the command to start it left its controller.
-    pub(super) ordered: Micros,
+    pub(super) ordered_at: Micros,
     /// When that command reached the machine.
-    pub(super) arrived: Micros,
+    pub(super) arrived_at: Micros,
 }
 
-impl Running {
+impl WorkerTask {
     /// Whether the task is on its machine, as the rules count it: from its image on until it has exited.
-    pub(super) fn is_here(&self) -> bool {
+    pub(super) fn counts_as_running(&self) -> bool {
         !matches!(self.state, TaskState::Ended | TaskState::Fetching)
     }
 }
@@ -25,37 +25,37 @@
     pub(super) kind: String,
     pub(super) zone: String,
     pub(super) spot: bool,
-    pub(super) rented: Micros,
+    pub(super) rented_at: Micros,
     pub(super) dead: bool,
-    pub(super) cut_until: Micros,
+    pub(super) partitioned_until: Micros,
     pub(super) hung_until: Micros,
     /// Nothing that is said to it arrives.
-    pub(super) deaf_until: Micros,
+    pub(super) not_receiving_until: Micros,
     /// Its reports reach no controller; what is said to it arrives and is answered.
-    pub(super) mute_until: Micros,
+    pub(super) reports_blocked_until: Micros,
     pub(super) faulty: bool,
     pub(super) session: u64,
     pub(super) tally: u64,
     pub(super) token: u64,
-    pub(super) renewed: Micros,
-    pub(super) target: usize,
-    pub(super) next_report: Micros,
+    pub(super) lease_renewed_at: Micros,
+    pub(super) target_controller: usize,
+    pub(super) next_report_at: Micros,
     /// The report in flight: session, tally, when it was sent.
-    pub(super) waiting: Option<(u64, u64, Micros)>,
-    pub(super) tasks: BTreeMap<TaskId, Running>,
-    pub(super) notice: Option<Micros>,
+    pub(super) report_in_flight: Option<(u64, u64, Micros)>,
+    pub(super) tasks: BTreeMap<TaskId, WorkerTask>,
+    pub(super) preempted_at: Option<Micros>,
 }
 
 impl Worker {
     /// Past its lease, a worker ends all tasks and begins its next session. How many tasks are lost by it.
-    pub(super) fn lapse(&mut self, now: Micros, lease: Micros) -> usize {
-        if now.since(self.renewed) <= lease {
+    pub(super) fn expire_lease(&mut self, now: Micros, lease: Micros) -> usize {
+        if now.since(self.lease_renewed_at) <= lease {
             return 0;
         }
         let lost = self.tasks.values().filter(|t| t.state != TaskState::Ended).count();
         self.tasks.clear();
         self.session += 1;
-        self.renewed = now;
+        self.lease_renewed_at = now;
         lost
     }
 
@@ -63,11 +63,11 @@
     pub(super) fn reboot(&mut self, now: Micros) {
         self.tasks.clear();
         self.session += 1;
-        (self.tally, self.token, self.renewed, self.waiting) = (0, 0, now, None);
-        self.next_report = now + Micros::from_millis(300);
+        (self.tally, self.token, self.lease_renewed_at, self.report_in_flight) = (0, 0, now, None);
+        self.next_report_at = now + Micros::from_millis(300);
     }
 
-    pub(super) fn report(&self, name: &str, now: Micros) -> Report {
+    pub(super) fn build_report(&self, name: &str, now: Micros) -> Report {
         let tasks = self.tasks.iter().map(|(id, t)| ReportedTask {
             task: id.text(),
             attempt: t.attempt,
@@ -83,7 +83,7 @@
             session: self.session,
             tally: self.tally,
             token: self.token,
-            notice_s: self.notice.map(|at| at.since(now).as_secs_f64()),
+            notice_s: self.preempted_at.map(|at| at.since(now).as_secs_f64()),
             tasks: tasks.collect(),
         }
     }
@@ -91,8 +91,8 @@
 
 impl World {
     /// Advances a worker: its lease, its tasks, its reports.
-    pub(super) fn worker_turn(&mut self, name: String) {
-        let (now, lease) = (self.now, self.lease());
+    pub(super) fn advance_worker(&mut self, name: String) {
+        let (now, lease) = (self.now, self.worker_lease());
         let every = Micros::from_secs_f64(self.settings[0].params.workers.report_s);
         let Some(w) = self.workers.get_mut(&name) else { return };
         if w.dead {
@@ -100,15 +100,15 @@
         }
         if w.hung_until > now {
             let until = w.hung_until;
-            self.meets("machine_hangs");
-            return self.at(until, Happening::Worker(name));
+            self.record_fault("machine_hangs");
+            return self.schedule_at(until, SimEvent::WorkerTurn(name));
         }
-        self.met.lost_by_lease += w.lapse(now, lease);
+        self.coverage.tasks_lost_to_lease_expiry += w.expire_lease(now, lease);
         let mut changed = false;
         let mut completed = Vec::new();
         let mut begun = Vec::new();
         for (id, t) in &mut w.tasks {
-            if t.until > now || t.state == TaskState::Ended {
+            if t.state_until > now || t.state == TaskState::Ended {
                 continue;
             }
             changed = true;
@@ -118,25 +118,25 @@
             match t.state {
                 TaskState::Fetching if gang => {
                     t.state = TaskState::Waiting;
-                    t.until = now + Micros::from_secs(45);
+                    t.state_until = now + Micros::from_secs(45);
                     begun.push(id.clone());
                 }
                 TaskState::Fetching => {
                     t.state = TaskState::Running;
-                    t.until = now
-                        + if service && !self.mistaken.contains(&id.job) {
+                    t.state_until = now
+                        + if service && !self.broken_jobs.contains(&id.job) {
                             Micros::from_secs(9_999)
                         } else {
-                            let early = self.far_apart && id.index == 0;
-                            let range = if early { S..3 * S } else { self.runs_for.clone() };
+                            let early = self.first_task_short && id.index == 0;
+                            let range = if early { S..3 * S } else { self.task_run_time.clone() };
                             Micros(self.rng.random_range(range))
                         };
                     begun.push(id.clone());
                 }
                 TaskState::Waiting => (t.state, t.cause) = (TaskState::Ended, Some(Cause::Alone)),
-                TaskState::Running if w.faulty || self.mistaken.contains(&id.job) => {
+                TaskState::Running if w.faulty || self.broken_jobs.contains(&id.job) => {
                     let trouble = if w.faulty { "faulty" } else { "mistaken" };
-                    *self.met.troubles.entry(trouble).or_default() += 1;
+                    *self.coverage.faults.entry(trouble).or_default() += 1;
                     (t.state, t.cause) = (TaskState::Ended, Some(Cause::Error))
                 }
                 TaskState::Running => {
@@ -149,92 +149,104 @@
         let mut ended = Vec::new();
         for id in completed {
             let wish = self.jobs.entry(id.job.clone()).or_default();
-            let before = wish.tasks_done.len();
+            let before = wish.completed_tasks.len();
             // The tasks of a gang complete together.
             match wish.spec.as_ref().filter(|s| s.shape == Shape::Gang) {
-                Some(gang) => wish.tasks_done.extend(0..gang.tasks),
-                None => drop(wish.tasks_done.insert(id.index)),
+                Some(gang) => wish.completed_tasks.extend(0..gang.tasks),
+                None => drop(wish.completed_tasks.insert(id.index)),
             }
             let all = wish.spec.as_ref().map_or(0, |s| s.tasks as usize);
-            if before < all && wish.tasks_done.len() == all {
+            if before < all && wish.completed_tasks.len() == all {
                 ended.push(id.job);
             }
         }
-        ended.into_iter().for_each(|id| self.has_ended(id));
-        begun.iter().for_each(|id| self.has_begun(&name, id));
+        ended.into_iter().for_each(|id| self.job_tasks_completed(id));
+        begun.iter().for_each(|id| self.check_task_start(&name, id));
         if changed || self.workers.len() < 50 || self.sequence.is_multiple_of(64) {
-            self.gangs();
+            self.advance_gangs();
         }
         let Some(w) = self.workers.get_mut(&name) else { return };
-        if w.waiting.is_some_and(|(_, _, sent)| now.since(sent) > Micros::from_secs(4)) {
-            w.waiting = None;
-            w.target = (w.target + 1) % self.settings.len();
-            w.next_report = now + Micros::from_secs(1);
+        if w.report_in_flight.is_some_and(|(_, _, sent)| now.since(sent) > Micros::from_secs(4)) {
+            w.report_in_flight = None;
+            w.target_controller = (w.target_controller + 1) % self.settings.len();
+            w.next_report_at = now + Micros::from_secs(1);
         }
-        if w.waiting.is_none() && (now >= w.next_report || changed) {
+        if w.report_in_flight.is_none() && (now >= w.next_report_at || changed) {
             w.tally += 1;
-            w.waiting = Some((w.session, w.tally, now));
-            w.next_report = now + Micros(self.rng.random_range(every.0 * 3 / 4..every.0 * 5 / 4));
-            let report = w.report(&name, now);
-            let (node, mute) = (w.target, w.mute_until > now);
-            let cut = w.cut_until > now;
+            w.report_in_flight = Some((w.session, w.tally, now));
+            w.next_report_at = now + Micros(self.rng.random_range(every.0 * 3 / 4..every.0 * 5 / 4));
+            let report = w.build_report(&name, now);
+            let (node, mute) = (w.target_controller, w.reports_blocked_until > now);
+            let cut = w.partitioned_until > now;
             let zone = w.zone.clone();
             let (session, tally) = (w.session, w.tally);
-            let late = self.trouble.late;
+            let late = self.fault_profile.late;
             // What cannot be sent leaves no copies.
-            let (copies, keeps) = if mute { (0.0, 0.0) } else { (self.trouble.copies, self.keeps_reports) };
-            let cut = cut && self.meets("machine_cut")
-                || mute && self.meets("mute")
-                || self.zone_cut(self.controller_zones[node], &zone) && self.meets("zone_cut");
-            if self.odds(keeps) {
-                self.kept.push(report.clone());
+            let (copies, keeps) =
+                if mute { (0.0, 0.0) } else { (self.fault_profile.copies, self.report_retention) };
+            let cut = cut && self.record_fault("machine_cut")
+                || mute && self.record_fault("mute")
+                || self.are_zones_partitioned(self.controller_zones[node], &zone)
+                    && self.record_fault("zone_cut");
+            if self.chance(keeps) {
+                self.retained_reports.push(report.clone());
             }
-            if self.odds(copies) {
+            if self.chance(copies) {
                 let to = self.rng.random_range(0..self.settings.len());
-                self.soon(S, 60 * S, Happening::Copy { node: to, report: report.clone() });
+                self.schedule_within(
+                    S,
+                    60 * S,
+                    SimEvent::DuplicateReport { node: to, report: report.clone() },
+                );
             }
-            if cut || self.lost() {
+            if cut || self.is_message_lost() {
                 // Held up: it may arrive long after the worker has given it up.
-                if !mute && self.odds(late) {
+                if !mute && self.chance(late) {
                     let request = self.next_request;
                     self.next_request += 1;
-                    let life = self.lives[node];
-                    self.soon(
+                    let life = self.incarnations[node];
+                    self.schedule_within(
                         5 * S,
                         60 * S,
-                        Happening::ToController { node, life, event: Event::Report(request, report) },
+                        SimEvent::ToController {
+                            node,
+                            incarnation: life,
+                            event: Event::Report(request, report),
+                        },
                     );
                 }
             } else if self.controllers[node].is_none() {
-                self.soon(
+                self.schedule_within(
                     MS,
                     2 * MS,
-                    Happening::ReportAnswered {
+                    SimEvent::ReportAnswered {
                         machine: name.clone(),
                         session,
                         tally,
                         answer: Some(Answer::RetryLater(1)),
-                        given: now,
+                        answered_at: now,
                     },
                 );
             } else {
                 let request = self.next_request;
                 self.next_request += 1;
-                let life = self.lives[node];
-                self.requests
-                    .insert((node, life, request), Asked::Report { machine: name.clone(), session, tally });
-                self.soon(
+                let life = self.incarnations[node];
+                self.pending_requests.insert(
+                    (node, life, request),
+                    PendingRequest::Report { machine: name.clone(), session, tally },
+                );
+                self.schedule_within(
                     MS,
                     5 * MS,
-                    Happening::ToController { node, life, event: Event::Report(request, report) },
+                    SimEvent::ToController { node, incarnation: life, event: Event::Report(request, report) },
                 );
             }
         }
-        self.at(now + Micros::from_millis(500), Happening::Worker(name));
+        self.schedule_at(now + Micros::from_millis(500), SimEvent::WorkerTurn(name));
     }
 
     /// Gangs start once all their tasks wait, and fail together.
-    pub(super) fn gangs(&mut self) {
+    pub(super) fn advance_gangs(&mut self) {
         let mut gangs: BTreeMap<_, Vec<(String, TaskId, TaskState)>> = BTreeMap::new();
         for (name, w) in self.workers.iter().filter(|(_, w)| !w.dead) {
             for (id, t) in &w.tasks {
@@ -252,14 +264,14 @@
             let size = self.jobs[&job].spec.as_ref().map_or(0, |s| s.tasks as usize);
             let waiting = tasks.iter().filter(|t| t.2 == TaskState::Waiting).count();
             let running = tasks.iter().filter(|t| t.2 == TaskState::Running).count();
-            let done = self.jobs[&job].tasks_done.len();
-            let until = self.now + Micros(self.rng.random_range(self.runs_for.clone()));
+            let done = self.jobs[&job].completed_tasks.len();
+            let until = self.now + Micros(self.rng.random_range(self.task_run_time.clone()));
             for (name, id, state) in tasks {
                 let Some(t) = self.workers.get_mut(&name).and_then(|w| w.tasks.get_mut(&id)) else {
                     continue;
                 };
                 if waiting == size && state == TaskState::Waiting {
-                    (t.state, t.until) = (TaskState::Running, until);
+                    (t.state, t.state_until) = (TaskState::Running, until);
                 } else if state == TaskState::Running && done == size {
                     (t.state, t.cause) = (TaskState::Ended, Some(Cause::Done));
                 } else if state == TaskState::Running && running < size {
@@ -271,7 +283,7 @@
 
     /// Orders to a worker's own address: they may be lost on the way, or arrive a minute later, or
     /// only the reply may be lost.
-    pub(super) fn direct(
+    pub(super) fn deliver_direct_orders(
         &mut self,
         node: usize,
         machine: &str,
@@ -284,36 +296,41 @@
             return DirectReply::NotSent;
         }
         let held_up = self.workers.get(machine).is_some_and(|w| {
-            w.cut_until > now
+            w.partitioned_until > now
                 || w.hung_until > now
-                || w.deaf_until > now
-                || self.zone_cut(self.controller_zones[node], &w.zone)
+                || w.not_receiving_until > now
+                || self.are_zones_partitioned(self.controller_zones[node], &w.zone)
         });
-        let share = self.trouble.held_up;
-        if !held_up && self.odds(share) {
-            self.meets("held_up");
+        let share = self.fault_profile.held_up;
+        if !held_up && self.chance(share) {
+            self.record_fault("held_up");
             let machine = machine.to_owned();
-            self.soon(S, 8 * S, Happening::LateOrders { machine, orders, sent });
+            self.schedule_within(S, 8 * S, SimEvent::LateOrders { machine, orders, sent_at: sent });
             return DirectReply::Unclear;
         }
-        if held_up || self.lost() {
+        if held_up || self.is_message_lost() {
             if self.rng.random_bool(0.7) {
                 let machine = machine.to_owned();
-                self.soon(MS, 60 * S, Happening::LateOrders { machine, orders, sent });
+                self.schedule_within(MS, 60 * S, SimEvent::LateOrders { machine, orders, sent_at: sent });
             }
             return DirectReply::Unclear;
         }
-        let reply = self.execute(machine, orders, sent);
-        if self.lost() { DirectReply::Unclear } else { reply }
+        let reply = self.execute_orders(machine, orders, sent);
+        if self.is_message_lost() { DirectReply::Unclear } else { reply }
     }
 
-    pub(super) fn execute(&mut self, machine: &str, orders: DirectOrders, sent: Micros) -> DirectReply {
-        let (now, lease) = (self.now, self.lease());
+    pub(super) fn execute_orders(
+        &mut self,
+        machine: &str,
+        orders: DirectOrders,
+        sent: Micros,
+    ) -> DirectReply {
+        let (now, lease) = (self.now, self.worker_lease());
         let Some(w) = self.workers.get_mut(machine) else { return DirectReply::NotSent };
         if w.dead {
             return DirectReply::NotSent;
         }
-        self.met.lost_by_lease += w.lapse(now, lease);
+        self.coverage.tasks_lost_to_lease_expiry += w.expire_lease(now, lease);
         w.tally += 1;
         if orders.token < w.token || orders.session != w.session {
             let there = |order: &Order| match order {
@@ -323,22 +340,22 @@
                 }
                 _ => false,
             };
-            self.met.rejected_but_there += u32::from(orders.orders.iter().any(there));
-            return DirectReply::Rejected(Box::new(w.report(machine, now)));
+            self.coverage.rejected_but_started += u32::from(orders.orders.iter().any(there));
+            return DirectReply::Rejected(Box::new(w.build_report(machine, now)));
         }
         if orders.token > w.token {
-            w.next_report = w.next_report.min(now + Micros::from_millis(500));
+            w.next_report_at = w.next_report_at.min(now + Micros::from_millis(500));
         }
         w.token = orders.token;
         let supply =
-            self.types.iter().find(|t| t.name == w.kind).map(MachineType::supply).unwrap_or_default();
+            self.machine_types.iter().find(|t| t.name == w.kind).map(MachineType::supply).unwrap_or_default();
         for order in orders.orders {
-            self.obey(machine, order, supply, sent);
+            self.execute_order(machine, order, supply, sent);
         }
-        DirectReply::Done(Box::new(self.workers[machine].report(machine, now)))
+        DirectReply::Done(Box::new(self.workers[machine].build_report(machine, now)))
     }
 
-    pub(super) fn report_answered(
+    pub(super) fn handle_report_answer(
         &mut self,
         name: String,
         session: u64,
@@ -349,49 +366,53 @@
         let now = self.now;
         let Some(w) = self.workers.get_mut(&name) else { return };
         // Given up on by now, or meant for an earlier session.
-        let Some((s, t, sent)) = w.waiting else { return };
+        let Some((s, t, sent)) = w.report_in_flight else { return };
         if (s, t) != (session, tally)
             || w.session != session
             || now.since(sent) > Micros::from_secs(4)
             || w.dead
             || w.hung_until > now
-            || w.deaf_until > now
+            || w.not_receiving_until > now
         {
-            if w.deaf_until > now {
-                self.meets("deaf");
+            if w.not_receiving_until > now {
+                self.record_fault("deaf");
             }
             return;
         }
         let Some(answer) = answer else { return };
-        w.waiting = None;
+        w.report_in_flight = None;
         match answer {
             Answer::Orders(ReportAnswer { token, orders }) => {
                 if token < w.token {
                     return;
                 }
                 if token > w.token {
-                    w.next_report = now + Micros::from_millis(500);
+                    w.next_report_at = now + Micros::from_millis(500);
                 }
                 w.token = token;
-                w.renewed = sent;
-                let supply =
-                    self.types.iter().find(|t| t.name == w.kind).map(MachineType::supply).unwrap_or_default();
+                w.lease_renewed_at = sent;
+                let supply = self
+                    .machine_types
+                    .iter()
+                    .find(|t| t.name == w.kind)
+                    .map(MachineType::supply)
+                    .unwrap_or_default();
                 for order in orders {
-                    self.obey(&name, order, supply, given);
+                    self.execute_order(&name, order, supply, given);
                 }
             }
             Answer::Redirect(Some(member)) => {
-                w.target = self.settings.iter().position(|s| s.member == member).unwrap_or(0);
-                w.next_report = now + Micros(self.rng.random_range(0..500 * MS));
+                w.target_controller = self.settings.iter().position(|s| s.member == member).unwrap_or(0);
+                w.next_report_at = now + Micros(self.rng.random_range(0..500 * MS));
             }
             _ => {
-                w.target = (w.target + 1) % self.settings.len();
-                w.next_report = now + Micros::from_secs(1);
+                w.target_controller = (w.target_controller + 1) % self.settings.len();
+                w.next_report_at = now + Micros::from_secs(1);
             }
         }
     }
 
-    pub(super) fn obey(&mut self, name: &str, order: Order, supply: Resources, ordered: Micros) {
+    pub(super) fn execute_order(&mut self, name: &str, order: Order, supply: Resources, ordered: Micros) {
         let now = self.now;
         let fetch = Micros(self.rng.random_range(100 * MS..3 * S));
         match order {
@@ -414,13 +435,13 @@
                     .filter(|(_, t)| t.state != TaskState::Ended)
                     .fold(supply, |r, (i, _)| r.minus(need(i)));
                 let fits = spec.need().fits(room);
-                let running = Running {
+                let running = WorkerTask {
                     attempt,
                     state: if fits { TaskState::Fetching } else { TaskState::Ended },
                     cause: (!fits).then_some(Cause::NoRoom),
-                    until: now + fetch,
-                    ordered,
-                    arrived: now,
+                    state_until: now + fetch,
+                    ordered_at: ordered,
+                    arrived_at: now,
                 };
                 w.tasks.insert(id, running);
             }
@@ -432,9 +453,9 @@
                     && t.attempt == attempt
                     && t.state != TaskState::Ended
                 {
-                    self.stops.push(id);
+                    self.stopped_tasks.push(id);
                     if t.state == TaskState::Running && grace_s >= save && save > 0.0 {
-                        (t.state, t.until) = (TaskState::Saving, now + Micros::from_secs_f64(save));
+                        (t.state, t.state_until) = (TaskState::Saving, now + Micros::from_secs_f64(save));
                     } else if t.state != TaskState::Saving || grace_s == 0.0 {
                         (t.state, t.cause) = (TaskState::Ended, Some(Cause::Stopped));
                     }
