--- a/src/coordination/simulation.rs
+++ b/src/coordination/simulation.rs
@@ -1,5 +1,7 @@
-//! Whole clusters in one thread: controllers, and stand-ins for the state service, the cloud, the
-//! workers and the users, under seeded trouble. The protocol's rules are checked after every step.
+//! Simulated clusters in one thread.
+//!
+//! Real controllers run against a simulated state service, cloud, workers and users, with faults injected from a seed.
+//! The protocol's rules are checked while the simulation runs.
 
 mod abuse;
 mod asking;
@@ -57,7 +59,7 @@
 use idle::Idle;
 use looks::UserRequest;
 use network::PendingRequest;
-use spells::{CommitFault, PATIENCE, TimedFault};
+use spells::{CALL_TIMEOUT, CommitFault, TimedFault};
 use store::Store;
 use troubles::Trouble;
 use users::{AnsweredRequest, UserJob};
@@ -80,6 +82,7 @@
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
 
+/// Something that happens at a scheduled time; `node` is the index of a controller.
 enum SimEvent {
     Tick(usize),
     Start(usize),
@@ -94,7 +97,7 @@
         id: CallId,
         call: StoreCall,
     },
-    /// A watch that is open at the store, since then.
+    /// A watch that has been open at the store since `opened_at`.
     Watch {
         node: usize,
         incarnation: u64,
@@ -114,17 +117,17 @@
         session: u64,
         tally: u64,
         answer: Option<Answer>,
-        /// When it left the controller.
+        /// When the answer left the controller.
         answered_at: Micros,
     },
     UserTurn(String),
-    /// A user asks one controller, for itself.
+    /// A user sends a request to one given controller.
     UserRequest {
         node: usize,
         job: String,
         request: UserRequest,
     },
-    /// A copy of a report, to whichever life of the controller is there.
+    /// A copy of a report arrives at whichever incarnation of the controller is running.
     DuplicateReport {
         node: usize,
         report: Report,
@@ -134,8 +137,9 @@
         withdraw: bool,
         answer: Answer,
         answered_by: usize,
-        /// When the user sent its request, and when the answer left the controller.
+        /// When the user sent its request.
         sent_at: Micros,
+        /// When the answer left the controller.
         answered_at: Micros,
     },
     Orders {
@@ -155,9 +159,9 @@
         sent_at: Micros,
         transaction: Transaction,
     },
-    /// A spell begins, until then.
+    /// A fault begins; it lasts until the given time.
     FaultBegins(TimedFault, Micros),
-    /// What a controller decided before it stood still leaves now.
+    /// The effects that a controller decided on before it was paused are carried out.
     DelayedEffects {
         node: usize,
         incarnation: u64,
@@ -165,6 +169,7 @@
     },
 }
 
+/// An event with its time and a sequence number that orders events of the same time.
 struct ScheduledEvent(Micros, u64, SimEvent);
 impl PartialEq for ScheduledEvent {
     fn eq(&self, o: &Self) -> bool {
@@ -183,55 +188,61 @@
     }
 }
 
-/// What a run has met: a test that brings a meeting about asserts that it did.
+/// Counts of the situations that a run has exercised.
+///
+/// A test that provokes a situation asserts that it occurred.
 #[derive(Debug, Default)]
 struct Coverage {
-    /// Transactions without an answer that were carried out after newer ones of the same controller.
+    /// Transactions without an answer that were committed after a newer transaction of the same controller.
     late_commits: u32,
-    /// Copies of reports that came after newer reports of the machine, and of those the ones of an earlier session.
+    /// Copies of reports that arrived after a newer report of the same machine.
     late_duplicates: u32,
+    /// Copies of reports of an earlier session of the worker.
     duplicates_of_earlier_sessions: u32,
-    /// Tasks in copies that were in a later attempt by then, and those that had completed.
+    /// Tasks in copies of reports that had a later attempt by then.
     duplicate_tasks_of_earlier_attempts: u32,
+    /// Tasks in copies of reports that had completed.
     duplicate_completed_tasks: u32,
-    /// Tasks that began a second time in the same attempt and session.
+    /// Tasks that started a second time in the same attempt and worker session.
     repeated_starts: u32,
-    /// Orders that were carried out more than a second after they were sent.
+    /// Orders that were executed more than a second after they were sent.
     late_orders: u32,
-    /// Orders that a worker rejected though it had a start among them from the answer to a report.
+    /// Orders rejected by a worker that already had one of their starts from the answer to a report.
     rejected_but_started: u32,
-    /// Tasks that had completed and began again.
+    /// Tasks that had completed and started again.
     restarts_after_completion: u32,
-    /// Tasks that a worker ended since nobody had renewed its lease.
+    /// Tasks that a worker ended because its lease expired.
     tasks_lost_to_lease_expiry: usize,
-    /// Confirmations of statuses that the process they came to had not sent.
+    /// Confirmations of statuses that the receiving process had not sent.
     unsolicited_confirmations: u32,
-    /// Words of controllers that came more than five seconds late.
+    /// Messages between controllers that were delayed by more than five seconds.
     late_peer_messages: u32,
-    /// The longest that a task was there after its job's withdrawal had been recorded, and confirmed.
+    /// The longest time for which a task ran after its job's withdrawal was recorded.
     max_run_after_withdrawal: Micros,
+    /// The longest time for which a task ran after its job's withdrawal was confirmed to the user.
     max_run_after_confirmation: Micros,
-    /// Starts of tasks of jobs whose withdrawal had been confirmed, by commands that were in flight at the
-    /// confirmation.
+    /// Starts of tasks of jobs whose withdrawal had been confirmed, by orders that were in flight at the confirmation.
     starts_in_flight_at_confirmation: u32,
-    /// Transactions carried out at once of which the answer was lost.
+    /// Transactions that were committed at once and whose reply was lost.
     lost_commit_replies: u32,
-    /// Copies of reports that were kept and given to a controller when a new leader had appeared.
+    /// Copies of reports that were retained and delivered to a controller after a new leader appeared.
     retained_reports_delivered: u32,
-    /// How often each trouble that was drawn took effect.
+    /// How often each injected fault took effect.
     faults: BTreeMap<&'static str, u32>,
-    /// Looks at all controllers after a user has heard something first; of jobs that nobody submitted, and of those
-    /// the answers that there is no such job.
+    /// Bursts of requests to all controllers that users sent after they first learnt of a new state of their job.
     request_bursts: u32,
+    /// Requests about jobs that were never submitted.
     unknown_job_requests: u32,
+    /// Answers to those requests that there is no such job.
     unknown_job_denials: u32,
-    /// Answers about jobs that are over, to questions sent after their users had heard of it.
+    /// Final states in answers to requests that were sent after the user already knew the final state.
     repeated_final_states: u32,
-    /// Answers older than what their users had heard, to requests sent before they had heard it.
+    /// Answers older than the user's knowledge, to requests that were sent before the user had that knowledge.
     overlapping_answers: u32,
-    /// The most processors and accelerators that each team's tasks took at once, in thousandths.
+    /// The highest simultaneous use of processors and accelerators by each team's tasks, in thousandths.
     peak_usage: Vec<(u64, u64)>,
-    /// How often a job that had waited for 90 s in calm was held against the machines that had had room all the while.
+    /// How often a job that had waited for 90 s without faults was compared with the machines that had room for all
+    /// that time.
     neglect_checks: u32,
 }
 
@@ -241,6 +252,7 @@
     machines: usize,
 }
 
+/// A simulated cluster: its clock, event queue, components and injected faults.
 struct World {
     rng: StdRng,
     now: Micros,
@@ -249,84 +261,94 @@
     settings: Vec<Settings>,
     tuning: Tuning,
     controllers: Vec<Option<Controller>>,
+    /// How often each controller has been started.
     incarnations: Vec<u64>,
+    /// When each controller was last started.
     started_at: Vec<Micros>,
+    /// How fast each controller's clock runs.
     clock_rates: Vec<f64>,
     pending_requests: HashMap<(usize, u64, RequestId), PendingRequest>,
     next_request: RequestId,
     store: Store,
-    /// What has befallen the store and the controllers, since when and until when.
+    /// Faults of the store and the controllers, with their start and end.
     faults: Vec<(TimedFault, Micros, Micros)>,
-    /// When the last spell so far ends.
+    /// When the last of the faults so far ends.
     faults_end: Micros,
     cloud_down_until: Micros,
+    /// Machines rented by each rental request, by its name.
     rentals: BTreeMap<String, Vec<String>>,
     next_machine: u32,
     machine_types: Vec<MachineType>,
+    /// The most machines that the cloud provides at a time.
     cloud_capacity: usize,
     workers: BTreeMap<String, Worker>,
     jobs: BTreeMap<String, UserJob>,
     fault_profile: Trouble,
     tasks_started: u32,
+    /// From then on no random faults are injected.
     fault_free_from: Micros,
-    /// How long tasks run, in microseconds; and whether a job's first task ends long before its others.
+    /// How long tasks run, in microseconds.
     task_run_time: std::ops::Range<u64>,
+    /// Each job's first task ends long before its others.
     first_task_short: bool,
-    /// A controller that users do not get to: the balancer has them elsewhere.
+    /// A controller that the load balancer sends no users to.
     excluded_controller: Option<usize>,
-    /// Until when controllers that stalled before sending something stand still.
+    /// Until when each controller is paused by `TimedFault::PausedBeforeSending`.
     send_stalled_until: Vec<Micros>,
-    /// When each controller's newest transaction was carried out, by when it was sent.
+    /// When the last transaction of each controller was committed.
     last_commit_at: Vec<Micros>,
     coverage: Coverage,
-    /// Jobs that fail wherever they run.
+    /// Jobs whose tasks fail on every machine.
     broken_jobs: BTreeSet<String>,
-    /// Calls that have reached the store, or would have.
+    /// Calls that reached the store, those that it refused or that were lost included.
     store_calls: u64,
-    /// Controllers order starts without waiting for the others to know of them.
+    /// Controllers start tasks without waiting until the others have confirmed the announced starts.
     skip_confirmations: bool,
-    /// Owners work for themselves, without the leader's division of the pools.
+    /// Owners place their jobs without the volumes that the leader gives them.
     ignore_leader_volumes: bool,
-    /// When changes reached the store, and how many.
+    /// When each call reached the store, and how many writes it had.
     store_writes: Vec<(Micros, u32)>,
-    /// What befalls a transaction that reaches the store.
+    /// Chooses the fault, if any, of a transaction that reaches the store.
     commit_fault: Option<fn(&Transaction) -> Option<CommitFault>>,
-    /// How long new machines take to be up, and how much longer than else each message between controllers, users
-    /// and workers is on its way, in microseconds.
+    /// How long new machines take to boot, in microseconds.
     boot_time: std::ops::Range<u64>,
+    /// Extra delay of each message between controllers, users and workers, in microseconds.
     extra_link_delay: std::ops::Range<u64>,
-    /// How long starts are on their way to a worker's address, in microseconds.
+    /// How long starts take to a worker's address, in microseconds.
     start_order_delay: std::ops::Range<u64>,
-    /// When the last message from one controller to another arrives.
+    /// When the last message of one controller to another arrives.
     last_peer_arrival: BTreeMap<(usize, usize), Micros>,
-    /// Share of the reports of which a copy is kept for the next leader; those copies; and the leader they wait beyond.
+    /// Probability that a copy of a report is retained for the next leader.
     report_retention: f64,
+    /// Copies of reports that wait for the next leader.
     retained_reports: Vec<Report>,
+    /// Revision of the leader record when the copies were last delivered.
     last_leader_revision: u64,
-    /// Share of the jobs that are called off at the moment at which their last task ends.
+    /// Probability that a user withdraws its job at the moment at which the job's last task completes.
     withdraw_at_end_probability: f64,
     controller_zones: Vec<&'static str>,
-    /// Until then no controller is started.
+    /// No controller is started before this time.
     controllers_down_until: Micros,
-    /// When the leader ends next, under `Trouble::leaders`.
+    /// When the leader crashes next, if the fault profile has leader crashes.
     next_leader_crash: Micros,
-    /// Machines, their sessions, and the tasks and attempts that have begun in them.
+    /// Task attempts that have started: machine, session, task, attempt.
     started_attempts: BTreeSet<(String, u64, TaskId, u64)>,
-    /// Odds, each time that a user first hears that a job is accepted, done or withdrawn, that it asks everywhere.
+    /// Probability that a user sends a burst of requests each time it first learns that its job is accepted, done or
+    /// withdrawn.
     request_burst_probability: f64,
-    /// An older answer is judged by when it was given too, not only by when its request was sent.
+    /// Answers are also checked against the time at which they were sent, not only against that of their request.
     checks_answer_times: bool,
-    /// Tasks that were there when a command stopped them.
+    /// Tasks that had not ended when an order stopped them.
     stopped_tasks: Vec<TaskId>,
     neglect_monitor: Idle,
 }
 
 impl World {
-    fn new(seed: u64, trouble: Trouble) -> World {
-        World::with_size(seed, trouble, ClusterSize { controllers: 3, machines: 14 })
+    fn new(seed: u64, fault_profile: Trouble) -> World {
+        World::with_size(seed, fault_profile, ClusterSize { controllers: 3, machines: 14 })
     }
 
-    fn with_size(seed: u64, trouble: Trouble, size: ClusterSize) -> World {
+    fn with_size(seed: u64, fault_profile: Trouble, size: ClusterSize) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut base: Settings = toml::from_str(crate::settings::tests::SAMPLE).unwrap();
         base.params.teams[0].gpus_max = 4.0;
@@ -351,7 +373,7 @@
                 .collect();
             settings.push(s);
         }
-        let kind = |name: &str, cpus, gpus, memory_gb, price| MachineType {
+        let machine_type = |name: &str, cpus, gpus, memory_gb, price| MachineType {
             name: name.into(),
             cpus,
             gpus,
@@ -370,7 +392,7 @@
             revision: 1,
             ..Default::default()
         };
-        let drift = (0..size.controllers).map(|_| 1.0 + rng.random_range(0.0..0.0005)).collect();
+        let clock_rates = (0..size.controllers).map(|_| 1.0 + rng.random_range(0.0..0.0005)).collect();
         let mut world = World {
             rng,
             now: Micros::ZERO,
@@ -381,7 +403,7 @@
             controllers: (0..size.controllers).map(|_| None).collect(),
             incarnations: vec![0; size.controllers],
             started_at: vec![Micros::ZERO; size.controllers],
-            clock_rates: drift,
+            clock_rates,
             pending_requests: HashMap::new(),
             next_request: 1,
             store,
@@ -390,11 +412,14 @@
             cloud_down_until: Micros::ZERO,
             rentals: BTreeMap::new(),
             next_machine: 0,
-            machine_types: vec![kind("c16", 16.0, 0.0, 64.0, 1.0), kind("g8", 16.0, 4.0, 64.0, 5.0)],
+            machine_types: vec![
+                machine_type("c16", 16.0, 0.0, 64.0, 1.0),
+                machine_type("g8", 16.0, 4.0, 64.0, 5.0),
+            ],
             cloud_capacity: size.machines,
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            fault_profile: trouble,
+            fault_profile,
             tasks_started: 0,
             fault_free_from: Micros::MAX,
             task_run_time: 2 * S..20 * S,
@@ -426,39 +451,42 @@
             checks_answer_times: true,
             neglect_monitor: Idle::default(),
         };
-        world.bring(trouble);
+        world.bring(fault_profile);
         for n in 0..size.controllers {
             world.schedule_at(Micros::from_millis(10 * n as u64), SimEvent::Start(n));
         }
         world
     }
 
-    fn schedule_at(&mut self, at: Micros, what: SimEvent) {
+    fn schedule_at(&mut self, at: Micros, event: SimEvent) {
         self.sequence += 1;
-        self.queue.push(ScheduledEvent(at.max(self.now), self.sequence, what));
+        self.queue.push(ScheduledEvent(at.max(self.now), self.sequence, event));
     }
 
-    fn schedule_within(&mut self, from: u64, to: u64, what: SimEvent) {
-        let delay = Micros(self.rng.random_range(from..=to)) + self.extra_delay(&what);
-        self.schedule_at(self.now + delay, what);
+    /// Schedules an event after a random delay between `from` and `to` microseconds, plus extra link delay.
+    fn schedule_within(&mut self, from: u64, to: u64, event: SimEvent) {
+        let delay = Micros(self.rng.random_range(from..=to)) + self.extra_delay(&event);
+        self.schedule_at(self.now + delay, event);
     }
 
+    /// Draws with probability `p`; never true once the random faults are over.
     fn chance(&mut self, p: f64) -> bool {
         p > 0.0 && self.now < self.fault_free_from && self.rng.random_bool(p.min(1.0))
     }
 
-    /// A message may be lost; a late one arrives up to a minute later.
+    /// Decides whether a message is lost. Callers may still deliver some of the lost ones, up to a minute later.
     fn is_message_lost(&mut self) -> bool {
         let p = self.fault_profile.lost;
         self.chance(p) && self.record_fault("lost")
     }
 
-    /// A trouble takes effect.
-    fn record_fault(&mut self, trouble: &'static str) -> bool {
-        *self.coverage.faults.entry(trouble).or_default() += 1;
+    /// Counts an injected fault that takes effect.
+    fn record_fault(&mut self, fault: &'static str) -> bool {
+        *self.coverage.faults.entry(fault).or_default() += 1;
         true
     }
 
+    /// The time since the controller's start by its own clock, which runs a little fast.
     fn local_time(&self, node: usize) -> Micros {
         self.now.since(self.started_at[node]).mul_f64(self.clock_rates[node])
     }
@@ -468,10 +496,10 @@
             if *at > until {
                 break;
             }
-            let Some(ScheduledEvent(at, _, what)) = self.queue.pop() else { break };
+            let Some(ScheduledEvent(at, _, event)) = self.queue.pop() else { break };
             self.now = at;
-            self.process_event(what);
-            // Every start is judged at once; the whole of a large fleet every few steps.
+            self.process_event(event);
+            // Task starts are checked at once; the state of a large cluster only every few steps.
             if self.workers.len() < 50 || self.sequence.is_multiple_of(16) {
                 self.check_rules();
             }
@@ -479,10 +507,10 @@
         self.now = until;
     }
 
-    fn process_event(&mut self, what: SimEvent) {
-        match what {
+    fn process_event(&mut self, event: SimEvent) {
+        match event {
             SimEvent::Start(_) if self.now < self.controllers_down_until => {
-                self.schedule_at(self.controllers_down_until, what)
+                self.schedule_at(self.controllers_down_until, event)
             }
             SimEvent::Start(n) => {
                 self.incarnations[n] += 1;
@@ -501,10 +529,10 @@
             {
                 self.record_fault("stands_still");
                 let until = self.paused_until(n);
-                self.schedule_at(until, what);
+                self.schedule_at(until, event);
             }
-            SimEvent::DelayedEffects { node, incarnation: life, effects } => {
-                if self.incarnations[node] == life {
+            SimEvent::DelayedEffects { node, incarnation, effects } => {
+                if self.incarnations[node] == incarnation {
                     self.apply_effects(node, effects);
                 }
             }
@@ -520,27 +548,27 @@
                     self.schedule_at(self.now + Micros::from_millis(100), SimEvent::Tick(n));
                 }
             }
-            SimEvent::ToController { node, incarnation: life, event } => {
-                let users = matches!(event, Event::Submit(..) | Event::Query(..) | Event::Withdraw(..));
+            SimEvent::ToController { node, incarnation, event } => {
+                let from_user = matches!(event, Event::Submit(..) | Event::Query(..) | Event::Withdraw(..));
                 if let Event::Submit(_, spec) = &event
-                    && self.jobs.get(&spec.id).is_some_and(|wish| wish.known_accepted)
+                    && self.jobs.get(&spec.id).is_some_and(|user_job| user_job.known_accepted)
                 {
                     self.record_fault("repeats");
                 }
                 self.count_unsolicited_confirmation(node, &event);
-                if self.incarnations[node] == life
-                    && !(users && self.are_zones_partitioned(self.controller_zones[node], ""))
+                if self.incarnations[node] == incarnation
+                    && !(from_user && self.are_zones_partitioned(self.controller_zones[node], ""))
                 {
                     self.deliver_event(node, event);
                 }
             }
-            SimEvent::StoreCall { node, incarnation: life, id, call } => {
+            SimEvent::StoreCall { node, incarnation, id, call } => {
                 self.store_calls += 1;
                 self.store_writes.push((self.now, call.writes()));
-                self.handle_store_call(node, life, id, call, self.now);
+                self.handle_store_call(node, incarnation, id, call, self.now);
             }
-            SimEvent::Watch { node, incarnation: life, id, call, opened_at: since } => {
-                self.handle_store_call(node, life, id, call, since)
+            SimEvent::Watch { node, incarnation, id, call, opened_at } => {
+                self.handle_store_call(node, incarnation, id, call, opened_at)
             }
             SimEvent::DuplicateReport { node, report } => {
                 if let Some(w) = self.workers.get(&report.machine) {
@@ -559,55 +587,50 @@
                 self.record_fault("late_reports");
                 self.deliver_event(node, Event::Report(self.next_request - 1, report));
             }
-            SimEvent::LateCommit { node, sent_at: sent, transaction } => {
-                self.apply_late_commit(node, sent, transaction)
+            SimEvent::LateCommit { node, sent_at, transaction } => {
+                self.apply_late_commit(node, sent_at, transaction)
             }
             SimEvent::FaultBegins(spell, until) => self.begin_fault(spell, until),
-            SimEvent::CloudCall { node, incarnation: life, id, call } => {
+            SimEvent::CloudCall { node, incarnation, id, call } => {
                 let down = self.now < self.cloud_down_until && self.record_fault("cloud_outage");
                 let away = down || self.are_zones_partitioned(self.controller_zones[node], "");
                 let reply = if away { CloudReply::Unclear } else { self.handle_cloud_call(&call) };
                 let reply = if self.is_message_lost() { CloudReply::Unclear } else { reply };
                 let event = Event::Cloud(id, reply);
-                self.schedule_within(
-                    50 * MS,
-                    200 * MS,
-                    SimEvent::ToController { node, incarnation: life, event },
-                );
+                self.schedule_within(50 * MS, 200 * MS, SimEvent::ToController { node, incarnation, event });
             }
-            SimEvent::Orders { node, incarnation: life, machine, orders, sent_at: sent } => {
+            SimEvent::Orders { node, incarnation, machine, orders, sent_at } => {
                 let token = orders.token;
-                let reply = self.deliver_direct_orders(node, &machine, orders, sent);
+                let reply = self.deliver_direct_orders(node, &machine, orders, sent_at);
                 let unclear = matches!(reply, DirectReply::Unclear);
                 let event = Event::WorkerReply { machine, token, reply };
-                let event = SimEvent::ToController { node, incarnation: life, event };
-                // Who hears nothing waits; meanwhile reports come and are answered.
+                let event = SimEvent::ToController { node, incarnation, event };
+                // A call without an answer blocks until its timeout; reports are received and answered meanwhile.
                 if unclear {
-                    self.schedule_at(self.now + PATIENCE, event)
+                    self.schedule_at(self.now + CALL_TIMEOUT, event)
                 } else {
                     self.schedule_within(MS, 5 * MS, event)
                 }
             }
-            SimEvent::LateOrders { machine, orders, sent_at: sent } => {
+            SimEvent::LateOrders { machine, orders, sent_at } => {
                 let any = !orders.orders.is_empty();
-                let done = matches!(self.execute_orders(&machine, orders, sent), DirectReply::Done(_));
-                let late = self.now.since(sent) > Micros::from_secs(1);
+                let done = matches!(self.execute_orders(&machine, orders, sent_at), DirectReply::Done(_));
+                let late = self.now.since(sent_at) > Micros::from_secs(1);
                 self.coverage.late_orders += u32::from(any && done && late);
             }
             SimEvent::WorkerTurn(name) => self.advance_worker(name),
-            SimEvent::ReportAnswered { machine, session, tally, answer, answered_at: given } => {
-                self.handle_report_answer(machine, session, tally, answer, given);
+            SimEvent::ReportAnswered { machine, session, tally, answer, answered_at } => {
+                self.handle_report_answer(machine, session, tally, answer, answered_at);
             }
             SimEvent::UserTurn(job) => self.advance_user(job),
-            SimEvent::UserRequest { node, job, request: look } => self.try_user_request(node, job, look),
-            SimEvent::UserAnswered {
-                job,
-                withdraw,
-                answer,
-                answered_by: by,
-                sent_at: sent,
-                answered_at: given,
-            } => self.handle_user_answer(AnsweredRequest { job, withdraw, sent_at: sent }, answer, by, given),
+            SimEvent::UserRequest { node, job, request } => self.try_user_request(node, job, request),
+            SimEvent::UserAnswered { job, withdraw, answer, answered_by, sent_at, answered_at } => self
+                .handle_user_answer(
+                    AnsweredRequest { job, withdraw, sent_at },
+                    answer,
+                    answered_by,
+                    answered_at,
+                ),
         }
     }
 }
--- a/src/coordination/simulation/abuse.rs
+++ b/src/coordination/simulation/abuse.rs
@@ -1,9 +1,9 @@
-//! What workers must not be believed.
+//! Reports of workers that cannot be true.
 
 use super::*;
 
-/// Guards the books against a worker that reports under another machine's name, and users against tasks
-/// that nobody has started.
+/// Guards against a worker that reports under another machine's name, which would change the controller's state of that
+/// machine, and against tasks that no controller has started.
 #[test]
 fn reports_that_cannot_be_true_change_nothing() {
     let mut world = World::new(5, Trouble::default());
@@ -14,8 +14,8 @@
     let spec = JobSpec { team: "green".into(), tasks: 900, zone: None, ..world.random_job(1) };
     world.submit(JobSpec { shape: Shape::Array, gpus: 0.0, one_zone: false, spread: false, ..spec });
     world.run(Micros::from_secs(20));
-    let own = |c: &Controller| c.machines.iter().find(|(_, m)| c.owns(m)).map(|(n, _)| n.clone());
-    let holder = (0..3).find_map(|n| Some((n, own(world.controllers[n].as_ref()?)?)));
+    let owned_machine = |c: &Controller| c.machines.iter().find(|(_, m)| c.owns(m)).map(|(n, _)| n.clone());
+    let holder = (0..3).find_map(|n| Some((n, owned_machine(world.controllers[n].as_ref()?)?)));
     let (n, name) = holder.unwrap();
     let clock = world.local_time(n);
     let c = world.controllers[n].as_mut().unwrap();
@@ -39,22 +39,22 @@
         effects.filter_map(|e| if let Effect::Answer(1, answer) = e { Some(answer) } else { None }).collect()
     };
     let before: Vec<TaskId> = m.tasks.keys().cloned().collect();
-    for wrong in [
+    for mismatched in [
         Report { zone: "elsewhere".into(), ..honest.clone() },
         Report { kind: "g8".into(), ..honest.clone() },
         Report { spot: true, ..honest.clone() },
     ] {
-        assert_eq!(answers(c, wrong), [Answer::RetryLater(1)]);
+        assert_eq!(answers(c, mismatched), [Answer::RetryLater(1)]);
     }
     assert_eq!(c.counters.reports_mismatched, 3);
     assert_eq!(c.machines[&name].tasks.keys().cloned().collect::<Vec<_>>(), before);
-    // No such machine: it is passed on, and gets no orders.
+    // There is no such machine: the report is redirected, and answered without orders.
     let unknown = Report { machine: "m-777777".into(), ..honest.clone() };
     assert_eq!(answers(c, unknown), [Answer::Redirect(None)]);
     assert!(!c.machines.contains_key("m-777777"));
-    // A task of no job is ended at once.
-    let told = answers(c, Report { tasks: vec![invented], ..honest });
-    let [Answer::Orders(orders)] = &told[..] else { panic!("{told:?}") };
+    // A task of an unknown job is stopped at once.
+    let answer = answers(c, Report { tasks: vec![invented], ..honest });
+    let [Answer::Orders(orders)] = &answer[..] else { panic!("{answer:?}") };
     let stop = Order::Stop { task: "j-999999/3".into(), attempt: 7, grace_s: 0.0 };
     assert!(orders.orders.contains(&stop), "{orders:?}");
 }
--- a/src/coordination/simulation/asking.rs
+++ b/src/coordination/simulation/asking.rs
@@ -1,9 +1,11 @@
-//! Users who ask far more often than anything changes.
+//! Users who send requests far more often than the states of their jobs change.
 
 use super::*;
 
-/// How long, from an end of all controllers on, the longest time without an answered question is, in seconds, with
-/// this many jobs that are over, and how many requests the store has had for it.
+/// Restarts all controllers once the given number of jobs has ended.
+///
+/// Returns the longest time, in seconds, for which no request about some job was answered, and the number of requests
+/// that the store received meanwhile.
 fn longest_unanswered_after_restart(seed: u64, jobs: u32) -> (f64, u64) {
     let mut world = World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 24 });
     for _ in 0..24 {
@@ -31,10 +33,12 @@
     (longest.as_secs_f64(), world.store_calls - calls)
 }
 
-/// Guards questions about jobs that are over against an end of all controllers, after which none of them has a final
-/// state in memory: one by one each would cost two requests at each controller.
+/// Guards against slow answers about ended jobs after a crash of all controllers.
+///
+/// None of them has a final state in memory then, and looking the jobs up one by one would cost two requests per job at
+/// each controller.
 #[test]
-fn after_an_end_of_all_every_question_is_answered_soon() {
+fn after_a_crash_of_all_controllers_every_request_is_answered_soon() {
     for seed in 0..2 {
         let (longest, calls) = longest_unanswered_after_restart(seed, 600);
         eprintln!("longest {longest} s without an answer, {calls} calls");
--- a/src/coordination/simulation/cloud.rs
+++ b/src/coordination/simulation/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machines by request name, a list that lags.
+//! Simulated cloud: rentals that are idempotent by request name, and a machine list that lags.
 
 use super::*;
 
@@ -24,7 +24,7 @@
                 CloudReply::Returned
             }
             CloudCall::List { after } => {
-                // One that is not listed yet, or as starting, may be up and at work.
+                // A machine that is not listed yet, or listed as booting, may already be up and run tasks.
                 let lag = Micros::from_secs_f64(self.settings[0].params.cloud.list_lag_s);
                 let age = |w: &Worker| self.now.since(w.rented_at);
                 let machines = self.workers.iter().filter(|(n, w)| *n > after && age(w) > lag);
--- a/src/coordination/simulation/looks.rs
+++ b/src/coordination/simulation/looks.rs
@@ -1,10 +1,12 @@
-//! Users who look everywhere: right after what they first hear they ask all controllers at once, repeat what they asked
-//! for, and call some jobs off; and they ask about jobs that nobody has submitted.
+//! Bursts of user requests to all controllers.
+//!
+//! When users first learn of a new state of their job, they query all controllers at once, repeat their requests and
+//! withdraw some of the jobs. They also send requests about jobs that were never submitted.
 
 use super::troubles::play;
 use super::*;
 
-/// What a user asks of a controller.
+/// What a user requests of a controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum UserRequest {
     Submit,
@@ -13,7 +15,8 @@
 }
 
 impl World {
-    /// A user has first heard that its job is accepted or over, and asks every controller within milliseconds.
+    /// Sends a burst of requests to every controller within milliseconds, as the user has just learnt that its job is
+    /// accepted or has ended.
     pub(super) fn send_request_burst(&mut self, id: &str) {
         if self.request_burst_probability <= 0.0
             || !self.rng.random_bool(self.request_burst_probability.min(1.0))
@@ -22,25 +25,21 @@
         }
         self.coverage.request_bursts += 1;
         self.record_fault("looks");
-        let at_once = self.rng.random_bool(0.2);
-        let repeats = self.rng.random_bool(0.5);
-        let Some(wish) = self.jobs.get_mut(id) else { return };
-        // Whoever has heard that a job is done may call it off all the same, and hears again that it is done.
-        let over = wish.known_final.is_some();
-        wish.wants_withdrawal |= at_once && !over;
-        let withdraws = if over { repeats } else { wish.wants_withdrawal };
+        let withdraw = self.rng.random_bool(0.2);
+        let repeat = self.rng.random_bool(0.5);
+        let Some(user_job) = self.jobs.get_mut(id) else { return };
+        // A user may withdraw a job that it knows to be done; the answer is again that it is done.
+        let is_over = user_job.known_final.is_some();
+        user_job.wants_withdrawal |= withdraw && !is_over;
+        let withdraws = if is_over { repeat } else { user_job.wants_withdrawal };
         let passed_over = self.excluded_controller;
         for node in (0..self.settings.len()).filter(|n| Some(*n) != passed_over) {
-            let mut looks = vec![UserRequest::Query, UserRequest::Submit, UserRequest::Query];
+            let mut requests = vec![UserRequest::Query, UserRequest::Submit, UserRequest::Query];
             if withdraws {
-                looks.extend([UserRequest::Withdraw; 2]);
+                requests.extend([UserRequest::Withdraw; 2]);
             }
-            for look in looks {
-                self.schedule_within(
-                    0,
-                    8 * MS,
-                    SimEvent::UserRequest { node, job: id.to_owned(), request: look },
-                );
+            for request in requests {
+                self.schedule_within(0, 8 * MS, SimEvent::UserRequest { node, job: id.to_owned(), request });
             }
         }
         if self.rng.random_bool(0.25) {
@@ -48,43 +47,40 @@
         }
     }
 
-    /// One request of a look, unless its controller is down or the request lost.
-    pub(super) fn try_user_request(&mut self, node: usize, job: String, look: UserRequest) {
+    /// Sends one request, unless its controller is down or the request is lost.
+    pub(super) fn try_user_request(&mut self, node: usize, job: String, request: UserRequest) {
         if self.controllers[node].is_some() && !self.is_message_lost() {
-            self.send_user_request(node, job, look);
+            self.send_user_request(node, job, request);
         }
     }
 
-    /// Asks every controller about a job that nobody has submitted, and calls it off.
+    /// Queries and withdraws a job that was never submitted, at every controller.
     pub(super) fn request_unknown_job(&mut self) {
         let id = format!("j-9{:05}", self.rng.random_range(0..100_000));
         if self.jobs.contains_key(&id) {
             return;
         }
         for node in 0..self.settings.len() {
-            for look in [UserRequest::Query, UserRequest::Withdraw] {
+            for request in [UserRequest::Query, UserRequest::Withdraw] {
                 self.coverage.unknown_job_requests += 1;
-                self.schedule_within(
-                    0,
-                    8 * MS,
-                    SimEvent::UserRequest { node, job: id.clone(), request: look },
-                );
+                self.schedule_within(0, 8 * MS, SimEvent::UserRequest { node, job: id.clone(), request });
             }
         }
     }
 
-    /// An answer about a job that nobody has submitted: there is none, and none comes of having been asked about.
+    /// Checks an answer about a job that was never submitted: the job does not exist, and requests about it don't
+    /// create it.
     pub(super) fn check_unknown_job_answer(&mut self, id: &str, answer: Answer) {
         assert!(!matches!(answer, Answer::Job { .. }), "invented: {id} was never submitted: {answer:?}");
-        let kept = [records::live_job_key(id), records::final_state_key(id)]
+        let record = [records::live_job_key(id), records::final_state_key(id)]
             .into_iter()
             .find(|k| self.store.keys.contains_key(k));
-        assert_eq!(kept, None, "invented: {id} was never submitted");
+        assert_eq!(record, None, "invented: {id} was never submitted");
         self.coverage.unknown_job_denials += u32::from(answer == Answer::NotFound);
     }
 }
 
-/// A world in which one job is accepted and over, as its user has heard.
+/// A world with one job that has ended with the given state, as its user knows.
 fn world_with_ended_job(state: FinalState) -> (World, String) {
     let mut world = World::new(1, Trouble::default());
     let job = JobSpec { shape: Shape::Array, tasks: 1, gpus: 0.0, zone: None, ..world.random_job(1) };
@@ -98,26 +94,28 @@
     (world, id)
 }
 
-/// Has an answer come to the user, of which request and answer are so many milliseconds older or younger than what it
-/// has heard; the fault it is judged to be, if any.
+/// Gives the user an answer whose request and answer were sent the given numbers of milliseconds after (or before) the
+/// user learnt the final state.
+///
+/// Returns the message of the violation, or an empty string if there is none.
 fn answer_fault(
     answer: fn(&str) -> Answer,
     state: FinalState,
-    sent: i64,
-    given: i64,
-    arrivals: bool,
+    sent_ms: i64,
+    answered_ms: i64,
+    check_answer_times: bool,
 ) -> String {
     let (mut world, id) = world_with_ended_job(state);
-    world.checks_answer_times = arrivals;
-    let wish = world.jobs.get_mut(&id).unwrap();
-    // Either end would have been right by its tasks and its user.
-    (wish.wants_withdrawal, wish.completed_tasks) = (true, BTreeSet::from([0]));
-    let heard = wish.known_final.unwrap().1;
-    let at = |ms: i64| Micros((heard.0 as i64 + ms * MS as i64) as u64);
-    let asking = AnsweredRequest { job: id.clone(), withdraw: false, sent_at: at(sent) };
+    world.checks_answer_times = check_answer_times;
+    let user_job = world.jobs.get_mut(&id).unwrap();
+    // Makes either final state consistent with the job's tasks and with what its user wanted.
+    (user_job.wants_withdrawal, user_job.completed_tasks) = (true, BTreeSet::from([0]));
+    let known_at = user_job.known_final.unwrap().1;
+    let at = |ms: i64| Micros((known_at.0 as i64 + ms * MS as i64) as u64);
+    let request = AnsweredRequest { job: id.clone(), withdraw: false, sent_at: at(sent_ms) };
     let answer = answer(&id);
-    let judge = move || world.handle_user_answer(asking, answer, 0, at(given));
-    let fault = std::panic::catch_unwind(std::panic::AssertUnwindSafe(judge)).err();
+    let check = move || world.handle_user_answer(request, answer, 0, at(answered_ms));
+    let fault = std::panic::catch_unwind(std::panic::AssertUnwindSafe(check)).err();
     fault.map_or_else(String::new, |f| f.downcast_ref::<String>().expect("a message").clone())
 }
 
@@ -125,15 +123,15 @@
     Answer::Job { created: false, id: id.to_owned(), state, done: 0, running: 0 }
 }
 
-/// Guards the judge of answers: one older by a microsecond than what its user had heard when it asked is a fault, one
-/// that was given before and came later is none.
+/// Tests `check_answer_order`: an answer is a violation if it is older than what the user knew, even by a microsecond,
+/// when it sent the request; an answer that was sent before that and arrived later is none.
 #[test]
-fn answers_older_than_what_was_heard_are_faults_without_tolerance() {
+fn answers_older_than_what_the_user_knew_are_violations_without_tolerance() {
     let live = |id: &str| job_answer(id, JobState::Running);
     let done = |id: &str| job_answer(id, JobState::Final(FinalState::Done));
     let withdrawn = |id: &str| job_answer(id, JobState::Final(FinalState::Withdrawn));
     let (unknown, never) = (|_: &str| Answer::NotFound, |_: &str| Answer::Rejected("never"));
-    for (fault, what) in [
+    for (fault, prefix) in [
         (answer_fault(live, FinalState::Withdrawn, 0, 1, false), "went_back: j-000001 is live again: "),
         (answer_fault(live, FinalState::Done, 5, 6, false), "went_back: j-000001 is live again: "),
         (
@@ -151,7 +149,7 @@
         (answer_fault(unknown, FinalState::Done, 5, 6, false), "forgotten: j-000001: asked"),
         (answer_fault(never, FinalState::Done, 5, 6, false), "forgotten: j-000001: never"),
     ] {
-        assert!(fault.starts_with(what), "{fault:?} is not {what:?}");
+        assert!(fault.starts_with(prefix), "{fault:?} is not {prefix:?}");
     }
     for (fault, why) in [
         (answer_fault(live, FinalState::Done, -5, -1, true), "given before it was heard"),
@@ -163,34 +161,38 @@
     }
 }
 
-/// Guards the judge of jobs that nobody submitted: an answer that knows one, and one that is kept.
+/// Tests `check_unknown_job_answer`: it fails for an answer that names a state of a job that was never submitted.
 #[test]
 #[should_panic(expected = "invented")]
-fn an_answer_about_a_job_that_nobody_submitted_is_a_fault() {
+fn a_state_of_a_job_that_was_never_submitted_is_a_violation() {
     let (mut world, _) = world_with_ended_job(FinalState::Done);
-    let asking = AnsweredRequest { job: "j-900001".into(), withdraw: true, sent_at: world.now };
+    let request = AnsweredRequest { job: "j-900001".into(), withdraw: true, sent_at: world.now };
     world.handle_user_answer(
-        asking,
+        request,
         job_answer("j-900001", JobState::Final(FinalState::Withdrawn)),
         0,
         world.now,
     );
 }
 
-/// Guards users who ask everywhere within milliseconds of what they first hear, repeat it and call some jobs off,
-/// against answers older than that, and against jobs that come of being asked about.
+/// Users send requests to all controllers within milliseconds of learning a new state of their job, repeat them and
+/// withdraw some jobs.
+///
+/// Guards against answers older than what the user knew, and against jobs that are created by requests about them.
 #[test]
-fn users_who_look_everywhere_at_once_hear_nothing_older() {
-    let mut met = Coverage::default();
+fn request_bursts_get_no_answers_older_than_what_the_user_knows() {
+    let mut coverage = Coverage::default();
     for seed in 0..4 {
         let world = play(20_000 + seed, Trouble { looks: 0.7, ..Default::default() });
-        met.request_bursts += world.coverage.request_bursts;
-        met.unknown_job_denials += world.coverage.unknown_job_denials;
-        met.repeated_final_states += world.coverage.repeated_final_states;
+        coverage.request_bursts += world.coverage.request_bursts;
+        coverage.unknown_job_denials += world.coverage.unknown_job_denials;
+        coverage.repeated_final_states += world.coverage.repeated_final_states;
     }
-    eprintln!("{met:?}");
+    eprintln!("{coverage:?}");
     assert!(
-        met.request_bursts > 150 && met.unknown_job_denials > 60 && met.repeated_final_states > 1_000,
-        "{met:?}"
+        coverage.request_bursts > 150
+            && coverage.unknown_job_denials > 60
+            && coverage.repeated_final_states > 1_000,
+        "{coverage:?}"
     );
 }
--- a/src/coordination/simulation/network.rs
+++ b/src/coordination/simulation/network.rs
@@ -1,7 +1,8 @@
-//! What carries messages between controllers, and from them to everyone else.
+//! Simulated network between controllers, and from them to the store, the cloud, workers and users.
 
 use super::*;
 
+/// A request that a controller has not answered yet.
 pub(super) enum PendingRequest {
     Report { machine: String, session: u64, tally: u64 },
     User { job: String, withdraw: bool, sent_at: Micros, deadline: Micros },
@@ -12,54 +13,52 @@
         let clock = self.local_time(node);
         let Some(controller) = &mut self.controllers[node] else { return };
         let effects = controller.handle(clock, event);
-        let stalls = TimedFault::PausedBeforeSending(node);
-        if self.is_active(stalls) && !effects.is_empty() {
+        let fault = TimedFault::PausedBeforeSending(node);
+        if self.is_active(fault) && !effects.is_empty() {
             self.record_fault("stalls_before_sending");
-            let (life, until) = (self.incarnations[node], self.active_until(stalls));
+            let (incarnation, until) = (self.incarnations[node], self.active_until(fault));
             self.send_stalled_until[node] = until;
-            return self.schedule_at(until, SimEvent::DelayedEffects { node, incarnation: life, effects });
+            return self.schedule_at(until, SimEvent::DelayedEffects { node, incarnation, effects });
         }
         self.apply_effects(node, effects);
     }
 
     /// Counts a confirmation of a status that this process has never sent.
     pub(super) fn count_unsolicited_confirmation(&mut self, node: usize, event: &Event) {
-        let sent = self.controllers[node].as_ref().map_or(u64::MAX, |c| c.status_sequence);
+        let last_sent = self.controllers[node].as_ref().map_or(u64::MAX, |c| c.status_sequence);
         if let Event::Peer(_, PeerMessage::StatusConfirmation { sequence, .. }) = event {
-            self.coverage.unsolicited_confirmations += u32::from(*sequence > sent);
+            self.coverage.unsolicited_confirmations += u32::from(*sequence > last_sent);
         }
     }
 
-    /// Until when a controller takes no event.
+    /// Until when a controller handles no events.
     pub(super) fn paused_until(&self, node: usize) -> Micros {
         self.active_until(TimedFault::ControllerPaused(node)).max(self.send_stalled_until[node])
     }
 
-    /// What a controller has decided leaves it.
+    /// Carries out the effects that a controller has decided on.
     pub(super) fn apply_effects(&mut self, node: usize, effects: Vec<Effect>) {
-        let life = self.incarnations[node];
+        let incarnation = self.incarnations[node];
         for effect in effects {
             match effect {
-                Effect::Store(id, call) => self.schedule_within(
-                    MS,
-                    12 * MS,
-                    SimEvent::StoreCall { node, incarnation: life, id, call },
-                ),
+                Effect::Store(id, call) => {
+                    self.schedule_within(MS, 12 * MS, SimEvent::StoreCall { node, incarnation, id, call })
+                }
                 Effect::Cloud(id, call) => self.schedule_within(
                     50 * MS,
                     200 * MS,
-                    SimEvent::CloudCall { node, incarnation: life, id, call },
+                    SimEvent::CloudCall { node, incarnation, id, call },
                 ),
                 Effect::Orders { machine, addr, orders } => {
-                    assert_eq!(addr, machine, "an address is made up");
-                    let sent = self.now;
+                    assert_eq!(addr, machine, "orders to another address than the machine's");
+                    let sent_at = self.now;
                     let starts = orders.orders.iter().any(|o| matches!(o, Order::Start { .. }));
-                    let take = if starts { self.start_order_delay.clone() } else { MS..5 * MS };
-                    let what = SimEvent::Orders { node, incarnation: life, machine, orders, sent_at: sent };
-                    self.schedule_within(take.start, take.end, what);
+                    let delay = if starts { self.start_order_delay.clone() } else { MS..5 * MS };
+                    let event = SimEvent::Orders { node, incarnation, machine, orders, sent_at };
+                    self.schedule_within(delay.start, delay.end, event);
                 }
                 Effect::Send(to, message) => self.send_peer_message(node, to, message),
-                Effect::Answer(request, answer) => self.deliver_answer(node, life, request, answer),
+                Effect::Answer(request, answer) => self.deliver_answer(node, incarnation, request, answer),
             }
         }
     }
@@ -73,20 +72,21 @@
             || self.are_zones_partitioned(self.controller_zones[from], self.controller_zones[to])
     }
 
-    /// Whether a zone is cut off that one of the two lies in and the other does not. No zone, "", is where users, the
-    /// cloud and the store are.
+    /// Whether two zones differ and one of them is cut off.
+    ///
+    /// The empty zone "" stands for the location of users, the cloud and the store.
     pub(super) fn are_zones_partitioned(&self, a: &str, b: &str) -> bool {
         a != b && [a, b].iter().any(|zone| self.zone_partitioned_until(zone) > self.now)
     }
 
-    /// How much longer than else a message is on its way.
-    pub(super) fn extra_delay(&mut self, what: &SimEvent) -> Micros {
-        let linked = match what {
+    /// The extra link delay of an event that stands for a message between controllers, users and workers.
+    pub(super) fn extra_delay(&mut self, event: &SimEvent) -> Micros {
+        let uses_link = match event {
             SimEvent::ToController { event, .. } => !matches!(event, Event::Store(..) | Event::Cloud(..)),
             SimEvent::ReportAnswered { .. } | SimEvent::UserAnswered { .. } | SimEvent::Orders { .. } => true,
             _ => false,
         };
-        if linked { self.random_link_delay() } else { Micros::ZERO }
+        if uses_link { self.random_link_delay() } else { Micros::ZERO }
     }
 
     fn random_link_delay(&mut self) -> Micros {
@@ -98,29 +98,31 @@
 
     pub(super) fn send_peer_message(&mut self, from: usize, to: Option<String>, message: PeerMessage) {
         for other in 0..self.settings.len() {
-            let named = to.as_ref().is_none_or(|t| *t == self.settings[other].member);
-            let cut = self.are_partitioned(from, other);
-            if other == from || !named || !cut && self.is_message_lost() {
+            let addressed = to.as_ref().is_none_or(|t| *t == self.settings[other].member);
+            let partitioned = self.are_partitioned(from, other);
+            if other == from || !addressed || !partitioned && self.is_message_lost() {
                 continue;
             }
             // Messages between two controllers share a connection and keep their order.
             let mut delay = Micros(2 * MS) + self.random_link_delay();
-            if cut {
+            if partitioned {
                 self.record_fault("peers_apart");
-                let Some(until) = self.held_message_arrival(from, other) else { continue };
-                delay = until.since(self.now);
+                let Some(arrives_at) = self.held_message_arrival(from, other) else { continue };
+                delay = arrives_at.since(self.now);
                 self.coverage.late_peer_messages += u32::from(delay > Micros::from_secs(5));
             }
             let event = Event::Peer(self.settings[from].member.clone(), message.clone());
-            let life = self.incarnations[other];
-            let last = self.last_peer_arrival.entry((from, other)).or_default();
-            *last = (self.now + delay).max(*last);
-            let at = *last;
-            self.schedule_at(at, SimEvent::ToController { node: other, incarnation: life, event });
+            let incarnation = self.incarnations[other];
+            let arrival = self.last_peer_arrival.entry((from, other)).or_default();
+            *arrival = (self.now + delay).max(*arrival);
+            let at = *arrival;
+            self.schedule_at(at, SimEvent::ToController { node: other, incarnation, event });
         }
     }
 
-    /// A controller that has ended refuses connections; now and then a packet filter does so too.
+    /// Reports refused connections to a controller.
+    ///
+    /// A controller that is down refuses connections; during a partition a packet filter does so too.
     pub(super) fn deliver_connection_refusals(&mut self, node: usize) {
         for other in (0..self.settings.len()).filter(|o| *o != node) {
             if self.are_partitioned(node, other) || self.controllers[other].is_none() {
@@ -130,33 +132,32 @@
         }
     }
 
-    pub(super) fn deliver_answer(&mut self, node: usize, life: u64, request: RequestId, answer: Answer) {
-        match self.pending_requests.remove(&(node, life, request)) {
+    pub(super) fn deliver_answer(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        request: RequestId,
+        answer: Answer,
+    ) {
+        match self.pending_requests.remove(&(node, incarnation, request)) {
             Some(PendingRequest::Report { machine, session, tally }) => {
                 let zone = self.workers.get(&machine).map_or("", |w| w.zone.as_str());
-                let cut = self.are_zones_partitioned(self.controller_zones[node], zone)
+                let partitioned = self.are_zones_partitioned(self.controller_zones[node], zone)
                     && self.record_fault("zone_cut");
-                let answer = (!self.is_message_lost() && !cut).then_some(answer);
-                let given = self.now;
-                let answered =
-                    SimEvent::ReportAnswered { machine, session, tally, answer, answered_at: given };
+                let answer = (!self.is_message_lost() && !partitioned).then_some(answer);
+                let answered_at = self.now;
+                let answered = SimEvent::ReportAnswered { machine, session, tally, answer, answered_at };
                 self.schedule_within(MS, 30 * MS, answered);
             }
-            // A user who has waited too long has gone, and hears no answer.
-            Some(PendingRequest::User { job, withdraw, sent_at: sent, deadline: until })
-                if self.now <= until
+            // A user gives up after its deadline and receives no answer.
+            Some(PendingRequest::User { job, withdraw, sent_at, deadline })
+                if self.now <= deadline
                     && !self.are_zones_partitioned(self.controller_zones[node], "")
                     && !self.is_message_lost() =>
             {
-                let given = self.now;
-                let answered = SimEvent::UserAnswered {
-                    job,
-                    withdraw,
-                    answer,
-                    answered_by: node,
-                    sent_at: sent,
-                    answered_at: given,
-                };
+                let answered_at = self.now;
+                let answered =
+                    SimEvent::UserAnswered { job, withdraw, answer, answered_by: node, sent_at, answered_at };
                 self.schedule_within(MS, 5 * MS, answered);
             }
             _ => {}
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -31,8 +31,10 @@
         for call in lost {
             let SimEvent::Orders { node, incarnation: life, machine, orders, .. } = call else { continue };
             let event = Event::WorkerReply { machine, token: orders.token, reply: DirectReply::Unclear };
-            world
-                .schedule_at(world.now + PATIENCE, SimEvent::ToController { node, incarnation: life, event });
+            world.schedule_at(
+                world.now + CALL_TIMEOUT,
+                SimEvent::ToController { node, incarnation: life, event },
+            );
         }
     }
     true
--- a/src/coordination/simulation/odd.rs
+++ b/src/coordination/simulation/odd.rs
@@ -1,13 +1,13 @@
-//! Odd requests: submissions repeated for no reason, withdrawals of jobs that are done, submissions that fit no machine,
-//! questions about and withdrawals of jobs that nobody has submitted.
+//! Invalid user requests: needless repeats of submissions, withdrawals of jobs that are done, submissions that fit on
+//! no machine, and requests about jobs that were never submitted or were rejected.
 
 use super::*;
 
-/// Ids of submissions that can never run begin with this.
-const UNFIT: &str = "j-7";
+/// Prefix of the ids of submissions that can never run.
+const INFEASIBLE_ID_PREFIX: &str = "j-7";
 
 impl World {
-    /// A user asks one controller, or all, for something that makes no sense.
+    /// A user sends an invalid request to one controller or to all of them.
     pub(super) fn send_invalid_request(&mut self) {
         let node = self.rng.random_range(0..self.settings.len());
         self.record_fault("odd");
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Asks about one of the jobs of which something is so.
-    fn request_for_random_job(&mut self, node: usize, look: UserRequest, which: fn(&UserJob) -> bool) {
+    /// Sends a request about a random job among those that match.
+    fn request_for_random_job(&mut self, node: usize, request: UserRequest, matches: fn(&UserJob) -> bool) {
         let jobs: Vec<String> =
-            self.jobs.iter().filter(|(_, wish)| which(wish)).map(|(id, _)| id.clone()).collect();
+            self.jobs.iter().filter(|(_, user_job)| matches(user_job)).map(|(id, _)| id.clone()).collect();
         if !jobs.is_empty() {
             let job = jobs[self.rng.random_range(0..jobs.len())].clone();
-            self.try_user_request(node, job, look);
+            self.try_user_request(node, job, request);
         }
     }
 
@@ -47,19 +47,23 @@
             1 => job.machine_types = Some(vec!["none".into()]),
             2 => job.zone = Some("north".into()),
             3 => job.team = "nobody".into(),
-            // More together than its team may use.
+            // A gang that needs more than its team's limit.
             _ => (job.shape, job.team, job.tasks, job.cpus) = (Shape::Gang, "blue".into(), 20, 5.0),
         }
         self.submit(job);
     }
 
-    /// What can never run was refused, and nobody has said anything else since.
+    /// Checks that submissions that can never run were rejected, and never accepted or recorded.
     pub(super) fn check_infeasible_jobs_rejected(&self) {
-        for (id, wish) in self.jobs.iter().filter(|(id, _)| id.starts_with(UNFIT)) {
-            assert!(wish.rejected && !wish.known_accepted, "accepted, and can never run: {:?}", wish.spec);
+        for (id, user_job) in self.jobs.iter().filter(|(id, _)| id.starts_with(INFEASIBLE_ID_PREFIX)) {
+            assert!(
+                user_job.rejected && !user_job.known_accepted,
+                "accepted, though it can never run: {:?}",
+                user_job.spec
+            );
             assert!(
                 !self.store.keys.contains_key(&records::live_job_key(id)),
-                "{id} is kept, and can never run"
+                "{id} is recorded, though it can never run"
             );
         }
     }
--- a/src/coordination/simulation/spells.rs
+++ b/src/coordination/simulation/spells.rs
@@ -1,24 +1,27 @@
-//! Troubles of the store and the controllers that last: each has its length and whom it hits, several at once may hold,
-//! also of one kind.
+//! Faults of the store and the controllers that last for a time.
+//!
+//! Each has a duration and a target. Several may be active at once, also of one kind.
 
 use super::*;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum TimedFault {
-    /// The store answers nobody, and afterwards all leases regain their time.
+    /// The store refuses all calls; when it is back, all leases have their full term again.
     StoreDown,
-    /// The store refuses this controller alone; its leases run out meanwhile.
+    /// The store refuses one controller; the leases of this controller expire meanwhile.
     StoreRefuses(usize),
-    /// The store serves a controller but for its watch, which brings nothing.
+    /// The store serves a controller except for its watch, which returns no changes.
     WatchHangs(usize),
-    /// The store takes its time.
+    /// Half of the store's replies take up to 1.4 s.
     StoreSlow,
     /// A controller reaches neither the store nor the other controllers; workers and users reach it.
     Isolated(usize),
-    /// A controller stands still while its clock runs on: what comes for it waits.
+    /// A controller's process is paused while its clock runs on; events for it are queued.
     ControllerPaused(usize),
-    /// A controller stands still between a decision and the sending of what it has decided: the first event in the spell
-    /// is handled, its effects leave when the spell is over, and whatever else comes for it waits.
+    /// A controller is paused between a decision and the sending of its effects.
+    ///
+    /// The first event during the fault is handled, its effects are sent when the fault ends, and all other events are
+    /// queued.
     PausedBeforeSending(usize),
     /// Two controllers do not reach each other.
     Partitioned(usize, usize),
@@ -28,43 +31,45 @@
     ZonePartitioned(&'static str),
 }
 
-/// What befalls a transaction that reaches the store: it is carried out at once and its answer lost, or gets no answer
-/// and is carried out that much later.
+/// A fault of a transaction that reaches the store: it is committed at once and its reply is lost, or it gets no reply
+/// and is committed after the given delay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum CommitFault {
     ReplyLost,
     Delayed(Micros),
 }
 
-/// How long a client waits for the store beyond what a watch is to be held for.
-/// After how long a controller gives a link up on which nothing moves.
-const NOTICED: Micros = Micros::from_secs(3);
-pub(super) const PATIENCE: Micros = Micros::from_millis(1_500);
+/// After how long without progress a controller gives up a link.
+const LINK_TIMEOUT: Micros = Micros::from_secs(3);
+/// How long a caller waits for a reply; for a watch, beyond the time for which the store holds it.
+pub(super) const CALL_TIMEOUT: Micros = Micros::from_millis(1_500);
 
 impl World {
-    /// A spell begins now.
-    pub(super) fn begin_fault(&mut self, spell: TimedFault, until: Micros) {
+    /// Begins a fault now.
+    pub(super) fn begin_fault(&mut self, fault: TimedFault, until: Micros) {
         let now = self.now;
         self.faults.retain(|(.., until)| *until > now);
-        self.faults.push((spell, now, until));
+        self.faults.push((fault, now, until));
         self.faults_end = self.faults_end.max(until);
-        if spell == TimedFault::StoreDown {
-            let until = self.active_until(spell);
+        if fault == TimedFault::StoreDown {
+            let until = self.active_until(fault);
             self.store.renew_all_leases(until);
         }
     }
 
-    /// A spell begins later.
-    pub(super) fn schedule_fault(&mut self, from: Micros, spell: TimedFault, length: Micros) {
-        self.schedule_at(from, SimEvent::FaultBegins(spell, from + length));
+    /// Schedules a fault for a later time.
+    pub(super) fn schedule_fault(&mut self, from: Micros, fault: TimedFault, duration: Micros) {
+        self.schedule_at(from, SimEvent::FaultBegins(fault, from + duration));
     }
 
-    pub(super) fn is_active(&self, spell: TimedFault) -> bool {
-        self.faults.iter().any(|(s, _, until)| *s == spell && self.now < *until)
+    pub(super) fn is_active(&self, fault: TimedFault) -> bool {
+        self.faults.iter().any(|(s, _, until)| *s == fault && self.now < *until)
     }
 
-    /// When what one controller says to another now will arrive, though they are cut off from each other. A link holds
-    /// what was sent before its sender noticed that nothing moves, and brings it in order when the cut is over.
+    /// When a message arrives that one controller sends to another now, while the two are partitioned.
+    ///
+    /// A link keeps what was sent before its sender noticed the lack of progress, and delivers it in order when the
+    /// partition ends. Returns `None` for messages that are lost.
     pub(super) fn held_message_arrival(&self, from: usize, to: usize) -> Option<Micros> {
         let zones = [self.controller_zones[from], self.controller_zones[to]];
         let between = |s: &TimedFault| match s {
@@ -73,53 +78,54 @@
             TimedFault::Partitioned(a, b) => [(from, to), (to, from)].contains(&(*a, *b)),
             _ => false,
         };
-        let cuts = self.faults.iter().filter(|(s, _, until)| between(s) && self.now < *until);
-        let (since, until) = cuts.fold((Micros::MAX, Micros::ZERO), |(since, until), (_, from, to)| {
+        let partitions = self.faults.iter().filter(|(s, _, until)| between(s) && self.now < *until);
+        let (since, until) = partitions.fold((Micros::MAX, Micros::ZERO), |(since, until), (_, from, to)| {
             (since.min(*from), until.max(*to))
         });
-        (self.now.since(since) < NOTICED && until < Micros::MAX).then_some(until)
+        (self.now.since(since) < LINK_TIMEOUT && until < Micros::MAX).then_some(until)
     }
 
-    /// When the last spell of a kind ends.
-    pub(super) fn active_until(&self, spell: TimedFault) -> Micros {
-        let ends = self.faults.iter().filter(|(s, ..)| *s == spell).map(|(.., until)| *until);
+    /// When the last of the faults equal to this one ends.
+    pub(super) fn active_until(&self, fault: TimedFault) -> Micros {
+        let ends = self.faults.iter().filter(|(s, ..)| *s == fault).map(|(.., until)| *until);
         ends.max().unwrap_or_default()
     }
 
     /// Until when a zone is cut off.
     pub(super) fn zone_partitioned_until(&self, zone: &str) -> Micros {
-        let cuts =
+        let partitions =
             self.faults.iter().filter(|(s, ..)| matches!(s, TimedFault::ZonePartitioned(z) if *z == zone));
-        cuts.map(|(.., until)| *until).max().unwrap_or_default()
+        partitions.map(|(.., until)| *until).max().unwrap_or_default()
     }
 
-    /// Until when a controller does not reach the store, nor the store it.
+    /// Until when a controller and the store do not reach each other.
     fn store_unreachable_until(&self, node: usize) -> Micros {
         self.active_until(TimedFault::Isolated(node))
             .max(self.zone_partitioned_until(self.controller_zones[node]))
     }
 
-    /// All controllers end and stay away for so long.
-    pub(super) fn stop_all_controllers(&mut self, length: Micros) {
-        self.controllers_down_until = self.now + length;
-        (0..self.settings.len()).for_each(|n| self.crash_for(n, length));
+    /// Crashes all controllers and keeps them down for the given time.
+    pub(super) fn stop_all_controllers(&mut self, duration: Micros) {
+        self.controllers_down_until = self.now + duration;
+        (0..self.settings.len()).for_each(|n| self.crash_for(n, duration));
     }
 
-    /// Users call off so many of the running jobs within 0.2 s, and up to eight of their machines hang for so long.
-    /// How many were called off.
+    /// Withdraws up to `count` running jobs within 0.2 s, and hangs up to eight of their machines for the given time.
+    ///
+    /// Returns the number of withdrawn jobs.
     pub(super) fn withdraw_running_jobs(&mut self, count: usize, hang: Micros) -> usize {
         let mut running: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for (name, w) in self.workers.iter().filter(|(_, w)| !w.dead) {
             for (id, _) in w.tasks.iter().filter(|(_, t)| t.state == TaskState::Running) {
-                let wish = &self.jobs[&id.job];
-                if wish.known_accepted && !wish.wants_withdrawal && wish.known_final.is_none() {
+                let user_job = &self.jobs[&id.job];
+                if user_job.known_accepted && !user_job.wants_withdrawal && user_job.known_final.is_none() {
                     running.entry(id.job.clone()).or_default().push(name.clone());
                 }
             }
         }
         let mut machines = BTreeSet::new();
-        let most = running.len().min(count);
-        for _ in 0..most {
+        let to_withdraw = running.len().min(count);
+        for _ in 0..to_withdraw {
             let n = self.rng.random_range(0..running.len());
             let Some(id) = running.keys().nth(n).cloned() else { break };
             machines.extend(running.remove(&id).unwrap_or_default());
@@ -131,16 +137,16 @@
                 self.workers.get_mut(name).unwrap().hung_until = until;
             }
         }
-        most
+        to_withdraw
     }
 
-    /// A user calls a job off, beside whatever it is about to ask, within so many microseconds.
+    /// Makes a user withdraw a job within the given number of microseconds, besides its other requests.
     pub(super) fn withdraw_job(&mut self, id: String, within: u64) {
         self.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
         self.schedule_within(0, within, SimEvent::UserTurn(id));
     }
 
-    /// The last task of a job has ended this moment.
+    /// Called when the last task of a job completes; may withdraw the job at that moment.
     pub(super) fn job_tasks_completed(&mut self, id: String) {
         let share = self.withdraw_at_end_probability;
         if self.chance(share) && self.record_fault("at_end") {
@@ -148,7 +154,7 @@
         }
     }
 
-    /// A new leader has appeared: copies of reports that were kept for it come to every controller.
+    /// Delivers the retained copies of reports to every controller once a new leader has appeared.
     fn deliver_retained_reports(&mut self) {
         let leader = self
             .store
@@ -168,53 +174,51 @@
         }
     }
 
-    /// A call has come to the store, or a watch is looked at again.
+    /// Handles a call that reaches the store, or polls a watch that is open.
     pub(super) fn handle_store_call(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         id: CallId,
         call: StoreCall,
-        since: Micros,
+        opened_at: Micros,
     ) {
         let refused = self.is_active(TimedFault::StoreDown) || self.is_active(TimedFault::StoreRefuses(node));
         let slow = self.is_active(TimedFault::StoreSlow);
-        let off = self.store_unreachable_until(node) > self.now;
+        let unreachable = self.store_unreachable_until(node) > self.now;
         if let StoreCall::Follow { prefix, after, hold_ms } = &call {
-            let open = since < self.now;
-            let waited = self.now.since(since);
+            let open = opened_at < self.now;
+            let waited = self.now.since(opened_at);
             let hold = Micros::from_millis(*hold_ms);
-            // A watch that is open stays open while nobody, or its controller alone, is served.
-            let hangs = self.is_active(TimedFault::WatchHangs(node));
-            let waits = if refused {
+            // An open watch stays open while the store refuses all controllers or this one.
+            let watch_hangs = self.is_active(TimedFault::WatchHangs(node));
+            let stays_open = if refused {
                 open
             } else {
-                hangs || waited < hold && self.store.changes_since(prefix, *after).is_empty()
+                watch_hangs || waited < hold && self.store.changes_since(prefix, *after).is_empty()
             };
-            if waits && !off {
-                if waited > hold + PATIENCE {
+            if stays_open && !unreachable {
+                if waited > hold + CALL_TIMEOUT {
                     let event = Event::Store(id, StoreReply::Unclear);
-                    return self
-                        .schedule_at(self.now, SimEvent::ToController { node, incarnation: life, event });
+                    return self.schedule_at(self.now, SimEvent::ToController { node, incarnation, event });
                 }
-                let again = self.now + Micros::from_millis(40);
-                return self.schedule_at(
-                    again,
-                    SimEvent::Watch { node, incarnation: life, id, call, opened_at: since },
-                );
+                let next_poll = self.now + Micros::from_millis(40);
+                return self
+                    .schedule_at(next_poll, SimEvent::Watch { node, incarnation, id, call, opened_at });
             }
         }
-        let fate =
-            self.commit_fault.and_then(|fate| if let StoreCall::Commit(t) = &call { fate(t) } else { None });
-        if off {
+        let commit_fault = self
+            .commit_fault
+            .and_then(|fault_of| if let StoreCall::Commit(t) = &call { fault_of(t) } else { None });
+        if unreachable {
             let isolated = self.is_active(TimedFault::Isolated(node));
             self.record_fault(if isolated { "isolated" } else { "zone_cut" });
         } else if refused {
             let all = self.is_active(TimedFault::StoreDown);
             self.record_fault(if all { "store_outage" } else { "store_refuses_one" });
         }
-        let reply = if off {
-            // Held back, and delivered when the cut is over.
+        let reply = if unreachable {
+            // The transaction is kept back and delivered when the partition ends.
             if let StoreCall::Commit(t) = &call
                 && self.rng.random_bool(0.5)
             {
@@ -228,10 +232,10 @@
         } else if refused {
             StoreReply::Refused
         } else if let StoreCall::Commit(t) = &call
-            && let Some(fate) = fate.or_else(|| self.random_commit_fault())
+            && let Some(commit_fault) = commit_fault.or_else(|| self.random_commit_fault())
         {
             let late = SimEvent::LateCommit { node, sent_at: self.now, transaction: t.clone() };
-            match fate {
+            match commit_fault {
                 CommitFault::Delayed(after) => self.schedule_at(self.now + after, late),
                 CommitFault::ReplyLost => {
                     let reply = self.store.handle(self.now, &call);
@@ -246,9 +250,9 @@
             }
             let event = Event::Store(id, StoreReply::Unclear);
             return self
-                .schedule_at(self.now + PATIENCE, SimEvent::ToController { node, incarnation: life, event });
+                .schedule_at(self.now + CALL_TIMEOUT, SimEvent::ToController { node, incarnation, event });
         } else if self.is_message_lost() {
-            // Lost on the way there, on the way back, or held up and applied much later.
+            // The call is lost, its reply is lost, or the call is delayed and carried out much later.
             if let StoreCall::Commit(t) = &call {
                 let late = self.fault_profile.late;
                 if self.chance(late) {
@@ -267,12 +271,12 @@
             self.deliver_retained_reports();
         }
         let event = Event::Store(id, reply);
-        let most =
+        let max_delay_ms =
             if slow && self.rng.random_bool(0.5) && self.record_fault("store_slow") { 1_400 } else { 12 };
-        self.schedule_within(MS, most * MS, SimEvent::ToController { node, incarnation: life, event });
+        self.schedule_within(MS, max_delay_ms * MS, SimEvent::ToController { node, incarnation, event });
     }
 
-    /// What befalls a transaction by the odds of the run.
+    /// Draws a fault of a transaction with the probabilities of the run.
     fn random_commit_fault(&mut self) -> Option<CommitFault> {
         let (late, lost) = (self.fault_profile.late_writes, self.fault_profile.answers_lost);
         if self.chance(late) && self.record_fault("late_writes") {
@@ -281,15 +285,15 @@
         self.chance(lost).then_some(CommitFault::ReplyLost)
     }
 
-    /// A transaction that got no answer is carried out after all.
-    pub(super) fn apply_late_commit(&mut self, node: usize, sent: Micros, transaction: Transaction) {
+    /// Commits a transaction that got no reply.
+    pub(super) fn apply_late_commit(&mut self, node: usize, sent_at: Micros, transaction: Transaction) {
         if self.is_active(TimedFault::StoreDown) {
             let until = self.active_until(TimedFault::StoreDown);
-            return self.schedule_at(until, SimEvent::LateCommit { node, sent_at: sent, transaction });
+            return self.schedule_at(until, SimEvent::LateCommit { node, sent_at, transaction });
         }
         self.store.expire_leases(self.now);
         let done = matches!(self.store.commit(transaction), StoreReply::Committed { .. });
-        self.coverage.late_commits += u32::from(done && self.last_commit_at[node] > sent);
+        self.coverage.late_commits += u32::from(done && self.last_commit_at[node] > sent_at);
         self.deliver_retained_reports();
     }
 }
--- a/src/coordination/simulation/store.rs
+++ b/src/coordination/simulation/store.rs
@@ -1,8 +1,8 @@
-//! The state service: consistent, with leases and a change log.
+//! Simulated state service.
 
 use super::*;
 
-/// The state service: consistent, with leases and a change log.
+/// A linearizable key-value store with leases and a log of changes.
 #[derive(Default)]
 pub(super) struct Store {
     pub(super) revision: u64,
@@ -11,7 +11,7 @@
     pub(super) next_lease: u64,
     pub(super) log: Vec<(u64, String, Option<Value>)>,
     pub(super) now: Micros,
-    /// When each withdrawal was recorded.
+    /// When each job's withdrawal was recorded.
     pub(super) withdrawals: BTreeMap<String, Micros>,
     pub(super) txn_ops: usize,
     pub(super) value_limit: usize,
@@ -20,9 +20,9 @@
 impl Store {
     pub(super) fn expire_leases(&mut self, now: Micros) {
         self.now = now;
-        let over: Vec<u64> =
+        let expired: Vec<u64> =
             self.leases.iter().filter(|(_, (end, _))| *end <= now).map(|(l, _)| *l).collect();
-        over.into_iter().for_each(|l| self.end_lease(l));
+        expired.into_iter().for_each(|l| self.end_lease(l));
     }
 
     pub(super) fn end_lease(&mut self, lease: u64) {
@@ -39,11 +39,11 @@
     }
 
     pub(super) fn commit(&mut self, t: Transaction) -> StoreReply {
-        assert!(t.writes.len() <= self.txn_ops, "too many changes in a transaction");
+        assert!(t.writes.len() <= self.txn_ops, "too many writes in a transaction");
         assert!(t.conditions.len() <= 4 * self.txn_ops);
         assert!(serde_json::to_vec(&t).unwrap().len() <= 64 << 10, "a transaction is too large");
-        let dead = |lease: &Option<u64>| lease.is_some_and(|l| !self.leases.contains_key(&l));
-        if t.writes.iter().any(|w| matches!(w, Write::Put { lease, .. } if dead(lease))) {
+        let is_expired = |lease: &Option<u64>| lease.is_some_and(|l| !self.leases.contains_key(&l));
+        if t.writes.iter().any(|w| matches!(w, Write::Put { lease, .. } if is_expired(lease))) {
             return StoreReply::NoLease;
         }
         let stamp = |key: &String| self.keys.get(key).map_or(0, |v| v.1);
@@ -77,12 +77,13 @@
 
     pub(super) fn changes_since(&self, prefix: &str, after: u64) -> Vec<Change> {
         let first = self.log.partition_point(|(revision, ..)| *revision <= after);
-        let new = self.log[first..].iter().filter(|(_, key, _)| key.starts_with(prefix));
-        new.map(|(stamp, key, value)| match value {
-            Some(value) => Change::Put { key: key.clone(), value: value.into(), stamp: *stamp },
-            None => Change::Delete { key: key.clone(), stamp: *stamp },
-        })
-        .collect()
+        let changes = self.log[first..].iter().filter(|(_, key, _)| key.starts_with(prefix));
+        changes
+            .map(|(stamp, key, value)| match value {
+                Some(value) => Change::Put { key: key.clone(), value: value.into(), stamp: *stamp },
+                None => Change::Delete { key: key.clone(), stamp: *stamp },
+            })
+            .collect()
     }
 
     pub(super) fn handle(&mut self, now: Micros, call: &StoreCall) -> StoreReply {
@@ -105,13 +106,13 @@
             StoreCall::Commit(t) => self.commit(t.clone()),
             StoreCall::Lease { life_ms } => {
                 self.next_lease += 1;
-                let life = Micros::from_millis(*life_ms);
-                self.leases.insert(self.next_lease, (now + life, life));
+                let duration = Micros::from_millis(*life_ms);
+                self.leases.insert(self.next_lease, (now + duration, duration));
                 StoreReply::Leased { lease: self.next_lease }
             }
             StoreCall::Renew { lease } => match self.leases.get_mut(lease) {
-                Some((end, life)) => {
-                    *end = now + *life;
+                Some((end, duration)) => {
+                    *end = now + *duration;
                     StoreReply::Renewed
                 }
                 None => StoreReply::Missing,
@@ -131,8 +132,8 @@
     }
 
     pub(super) fn renew_all_leases(&mut self, now: Micros) {
-        for (end, life) in self.leases.values_mut() {
-            *end = now + *life;
+        for (end, duration) in self.leases.values_mut() {
+            *end = now + *duration;
         }
     }
 }
--- a/src/coordination/simulation/users.rs
+++ b/src/coordination/simulation/users.rs
@@ -1,26 +1,27 @@
-//! Users: what they submit, ask, withdraw and have been told.
+//! Simulated users: jobs, requests and the answers that they have received.
 
 use super::*;
 
+/// A job as its user knows it.
 #[derive(Default)]
 pub(super) struct UserJob {
     pub(super) spec: Option<JobSpec>,
     pub(super) known_accepted: bool,
-    /// When it was first told that the job is accepted.
+    /// When its user first learnt that it is accepted.
     pub(super) accepted_at: Micros,
     pub(super) known_final: Option<(FinalState, Micros)>,
     pub(super) wants_withdrawal: bool,
     /// When the first answer that confirmed its withdrawal left its controller.
     pub(super) withdrawal_confirmed_at: Option<Micros>,
-    /// The controller that told its final state first.
+    /// The controller that first answered with its final state.
     pub(super) final_state_from: usize,
     pub(super) next_request_at: Micros,
-    /// How often its submission was turned away.
+    /// How often its submission was answered with a request to retry later.
     pub(super) deferrals: u32,
-    /// When a question about it was last answered.
+    /// When a request about it was last answered with its state.
     pub(super) last_answered_at: Micros,
     pub(super) completed_tasks: BTreeSet<u32>,
-    /// When a task of it last had its image.
+    /// When the image of one of its tasks was last complete, so that the task counts as started.
     pub(super) last_task_start: Micros,
     pub(super) rejected: bool,
 }
@@ -40,92 +41,94 @@
     }
 
     pub(super) fn advance_user(&mut self, id: String) {
-        let Some(wish) = self.jobs.get(&id) else { return };
-        if wish.rejected {
+        let Some(user_job) = self.jobs.get(&id) else { return };
+        if user_job.rejected {
             return;
         }
-        if self.now < wish.next_request_at {
-            let at = wish.next_request_at;
+        if self.now < user_job.next_request_at {
+            let at = user_job.next_request_at;
             return self.schedule_at(at, SimEvent::UserTurn(id));
         }
-        let accepted = wish.known_accepted;
-        let withdraw = accepted && wish.wants_withdrawal;
-        let submits = wish.spec.is_some();
-        let others = (0..self.settings.len()).filter(|n| Some(*n) != self.excluded_controller);
-        let others: Vec<usize> = others.collect();
-        let node = others[self.rng.random_range(0..others.len())];
+        let accepted = user_job.known_accepted;
+        let withdraw = accepted && user_job.wants_withdrawal;
+        let submits = user_job.spec.is_some();
+        let nodes = (0..self.settings.len()).filter(|n| Some(*n) != self.excluded_controller);
+        let nodes: Vec<usize> = nodes.collect();
+        let node = nodes[self.rng.random_range(0..nodes.len())];
         if self.controllers[node].is_some() && !self.is_message_lost() {
             let repeats = self.fault_profile.repeats;
-            let again = accepted && self.chance(repeats);
-            let look = if submits && (!accepted || again && !withdraw) {
+            let repeat = accepted && self.chance(repeats);
+            let user_request = if submits && (!accepted || repeat && !withdraw) {
                 UserRequest::Submit
             } else if withdraw {
                 UserRequest::Withdraw
             } else {
                 UserRequest::Query
             };
-            self.send_user_request(node, id.clone(), look);
+            self.send_user_request(node, id.clone(), user_request);
         }
         self.schedule_within(S, 3 * S, SimEvent::UserTurn(id));
     }
 
-    /// A user's request is on its way to a controller.
-    pub(super) fn send_user_request(&mut self, node: usize, job: String, look: UserRequest) {
+    /// Sends a user's request to a controller.
+    pub(super) fn send_user_request(&mut self, node: usize, job: String, user_request: UserRequest) {
         let request = self.next_request;
         self.next_request += 1;
-        let (life, sent) = (self.incarnations[node], self.now);
-        let spec = self.jobs.get(&job).and_then(|wish| wish.spec.clone());
-        let event = match (look, spec) {
+        let (incarnation, sent_at) = (self.incarnations[node], self.now);
+        let spec = self.jobs.get(&job).and_then(|user_job| user_job.spec.clone());
+        let event = match (user_request, spec) {
             (UserRequest::Submit, Some(spec)) => Event::Submit(request, Box::new(spec)),
             (UserRequest::Withdraw, _) => Event::Withdraw(request, job.clone()),
             _ => Event::Query(request, job.clone()),
         };
-        let patience = if matches!(event, Event::Query(..)) { 2 } else { 5 };
-        let until = sent + Micros::from_secs(patience);
+        let timeout_s = if matches!(event, Event::Query(..)) { 2 } else { 5 };
+        let deadline = sent_at + Micros::from_secs(timeout_s);
         let withdraw = matches!(event, Event::Withdraw(..));
-        self.pending_requests.insert(
-            (node, life, request),
-            PendingRequest::User { job, withdraw, sent_at: sent, deadline: until },
-        );
-        self.schedule_within(MS, 5 * MS, SimEvent::ToController { node, incarnation: life, event });
+        self.pending_requests
+            .insert((node, incarnation, request), PendingRequest::User { job, withdraw, sent_at, deadline });
+        self.schedule_within(MS, 5 * MS, SimEvent::ToController { node, incarnation, event });
     }
 
-    /// An answer has come to its user. By a node's word a job is accepted or over for every request that is sent from
-    /// then on, at whichever node, to the microsecond: what an older answer to one that was sent before may be is
-    /// judged apart (`is_older`).
+    /// Handles an answer that has arrived at its user.
+    ///
+    /// Once a controller has answered that a job is accepted or has ended, this holds for every request that is sent
+    /// from then on, to any controller, to the microsecond. Older answers to requests that were sent before are checked
+    /// by `check_answer_order`.
     pub(super) fn handle_user_answer(
         &mut self,
-        asking: AnsweredRequest,
+        request: AnsweredRequest,
         answer: Answer,
-        by: usize,
-        given: Micros,
+        answered_by: usize,
+        answered_at: Micros,
     ) {
         let now = self.now;
-        let AnsweredRequest { job: id, withdraw, sent_at: sent } = asking;
-        let Some(wish) = self.jobs.get_mut(&id) else { return self.check_unknown_job_answer(&id, answer) };
-        let accepted = wish.known_accepted.then_some(wish.accepted_at);
+        let AnsweredRequest { job: id, withdraw, sent_at } = request;
+        let Some(user_job) = self.jobs.get_mut(&id) else {
+            return self.check_unknown_job_answer(&id, answer);
+        };
+        let accepted = user_job.known_accepted.then_some(user_job.accepted_at);
         match answer {
-            Answer::Job { state, id: told, .. } => {
-                assert_eq!(told, id);
-                wish.last_answered_at = now;
+            Answer::Job { state, id: told_id, .. } => {
+                assert_eq!(told_id, id);
+                user_job.last_answered_at = now;
                 if accepted.is_none() {
-                    (wish.known_accepted, wish.accepted_at) = (true, now);
+                    (user_job.known_accepted, user_job.accepted_at) = (true, now);
                     self.send_request_burst(&id);
                 }
-                self.apply_told_state(&id, withdraw, state, by, sent, given);
+                self.apply_told_state(&id, withdraw, state, answered_by, sent_at, answered_at);
             }
             Answer::NotFound => {
-                if let Some(heard) = accepted {
-                    self.check_answer_order(&format!("forgotten: {id}"), heard, sent, given);
+                if let Some(known_at) = accepted {
+                    self.check_answer_order(&format!("forgotten: {id}"), known_at, sent_at, answered_at);
                 }
             }
             Answer::Rejected(why) => {
-                assert!(!wish.known_accepted, "forgotten: {id}: {why}");
-                wish.rejected = true;
+                assert!(!user_job.known_accepted, "forgotten: {id}: {why}");
+                user_job.rejected = true;
             }
             Answer::RetryLater(seconds) => {
-                wish.deferrals += u32::from(!wish.known_accepted);
-                wish.next_request_at = now + Micros::from_secs(u64::from(seconds));
+                user_job.deferrals += u32::from(!user_job.known_accepted);
+                user_job.next_request_at = now + Micros::from_secs(u64::from(seconds));
             }
             _ => {}
         }
@@ -136,48 +139,70 @@
         id: &str,
         withdraw: bool,
         state: JobState,
-        by: usize,
-        sent: Micros,
-        given: Micros,
+        answered_by: usize,
+        sent_at: Micros,
+        answered_at: Micros,
     ) {
         let now = self.now;
-        let Some(wish) = self.jobs.get_mut(id) else { return };
+        let Some(user_job) = self.jobs.get_mut(id) else { return };
         match state {
-            JobState::Final(f) => {
-                if f == FinalState::Done {
-                    let all = wish.spec.as_ref().map_or(0, |s| s.tasks as usize);
-                    assert_eq!(wish.completed_tasks.len(), all, "not_done: {id}");
+            JobState::Final(final_state) => {
+                if final_state == FinalState::Done {
+                    let all = user_job.spec.as_ref().map_or(0, |s| s.tasks as usize);
+                    assert_eq!(user_job.completed_tasks.len(), all, "not_done: {id}");
                 } else {
-                    assert!(wish.wants_withdrawal, "went_back: {id} was not withdrawn by its user");
-                    wish.withdrawal_confirmed_at =
-                        Some(wish.withdrawal_confirmed_at.map_or(given, |before| before.min(given)));
+                    assert!(user_job.wants_withdrawal, "went_back: {id} was not withdrawn by its user");
+                    user_job.withdrawal_confirmed_at = Some(
+                        user_job
+                            .withdrawal_confirmed_at
+                            .map_or(answered_at, |before| before.min(answered_at)),
+                    );
                 }
-                if let Some((before, heard)) = wish.known_final {
-                    assert_eq!(before, f, "went_back: {id}");
-                    self.coverage.repeated_final_states += u32::from(sent >= heard);
+                if let Some((before, known_at)) = user_job.known_final {
+                    assert_eq!(before, final_state, "went_back: {id}");
+                    self.coverage.repeated_final_states += u32::from(sent_at >= known_at);
                 } else {
-                    wish.known_final = Some((f, now));
-                    wish.final_state_from = by;
+                    user_job.known_final = Some((final_state, now));
+                    user_job.final_state_from = answered_by;
                     self.send_request_burst(id);
                 }
             }
             _ => {
                 assert!(!withdraw, "a withdrawal of {id} was answered with a live state");
-                if let Some((_, heard)) = wish.known_final {
-                    self.check_answer_order(&format!("went_back: {id} is live again"), heard, sent, given);
+                if let Some((_, known_at)) = user_job.known_final {
+                    self.check_answer_order(
+                        &format!("went_back: {id} is live again"),
+                        known_at,
+                        sent_at,
+                        answered_at,
+                    );
                 }
             }
         }
     }
 
-    /// An answer is older than what its user had heard by then. Nothing excuses it where the request was sent after
-    /// that. Where both were on their way at once it may have been given before; `judges_arrivals` holds a controller
-    /// also to what had arrived, from any of them, when it gave its answer.
-    fn check_answer_order(&mut self, what: &str, heard: Micros, sent: Micros, given: Micros) {
-        assert!(sent < heard, "{what}: asked at {sent:?}, heard at {heard:?}, answered at {given:?}");
+    /// Checks an answer that is older than what its user knew when the answer arrived.
+    ///
+    /// It is a violation if the request was sent after the user learnt the newer state. If the two overlapped, the
+    /// answer may have been sent before. With `checks_answer_times`, an answer that was sent after the user had learnt
+    /// the newer state, from any controller, is a violation too.
+    fn check_answer_order(
+        &mut self,
+        violation: &str,
+        known_at: Micros,
+        sent_at: Micros,
+        answered_at: Micros,
+    ) {
+        assert!(
+            sent_at < known_at,
+            "{violation}: asked at {sent_at:?}, heard at {known_at:?}, answered at {answered_at:?}"
+        );
         self.coverage.overlapping_answers += 1;
-        let late = self.checks_answer_times && given > heard;
-        assert!(!late, "{what}, overlapping: asked at {sent:?}, heard at {heard:?}, answered at {given:?}");
+        let late = self.checks_answer_times && answered_at > known_at;
+        assert!(
+            !late,
+            "{violation}, overlapping: asked at {sent_at:?}, heard at {known_at:?}, answered at {answered_at:?}"
+        );
     }
 
     pub(super) fn random_job(&mut self, n: u32) -> JobSpec {
@@ -196,7 +221,8 @@
         JobSpec {
             id: format!("j-{n:06}"),
             class: "any".into(),
-            // Drawn for every job, so that each seed's other draws are what they were before there was a third team.
+            // The boolean is drawn for every job, also where it is not used, so that the other draws of each seed stay
+            // the same as with two teams.
             team: match (self.rng.random_bool(0.5), n % 5) {
                 (_, 4) => "red",
                 (true, _) => "blue",
--- a/src/coordination/simulation/workers.rs
+++ b/src/coordination/simulation/workers.rs
@@ -1,26 +1,28 @@
-//! Workers: their leases, tasks, reports and direct orders.
+//! Simulated workers: leases, tasks, reports and direct orders.
 
 use super::*;
 
+/// A task on a simulated worker.
 pub(super) struct WorkerTask {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
     pub(super) cause: Option<Cause>,
-    /// When the present state ends by itself.
+    /// When the present state ends without an order.
     pub(super) state_until: Micros,
-    /// When the command to start it left its controller.
+    /// When the start order left its controller.
     pub(super) ordered_at: Micros,
-    /// When that command reached the machine.
+    /// When the start order reached the machine.
     pub(super) arrived_at: Micros,
 }
 
 impl WorkerTask {
-    /// Whether the task is on its machine, as the rules count it: from its image on until it has exited.
+    /// Whether the rules count the task as running: from the time at which its image is there until it has exited.
     pub(super) fn counts_as_running(&self) -> bool {
         !matches!(self.state, TaskState::Ended | TaskState::Fetching)
     }
 }
 
+/// A machine and the worker on it.
 pub(super) struct Worker {
     pub(super) kind: String,
     pub(super) zone: String,
@@ -29,9 +31,9 @@
     pub(super) dead: bool,
     pub(super) partitioned_until: Micros,
     pub(super) hung_until: Micros,
-    /// Nothing that is said to it arrives.
+    /// Until when no message reaches the machine.
     pub(super) not_receiving_until: Micros,
-    /// Its reports reach no controller; what is said to it arrives and is answered.
+    /// Until when its reports reach no controller, while direct orders reach it and are answered.
     pub(super) reports_blocked_until: Micros,
     pub(super) faulty: bool,
     pub(super) session: u64,
@@ -40,14 +42,16 @@
     pub(super) lease_renewed_at: Micros,
     pub(super) target_controller: usize,
     pub(super) next_report_at: Micros,
-    /// The report in flight: session, tally, when it was sent.
+    /// The report in flight: session, tally, time at which it was sent.
     pub(super) report_in_flight: Option<(u64, u64, Micros)>,
     pub(super) tasks: BTreeMap<TaskId, WorkerTask>,
     pub(super) preempted_at: Option<Micros>,
 }
 
 impl Worker {
-    /// Past its lease, a worker ends all tasks and begins its next session. How many tasks are lost by it.
+    /// Ends all tasks and begins a new session if the lease has expired.
+    ///
+    /// Returns the number of unfinished tasks that are lost.
     pub(super) fn expire_lease(&mut self, now: Micros, lease: Micros) -> usize {
         if now.since(self.lease_renewed_at) <= lease {
             return 0;
@@ -59,7 +63,7 @@
         lost
     }
 
-    /// The machine is off and on again within a fraction of a second.
+    /// Restarts the machine within a fraction of a second: all tasks are lost and a new session begins.
     pub(super) fn reboot(&mut self, now: Micros) {
         self.tasks.clear();
         self.session += 1;
@@ -90,10 +94,10 @@
 }
 
 impl World {
-    /// Advances a worker: its lease, its tasks, its reports.
+    /// Advances a worker's lease, tasks and reports.
     pub(super) fn advance_worker(&mut self, name: String) {
         let (now, lease) = (self.now, self.worker_lease());
-        let every = Micros::from_secs_f64(self.settings[0].params.workers.report_s);
+        let report_interval = Micros::from_secs_f64(self.settings[0].params.workers.report_s);
         let Some(w) = self.workers.get_mut(&name) else { return };
         if w.dead {
             return;
@@ -106,7 +110,7 @@
         self.coverage.tasks_lost_to_lease_expiry += w.expire_lease(now, lease);
         let mut changed = false;
         let mut completed = Vec::new();
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         for (id, t) in &mut w.tasks {
             if t.state_until > now || t.state == TaskState::Ended {
                 continue;
@@ -119,7 +123,7 @@
                 TaskState::Fetching if gang => {
                     t.state = TaskState::Waiting;
                     t.state_until = now + Micros::from_secs(45);
-                    begun.push(id.clone());
+                    started.push(id.clone());
                 }
                 TaskState::Fetching => {
                     t.state = TaskState::Running;
@@ -131,7 +135,7 @@
                             let range = if early { S..3 * S } else { self.task_run_time.clone() };
                             Micros(self.rng.random_range(range))
                         };
-                    begun.push(id.clone());
+                    started.push(id.clone());
                 }
                 TaskState::Waiting => (t.state, t.cause) = (TaskState::Ended, Some(Cause::Alone)),
                 TaskState::Running if w.faulty || self.broken_jobs.contains(&id.job) => {
@@ -148,25 +152,25 @@
         }
         let mut ended = Vec::new();
         for id in completed {
-            let wish = self.jobs.entry(id.job.clone()).or_default();
-            let before = wish.completed_tasks.len();
+            let user_job = self.jobs.entry(id.job.clone()).or_default();
+            let before = user_job.completed_tasks.len();
             // The tasks of a gang complete together.
-            match wish.spec.as_ref().filter(|s| s.shape == Shape::Gang) {
-                Some(gang) => wish.completed_tasks.extend(0..gang.tasks),
-                None => drop(wish.completed_tasks.insert(id.index)),
+            match user_job.spec.as_ref().filter(|s| s.shape == Shape::Gang) {
+                Some(gang) => user_job.completed_tasks.extend(0..gang.tasks),
+                None => drop(user_job.completed_tasks.insert(id.index)),
             }
-            let all = wish.spec.as_ref().map_or(0, |s| s.tasks as usize);
-            if before < all && wish.completed_tasks.len() == all {
+            let all = user_job.spec.as_ref().map_or(0, |s| s.tasks as usize);
+            if before < all && user_job.completed_tasks.len() == all {
                 ended.push(id.job);
             }
         }
         ended.into_iter().for_each(|id| self.job_tasks_completed(id));
-        begun.iter().for_each(|id| self.check_task_start(&name, id));
+        started.iter().for_each(|id| self.check_task_start(&name, id));
         if changed || self.workers.len() < 50 || self.sequence.is_multiple_of(64) {
             self.advance_gangs();
         }
         let Some(w) = self.workers.get_mut(&name) else { return };
-        if w.report_in_flight.is_some_and(|(_, _, sent)| now.since(sent) > Micros::from_secs(4)) {
+        if w.report_in_flight.is_some_and(|(_, _, sent_at)| now.since(sent_at) > Micros::from_secs(4)) {
             w.report_in_flight = None;
             w.target_controller = (w.target_controller + 1) % self.settings.len();
             w.next_report_at = now + Micros::from_secs(1);
@@ -174,21 +178,22 @@
         if w.report_in_flight.is_none() && (now >= w.next_report_at || changed) {
             w.tally += 1;
             w.report_in_flight = Some((w.session, w.tally, now));
-            w.next_report_at = now + Micros(self.rng.random_range(every.0 * 3 / 4..every.0 * 5 / 4));
+            w.next_report_at =
+                now + Micros(self.rng.random_range(report_interval.0 * 3 / 4..report_interval.0 * 5 / 4));
             let report = w.build_report(&name, now);
-            let (node, mute) = (w.target_controller, w.reports_blocked_until > now);
-            let cut = w.partitioned_until > now;
+            let (node, reports_blocked) = (w.target_controller, w.reports_blocked_until > now);
+            let partitioned = w.partitioned_until > now;
             let zone = w.zone.clone();
             let (session, tally) = (w.session, w.tally);
             let late = self.fault_profile.late;
-            // What cannot be sent leaves no copies.
-            let (copies, keeps) =
-                if mute { (0.0, 0.0) } else { (self.fault_profile.copies, self.report_retention) };
-            let cut = cut && self.record_fault("machine_cut")
-                || mute && self.record_fault("mute")
+            // A report that cannot be sent leaves no copies.
+            let (copies, retention) =
+                if reports_blocked { (0.0, 0.0) } else { (self.fault_profile.copies, self.report_retention) };
+            let partitioned = partitioned && self.record_fault("machine_cut")
+                || reports_blocked && self.record_fault("mute")
                 || self.are_zones_partitioned(self.controller_zones[node], &zone)
                     && self.record_fault("zone_cut");
-            if self.chance(keeps) {
+            if self.chance(retention) {
                 self.retained_reports.push(report.clone());
             }
             if self.chance(copies) {
@@ -199,20 +204,16 @@
                     SimEvent::DuplicateReport { node: to, report: report.clone() },
                 );
             }
-            if cut || self.is_message_lost() {
-                // Held up: it may arrive long after the worker has given it up.
-                if !mute && self.chance(late) {
+            if partitioned || self.is_message_lost() {
+                // A delayed report may arrive long after the worker has timed out.
+                if !reports_blocked && self.chance(late) {
                     let request = self.next_request;
                     self.next_request += 1;
-                    let life = self.incarnations[node];
+                    let incarnation = self.incarnations[node];
                     self.schedule_within(
                         5 * S,
                         60 * S,
-                        SimEvent::ToController {
-                            node,
-                            incarnation: life,
-                            event: Event::Report(request, report),
-                        },
+                        SimEvent::ToController { node, incarnation, event: Event::Report(request, report) },
                     );
                 }
             } else if self.controllers[node].is_none() {
@@ -230,22 +231,22 @@
             } else {
                 let request = self.next_request;
                 self.next_request += 1;
-                let life = self.incarnations[node];
+                let incarnation = self.incarnations[node];
                 self.pending_requests.insert(
-                    (node, life, request),
+                    (node, incarnation, request),
                     PendingRequest::Report { machine: name.clone(), session, tally },
                 );
                 self.schedule_within(
                     MS,
                     5 * MS,
-                    SimEvent::ToController { node, incarnation: life, event: Event::Report(request, report) },
+                    SimEvent::ToController { node, incarnation, event: Event::Report(request, report) },
                 );
             }
         }
         self.schedule_at(now + Micros::from_millis(500), SimEvent::WorkerTurn(name));
     }
 
-    /// Gangs start once all their tasks wait, and fail together.
+    /// Starts the tasks of a gang once all of them wait, and ends them all when one of them is missing or done.
     pub(super) fn advance_gangs(&mut self) {
         let mut gangs: BTreeMap<_, Vec<(String, TaskId, TaskState)>> = BTreeMap::new();
         for (name, w) in self.workers.iter().filter(|(_, w)| !w.dead) {
@@ -281,49 +282,51 @@
         }
     }
 
-    /// Orders to a worker's own address: they may be lost on the way, or arrive a minute later, or
-    /// only the reply may be lost.
+    /// Delivers orders to a worker's own address.
+    ///
+    /// The orders may be lost, the orders may arrive up to a minute later, or only the reply may be lost.
     pub(super) fn deliver_direct_orders(
         &mut self,
         node: usize,
         machine: &str,
         orders: DirectOrders,
-        sent: Micros,
+        sent_at: Micros,
     ) -> DirectReply {
         let now = self.now;
         let unreachable = self.workers.get(machine).is_none_or(|w| w.dead);
         if unreachable {
             return DirectReply::NotSent;
         }
-        let held_up = self.workers.get(machine).is_some_and(|w| {
+        let blocked = self.workers.get(machine).is_some_and(|w| {
             w.partitioned_until > now
                 || w.hung_until > now
                 || w.not_receiving_until > now
                 || self.are_zones_partitioned(self.controller_zones[node], &w.zone)
         });
         let share = self.fault_profile.held_up;
-        if !held_up && self.chance(share) {
+        if !blocked && self.chance(share) {
             self.record_fault("held_up");
             let machine = machine.to_owned();
-            self.schedule_within(S, 8 * S, SimEvent::LateOrders { machine, orders, sent_at: sent });
+            self.schedule_within(S, 8 * S, SimEvent::LateOrders { machine, orders, sent_at });
             return DirectReply::Unclear;
         }
-        if held_up || self.is_message_lost() {
+        if blocked || self.is_message_lost() {
             if self.rng.random_bool(0.7) {
                 let machine = machine.to_owned();
-                self.schedule_within(MS, 60 * S, SimEvent::LateOrders { machine, orders, sent_at: sent });
+                self.schedule_within(MS, 60 * S, SimEvent::LateOrders { machine, orders, sent_at });
             }
             return DirectReply::Unclear;
         }
-        let reply = self.execute_orders(machine, orders, sent);
+        let reply = self.execute_orders(machine, orders, sent_at);
         if self.is_message_lost() { DirectReply::Unclear } else { reply }
     }
 
+    /// Executes orders that arrive at the worker's address, if token and session match.
     pub(super) fn execute_orders(
         &mut self,
         machine: &str,
         orders: DirectOrders,
-        sent: Micros,
+        sent_at: Micros,
     ) -> DirectReply {
         let (now, lease) = (self.now, self.worker_lease());
         let Some(w) = self.workers.get_mut(machine) else { return DirectReply::NotSent };
@@ -333,14 +336,14 @@
         self.coverage.tasks_lost_to_lease_expiry += w.expire_lease(now, lease);
         w.tally += 1;
         if orders.token < w.token || orders.session != w.session {
-            let there = |order: &Order| match order {
+            let is_started = |order: &Order| match order {
                 Order::Start { task, attempt } => {
                     let here = TaskId::parse(task).and_then(|id| w.tasks.get(&id));
                     here.is_some_and(|t| t.attempt == *attempt && t.state != TaskState::Ended)
                 }
                 _ => false,
             };
-            self.coverage.rejected_but_started += u32::from(orders.orders.iter().any(there));
+            self.coverage.rejected_but_started += u32::from(orders.orders.iter().any(is_started));
             return DirectReply::Rejected(Box::new(w.build_report(machine, now)));
         }
         if orders.token > w.token {
@@ -350,7 +353,7 @@
         let supply =
             self.machine_types.iter().find(|t| t.name == w.kind).map(MachineType::supply).unwrap_or_default();
         for order in orders.orders {
-            self.execute_order(machine, order, supply, sent);
+            self.execute_order(machine, order, supply, sent_at);
         }
         DirectReply::Done(Box::new(self.workers[machine].build_report(machine, now)))
     }
@@ -361,15 +364,15 @@
         session: u64,
         tally: u64,
         answer: Option<Answer>,
-        given: Micros,
+        answered_at: Micros,
     ) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(&name) else { return };
-        // Given up on by now, or meant for an earlier session.
-        let Some((s, t, sent)) = w.report_in_flight else { return };
+        // Ignores answers after the worker's timeout and answers for an earlier session.
+        let Some((s, t, sent_at)) = w.report_in_flight else { return };
         if (s, t) != (session, tally)
             || w.session != session
-            || now.since(sent) > Micros::from_secs(4)
+            || now.since(sent_at) > Micros::from_secs(4)
             || w.dead
             || w.hung_until > now
             || w.not_receiving_until > now
@@ -390,7 +393,7 @@
                     w.next_report_at = now + Micros::from_millis(500);
                 }
                 w.token = token;
-                w.lease_renewed_at = sent;
+                w.lease_renewed_at = sent_at;
                 let supply = self
                     .machine_types
                     .iter()
@@ -398,7 +401,7 @@
                     .map(MachineType::supply)
                     .unwrap_or_default();
                 for order in orders {
-                    self.execute_order(&name, order, supply, given);
+                    self.execute_order(&name, order, supply, answered_at);
                 }
             }
             Answer::Redirect(Some(member)) => {
@@ -412,14 +415,15 @@
         }
     }
 
-    pub(super) fn execute_order(&mut self, name: &str, order: Order, supply: Resources, ordered: Micros) {
+    /// Executes one order on a machine; `ordered_at` is when it left its controller.
+    pub(super) fn execute_order(&mut self, name: &str, order: Order, supply: Resources, ordered_at: Micros) {
         let now = self.now;
         let fetch = Micros(self.rng.random_range(100 * MS..3 * S));
         match order {
             Order::Start { task, attempt } => {
                 let id = TaskId::parse(&task).unwrap();
-                let Some(wish) = self.jobs.get(&id.job) else { panic!("{task} was never submitted") };
-                let Some(spec) = wish.spec.clone() else { panic!("{task} is unknown") };
+                let Some(user_job) = self.jobs.get(&id.job) else { panic!("{task} was never submitted") };
+                let Some(spec) = user_job.spec.clone() else { panic!("{task} is unknown") };
                 let w = self.workers.get_mut(name).unwrap();
                 if let Some(t) = w.tasks.get(&id) {
                     if t.attempt != attempt && t.state != TaskState::Ended {
@@ -440,7 +444,7 @@
                     state: if fits { TaskState::Fetching } else { TaskState::Ended },
                     cause: (!fits).then_some(Cause::NoRoom),
                     state_until: now + fetch,
-                    ordered_at: ordered,
+                    ordered_at,
                     arrived_at: now,
                 };
                 w.tasks.insert(id, running);
