--- a/src/coordination/simulation.rs
+++ b/src/coordination/simulation.rs
@@ -84,34 +84,21 @@
 
 /// Something that happens at a scheduled time; `node` is the index of a controller.
 enum SimEvent {
+    /// The periodic tick of a controller.
     Tick(usize),
+    /// A controller starts.
     Start(usize),
-    ToController {
-        node: usize,
-        incarnation: u64,
-        event: Event,
-    },
-    StoreCall {
-        node: usize,
-        incarnation: u64,
-        id: CallId,
-        call: StoreCall,
-    },
+    /// An event arrives at one incarnation of a controller.
+    ToController { node: usize, incarnation: u64, event: Event },
+    /// A controller's call arrives at the store.
+    StoreCall { node: usize, incarnation: u64, id: CallId, call: StoreCall },
     /// A watch that has been open at the store since `opened_at`.
-    Watch {
-        node: usize,
-        incarnation: u64,
-        id: CallId,
-        call: StoreCall,
-        opened_at: Micros,
-    },
-    CloudCall {
-        node: usize,
-        incarnation: u64,
-        id: CallId,
-        call: CloudCall,
-    },
+    Watch { node: usize, incarnation: u64, id: CallId, call: StoreCall, opened_at: Micros },
+    /// A controller's call arrives at the cloud.
+    CloudCall { node: usize, incarnation: u64, id: CallId, call: CloudCall },
+    /// A worker's periodic update of its lease, tasks and reports.
     WorkerTurn(String),
+    /// The answer to a report, or its loss, arrives at the worker.
     ReportAnswered {
         machine: String,
         session: u64,
@@ -120,18 +107,13 @@
         /// When the answer left the controller.
         answered_at: Micros,
     },
+    /// The user of a job sends its next request.
     UserTurn(String),
     /// A user sends a request to one given controller.
-    UserRequest {
-        node: usize,
-        job: String,
-        request: UserRequest,
-    },
+    SendUserRequest { node: usize, job: String, request: UserRequest },
     /// A copy of a report arrives at whichever incarnation of the controller is running.
-    DuplicateReport {
-        node: usize,
-        report: Report,
-    },
+    DuplicateReport { node: usize, report: Report },
+    /// The answer to a request arrives at its user.
     UserAnswered {
         job: String,
         withdraw: bool,
@@ -142,31 +124,16 @@
         /// When the answer left the controller.
         answered_at: Micros,
     },
-    Orders {
-        node: usize,
-        incarnation: u64,
-        machine: String,
-        orders: DirectOrders,
-        sent_at: Micros,
-    },
-    LateOrders {
-        machine: String,
-        orders: DirectOrders,
-        sent_at: Micros,
-    },
-    LateCommit {
-        node: usize,
-        sent_at: Micros,
-        transaction: Transaction,
-    },
+    /// Direct orders arrive at a machine.
+    Orders { node: usize, incarnation: u64, machine: String, orders: DirectOrders, sent_at: Micros },
+    /// Direct orders that were delayed arrive at a machine; their sender gets no reply.
+    LateOrders { machine: String, orders: DirectOrders, sent_at: Micros },
+    /// A transaction that was delayed arrives at the store; its sender gets no reply.
+    LateCommit { node: usize, sent_at: Micros, transaction: Transaction },
     /// A fault begins; it lasts until the given time.
     FaultBegins(TimedFault, Micros),
     /// The effects that a controller decided on before it was paused are carried out.
-    DelayedEffects {
-        node: usize,
-        incarnation: u64,
-        effects: Vec<Effect>,
-    },
+    DelayedEffects { node: usize, incarnation: u64, effects: Vec<Effect> },
 }
 
 /// An event with its time and a sequence number that orders events of the same time.
@@ -271,7 +238,7 @@
     next_request: RequestId,
     store: Store,
     /// Faults of the store and the controllers, with their start and end.
-    faults: Vec<(TimedFault, Micros, Micros)>,
+    timed_faults: Vec<(TimedFault, Micros, Micros)>,
     /// When the last of the faults so far ends.
     faults_end: Micros,
     cloud_down_until: Micros,
@@ -407,7 +374,7 @@
             pending_requests: HashMap::new(),
             next_request: 1,
             store,
-            faults: Vec::new(),
+            timed_faults: Vec::new(),
             faults_end: Micros::ZERO,
             cloud_down_until: Micros::ZERO,
             rentals: BTreeMap::new(),
@@ -491,6 +458,7 @@
         self.now.since(self.started_at[node]).mul_f64(self.clock_rates[node])
     }
 
+    /// Processes all events up to the given time.
     fn run(&mut self, until: Micros) {
         while let Some(ScheduledEvent(at, ..)) = self.queue.peek() {
             if *at > until {
@@ -590,11 +558,11 @@
             SimEvent::LateCommit { node, sent_at, transaction } => {
                 self.apply_late_commit(node, sent_at, transaction)
             }
-            SimEvent::FaultBegins(spell, until) => self.begin_fault(spell, until),
+            SimEvent::FaultBegins(fault, until) => self.begin_fault(fault, until),
             SimEvent::CloudCall { node, incarnation, id, call } => {
                 let down = self.now < self.cloud_down_until && self.record_fault("cloud_outage");
-                let away = down || self.are_zones_partitioned(self.controller_zones[node], "");
-                let reply = if away { CloudReply::Unclear } else { self.handle_cloud_call(&call) };
+                let unreachable = down || self.are_zones_partitioned(self.controller_zones[node], "");
+                let reply = if unreachable { CloudReply::Unclear } else { self.handle_cloud_call(&call) };
                 let reply = if self.is_message_lost() { CloudReply::Unclear } else { reply };
                 let event = Event::Cloud(id, reply);
                 self.schedule_within(50 * MS, 200 * MS, SimEvent::ToController { node, incarnation, event });
@@ -623,7 +591,7 @@
                 self.handle_report_answer(machine, session, tally, answer, answered_at);
             }
             SimEvent::UserTurn(job) => self.advance_user(job),
-            SimEvent::UserRequest { node, job, request } => self.try_user_request(node, job, request),
+            SimEvent::SendUserRequest { node, job, request } => self.try_user_request(node, job, request),
             SimEvent::UserAnswered { job, withdraw, answer, answered_by, sent_at, answered_at } => self
                 .handle_user_answer(
                     AnsweredRequest { job, withdraw, sent_at },
--- a/src/coordination/simulation/asking.rs
+++ b/src/coordination/simulation/asking.rs
@@ -21,7 +21,7 @@
         }
     }
     world.run(world.now + Micros::from_secs(120));
-    assert!(world.jobs.values().all(|w| w.known_final.is_some()), "seed {seed}: not all are over");
+    assert!(world.jobs.values().all(|w| w.known_final.is_some()), "seed {seed}: not all jobs have ended");
     let (from, calls) = (world.now, world.store_calls);
     (0..3).for_each(|n| world.crash_for(n, Micros::from_millis(300)));
     let mut longest = Micros::ZERO;
--- a/src/coordination/simulation/cloud.rs
+++ b/src/coordination/simulation/cloud.rs
@@ -46,6 +46,7 @@
         }
     }
 
+    /// Adds a machine that boots within `boot_time`.
     pub(super) fn add_machine(&mut self, kind: &str, zone: &str, spot: bool) -> String {
         self.next_machine += 1;
         let name = format!("m-{:06}", self.next_machine);
--- a/src/coordination/simulation/looks.rs
+++ b/src/coordination/simulation/looks.rs
@@ -25,21 +25,25 @@
         }
         self.coverage.request_bursts += 1;
         self.record_fault("looks");
-        let withdraw = self.rng.random_bool(0.2);
+        let withdraw_live = self.rng.random_bool(0.2);
         let repeat = self.rng.random_bool(0.5);
         let Some(user_job) = self.jobs.get_mut(id) else { return };
         // A user may withdraw a job that it knows to be done; the answer is again that it is done.
         let is_over = user_job.known_final.is_some();
-        user_job.wants_withdrawal |= withdraw && !is_over;
-        let withdraws = if is_over { repeat } else { user_job.wants_withdrawal };
-        let passed_over = self.excluded_controller;
-        for node in (0..self.settings.len()).filter(|n| Some(*n) != passed_over) {
+        user_job.wants_withdrawal |= withdraw_live && !is_over;
+        let send_withdrawals = if is_over { repeat } else { user_job.wants_withdrawal };
+        let excluded = self.excluded_controller;
+        for node in (0..self.settings.len()).filter(|n| Some(*n) != excluded) {
             let mut requests = vec![UserRequest::Query, UserRequest::Submit, UserRequest::Query];
-            if withdraws {
+            if send_withdrawals {
                 requests.extend([UserRequest::Withdraw; 2]);
             }
             for request in requests {
-                self.schedule_within(0, 8 * MS, SimEvent::UserRequest { node, job: id.to_owned(), request });
+                self.schedule_within(
+                    0,
+                    8 * MS,
+                    SimEvent::SendUserRequest { node, job: id.to_owned(), request },
+                );
             }
         }
         if self.rng.random_bool(0.25) {
@@ -63,7 +67,7 @@
         for node in 0..self.settings.len() {
             for request in [UserRequest::Query, UserRequest::Withdraw] {
                 self.coverage.unknown_job_requests += 1;
-                self.schedule_within(0, 8 * MS, SimEvent::UserRequest { node, job: id.clone(), request });
+                self.schedule_within(0, 8 * MS, SimEvent::SendUserRequest { node, job: id.clone(), request });
             }
         }
     }
@@ -152,10 +156,10 @@
         assert!(fault.starts_with(prefix), "{fault:?} is not {prefix:?}");
     }
     for (fault, why) in [
-        (answer_fault(live, FinalState::Done, -5, -1, true), "given before it was heard"),
-        (answer_fault(live, FinalState::Done, -5, 1, false), "both were on their way"),
-        (answer_fault(done, FinalState::Done, 5, 6, true), "the same end"),
-        (answer_fault(|_| Answer::RetryLater(1), FinalState::Done, 5, 6, true), "no answer"),
+        (answer_fault(live, FinalState::Done, -5, -1, true), "sent before the user knew the final state"),
+        (answer_fault(live, FinalState::Done, -5, 1, false), "request and answer overlapped"),
+        (answer_fault(done, FinalState::Done, 5, 6, true), "the same final state"),
+        (answer_fault(|_| Answer::RetryLater(1), FinalState::Done, 5, 6, true), "no state in the answer"),
     ] {
         assert_eq!(fault, "", "{why}");
     }
--- a/src/coordination/simulation/network.rs
+++ b/src/coordination/simulation/network.rs
@@ -9,6 +9,7 @@
 }
 
 impl World {
+    /// Lets a controller handle an event; the effects are delayed if it is paused before sending.
     pub(super) fn deliver_event(&mut self, node: usize, event: Event) {
         let clock = self.local_time(node);
         let Some(controller) = &mut self.controllers[node] else { return };
@@ -63,6 +64,7 @@
         }
     }
 
+    /// Whether messages of one controller don't reach the other.
     pub(super) fn are_partitioned(&self, from: usize, to: usize) -> bool {
         self.is_active(TimedFault::AllPartitioned)
             || self.is_active(TimedFault::Isolated(from))
@@ -96,6 +98,7 @@
         Micros(if slow { self.rng.random_range(self.extra_link_delay.clone()) } else { 0 })
     }
 
+    /// Sends a message to the named controller, or to all others.
     pub(super) fn send_peer_message(&mut self, from: usize, to: Option<String>, message: PeerMessage) {
         for other in 0..self.settings.len() {
             let addressed = to.as_ref().is_none_or(|t| *t == self.settings[other].member);
@@ -132,6 +135,7 @@
         }
     }
 
+    /// Sends a controller's answer to the worker or user that made the request.
     pub(super) fn deliver_answer(
         &mut self,
         node: usize,
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -183,7 +183,7 @@
 /// One status of a controller reaches another that has never heard it, and what that one answers is lost.
 fn one_status(world: &mut World, from: usize, to: usize) {
     let apart = TimedFault::Partitioned(from, to);
-    world.faults.retain(|(spell, ..)| *spell != apart);
+    world.timed_faults.retain(|(spell, ..)| *spell != apart);
     let member = world.settings[from].member.clone();
     let heard = |w: &World| w.controllers[to].as_ref().unwrap().peers.contains_key(&member);
     let end = world.now + Micros::from_secs(3);
@@ -241,7 +241,7 @@
         let all = until(&mut world, Micros::from_secs(10), |w| begun(w) == 16);
         assert!(all, "seed {seed}: {} begun", begun(&world));
         // It reads of the newcomer, and goes on without that one too.
-        world.faults.retain(|(spell, ..)| *spell != TimedFault::WatchHangs(holder));
+        world.timed_faults.retain(|(spell, ..)| *spell != TimedFault::WatchHangs(holder));
         let alone = |w: &World| w.controllers[holder].as_ref().unwrap().announcements.uninformed().len() == 2;
         assert!(until(&mut world, Micros::from_secs(3), alone), "seed {seed}: it waits for somebody");
         // What it said of these tasks is lost.
--- a/src/coordination/simulation/rules.rs
+++ b/src/coordination/simulation/rules.rs
@@ -83,12 +83,12 @@
     fn check_not_forgotten(&self) {
         let limit = Micros::from_secs(75);
         // A timed fault that began earlier may last beyond that.
-        let calm = self.fault_free_from.max(self.faults_end);
+        let faults_over_at = self.fault_free_from.max(self.faults_end);
         for (id, user_job) in self.jobs.iter().filter(|(_, w)| w.known_accepted) {
-            let since = self.now.since(user_job.last_answered_at.max(calm));
+            let unanswered_for = self.now.since(user_job.last_answered_at.max(faults_over_at));
             assert!(
-                since <= limit,
-                "forgotten: no request about {id} was answered for {since:?}\n{}",
+                unanswered_for <= limit,
+                "forgotten: no request about {id} was answered for {unanswered_for:?}\n{}",
                 self.describe(id)
             );
         }
@@ -133,6 +133,7 @@
         usage
     }
 
+    /// Checks that no team uses more than its limits, and records the peaks.
     fn check_team_limits(&mut self) {
         let usage = self.running_usage();
         self.coverage.peak_usage.resize(usage.len(), (0, 0));
@@ -159,12 +160,12 @@
             self.workers_within_lease().flat_map(|w| &w.tasks).filter(|(_, t)| t.counts_as_running())
         {
             if let Some((FinalState::Withdrawn, at)) = self.jobs.get(&id.job).and_then(|j| j.known_final) {
-                let since = self.now.since(at);
-                max_after_confirmation = max_after_confirmation.max(since);
+                let elapsed = self.now.since(at);
+                max_after_confirmation = max_after_confirmation.max(elapsed);
                 // A start order in flight at that time did not renew the machine's lease, but the lease may have been
                 // renewed since.
                 let limit = if task.arrived_at > at { limit.0 } else { limit.1 };
-                assert!(since < limit, "ran_cancelled: {id:?} still runs");
+                assert!(elapsed < limit, "ran_cancelled: {id:?} still runs");
             }
             if let Some(at) = self.store.withdrawals.get(&id.job) {
                 max_after_withdrawal = max_after_withdrawal.max(self.now.since(*at));
--- a/src/coordination/simulation/spells.rs
+++ b/src/coordination/simulation/spells.rs
@@ -4,6 +4,7 @@
 
 use super::*;
 
+/// A fault that lasts from its start to a given end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum TimedFault {
     /// The store refuses all calls; when it is back, all leases have their full term again.
@@ -48,8 +49,8 @@
     /// Begins a fault now.
     pub(super) fn begin_fault(&mut self, fault: TimedFault, until: Micros) {
         let now = self.now;
-        self.faults.retain(|(.., until)| *until > now);
-        self.faults.push((fault, now, until));
+        self.timed_faults.retain(|(.., until)| *until > now);
+        self.timed_faults.push((fault, now, until));
         self.faults_end = self.faults_end.max(until);
         if fault == TimedFault::StoreDown {
             let until = self.active_until(fault);
@@ -62,8 +63,9 @@
         self.schedule_at(from, SimEvent::FaultBegins(fault, from + duration));
     }
 
+    /// Whether a fault equal to this one is active now.
     pub(super) fn is_active(&self, fault: TimedFault) -> bool {
-        self.faults.iter().any(|(s, _, until)| *s == fault && self.now < *until)
+        self.timed_faults.iter().any(|(s, _, until)| *s == fault && self.now < *until)
     }
 
     /// When a message arrives that one controller sends to another now, while the two are partitioned.
@@ -78,7 +80,7 @@
             TimedFault::Partitioned(a, b) => [(from, to), (to, from)].contains(&(*a, *b)),
             _ => false,
         };
-        let partitions = self.faults.iter().filter(|(s, _, until)| between(s) && self.now < *until);
+        let partitions = self.timed_faults.iter().filter(|(s, _, until)| between(s) && self.now < *until);
         let (since, until) = partitions.fold((Micros::MAX, Micros::ZERO), |(since, until), (_, from, to)| {
             (since.min(*from), until.max(*to))
         });
@@ -87,14 +89,16 @@
 
     /// When the last of the faults equal to this one ends.
     pub(super) fn active_until(&self, fault: TimedFault) -> Micros {
-        let ends = self.faults.iter().filter(|(s, ..)| *s == fault).map(|(.., until)| *until);
+        let ends = self.timed_faults.iter().filter(|(s, ..)| *s == fault).map(|(.., until)| *until);
         ends.max().unwrap_or_default()
     }
 
     /// Until when a zone is cut off.
     pub(super) fn zone_partitioned_until(&self, zone: &str) -> Micros {
-        let partitions =
-            self.faults.iter().filter(|(s, ..)| matches!(s, TimedFault::ZonePartitioned(z) if *z == zone));
+        let partitions = self
+            .timed_faults
+            .iter()
+            .filter(|(s, ..)| matches!(s, TimedFault::ZonePartitioned(z) if *z == zone));
         partitions.map(|(.., until)| *until).max().unwrap_or_default()
     }
 
@@ -148,8 +152,8 @@
 
     /// Called when the last task of a job completes; may withdraw the job at that moment.
     pub(super) fn job_tasks_completed(&mut self, id: String) {
-        let share = self.withdraw_at_end_probability;
-        if self.chance(share) && self.record_fault("at_end") {
+        let p = self.withdraw_at_end_probability;
+        if self.chance(p) && self.record_fault("at_end") {
             self.withdraw_job(id, 5 * MS);
         }
     }
@@ -207,7 +211,7 @@
                     .schedule_at(next_poll, SimEvent::Watch { node, incarnation, id, call, opened_at });
             }
         }
-        let commit_fault = self
+        let fault = self
             .commit_fault
             .and_then(|fault_of| if let StoreCall::Commit(t) = &call { fault_of(t) } else { None });
         if unreachable {
@@ -218,7 +222,7 @@
             self.record_fault(if all { "store_outage" } else { "store_refuses_one" });
         }
         let reply = if unreachable {
-            // The transaction is kept back and delivered when the partition ends.
+            // Half of the transactions are kept back and delivered when the partition ends; other calls are lost.
             if let StoreCall::Commit(t) = &call
                 && self.rng.random_bool(0.5)
             {
@@ -232,13 +236,13 @@
         } else if refused {
             StoreReply::Refused
         } else if let StoreCall::Commit(t) = &call
-            && let Some(commit_fault) = commit_fault.or_else(|| self.random_commit_fault())
+            && let Some(fault) = fault.or_else(|| self.random_commit_fault())
         {
             let late = SimEvent::LateCommit { node, sent_at: self.now, transaction: t.clone() };
-            match commit_fault {
+            match fault {
                 CommitFault::Delayed(after) => self.schedule_at(self.now + after, late),
                 CommitFault::ReplyLost => {
-                    let reply = self.store.handle(self.now, &call);
+                    let reply = self.store.handle_call(self.now, &call);
                     let done = matches!(reply, StoreReply::Committed { .. });
                     self.coverage.lost_commit_replies += u32::from(done);
                     if done {
@@ -260,11 +264,11 @@
                     self.schedule_within(S, 60 * S, late);
                 }
             } else if self.rng.random_bool(0.5) {
-                self.store.handle(self.now, &call);
+                self.store.handle_call(self.now, &call);
             }
             StoreReply::Unclear
         } else {
-            self.store.handle(self.now, &call)
+            self.store.handle_call(self.now, &call)
         };
         if matches!(reply, StoreReply::Committed { .. }) {
             self.last_commit_at[node] = self.now;
--- a/src/coordination/simulation/start_orders.rs
+++ b/src/coordination/simulation/start_orders.rs
@@ -166,7 +166,7 @@
     world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
     let away = |w: &World| w.controllers[w.leader().unwrap()].as_ref().unwrap().view.members.len() == 2;
     assert!(until(world, Micros::from_secs(4), away), "there is no new view");
-    world.faults.retain(|(spell, ..)| *spell != TimedFault::WatchHangs(heir));
+    world.timed_faults.retain(|(spell, ..)| *spell != TimedFault::WatchHangs(heir));
     world.run(world.now + Micros::from_secs(15));
 }
 
--- a/src/coordination/simulation/store.rs
+++ b/src/coordination/simulation/store.rs
@@ -6,9 +6,12 @@
 #[derive(Default)]
 pub(super) struct Store {
     pub(super) revision: u64,
+    /// Value, revision of the last write, and lease of each key.
     pub(super) keys: BTreeMap<String, (Value, u64, Option<u64>)>,
+    /// End and term of each lease.
     pub(super) leases: BTreeMap<u64, (Micros, Micros)>,
     pub(super) next_lease: u64,
+    /// Changes by revision; `None` for a deleted key.
     pub(super) log: Vec<(u64, String, Option<Value>)>,
     pub(super) now: Micros,
     /// When each job's withdrawal was recorded.
@@ -25,6 +28,7 @@
         expired.into_iter().for_each(|l| self.end_lease(l));
     }
 
+    /// Removes a lease and deletes its keys.
     pub(super) fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> =
@@ -75,6 +79,7 @@
         StoreReply::Committed { revision: self.revision }
     }
 
+    /// The changes under a prefix after a revision.
     pub(super) fn changes_since(&self, prefix: &str, after: u64) -> Vec<Change> {
         let first = self.log.partition_point(|(revision, ..)| *revision <= after);
         let changes = self.log[first..].iter().filter(|(_, key, _)| key.starts_with(prefix));
@@ -86,7 +91,7 @@
             .collect()
     }
 
-    pub(super) fn handle(&mut self, now: Micros, call: &StoreCall) -> StoreReply {
+    pub(super) fn handle_call(&mut self, now: Micros, call: &StoreCall) -> StoreReply {
         self.expire_leases(now);
         match call {
             StoreCall::Get { key } => match self.keys.get(key) {
@@ -106,13 +111,13 @@
             StoreCall::Commit(t) => self.commit(t.clone()),
             StoreCall::Lease { life_ms } => {
                 self.next_lease += 1;
-                let duration = Micros::from_millis(*life_ms);
-                self.leases.insert(self.next_lease, (now + duration, duration));
+                let term = Micros::from_millis(*life_ms);
+                self.leases.insert(self.next_lease, (now + term, term));
                 StoreReply::Leased { lease: self.next_lease }
             }
             StoreCall::Renew { lease } => match self.leases.get_mut(lease) {
-                Some((end, duration)) => {
-                    *end = now + *duration;
+                Some((end, term)) => {
+                    *end = now + *term;
                     StoreReply::Renewed
                 }
                 None => StoreReply::Missing,
@@ -131,9 +136,10 @@
         }
     }
 
+    /// Gives all leases their full term from `now` on.
     pub(super) fn renew_all_leases(&mut self, now: Micros) {
-        for (end, duration) in self.leases.values_mut() {
-            *end = now + *duration;
+        for (end, term) in self.leases.values_mut() {
+            *end = now + *term;
         }
     }
 }
--- a/src/coordination/simulation/uninformed_orders.rs
+++ b/src/coordination/simulation/uninformed_orders.rs
@@ -32,7 +32,7 @@
     grant_to(world, machine, heir);
     let given_away = |w: &World| has_given_away(w, owner, machine);
     assert!(until(world, Micros::from_secs(2), given_away), "the grant is not read");
-    world.faults.retain(|(spell, ..)| *spell != TimedFault::Partitioned(owner, heir));
+    world.timed_faults.retain(|(spell, ..)| *spell != TimedFault::Partitioned(owner, heir));
     let relied_on = |w: &World| !goes_on_alone(w, owner);
     assert!(until(world, Micros::from_secs(4), relied_on), "never relied on again");
     ends_unread(world, owner, heir);
--- a/src/coordination/simulation/users.rs
+++ b/src/coordination/simulation/users.rs
@@ -6,20 +6,24 @@
 #[derive(Default)]
 pub(super) struct UserJob {
     pub(super) spec: Option<JobSpec>,
+    /// Its user has learnt that it is accepted.
     pub(super) known_accepted: bool,
     /// When its user first learnt that it is accepted.
     pub(super) accepted_at: Micros,
+    /// The final state that its user knows, and when it learnt it.
     pub(super) known_final: Option<(FinalState, Micros)>,
     pub(super) wants_withdrawal: bool,
     /// When the first answer that confirmed its withdrawal left its controller.
     pub(super) withdrawal_confirmed_at: Option<Micros>,
     /// The controller that first answered with its final state.
     pub(super) final_state_from: usize,
+    /// The user sends no request before this time, as a controller asked it to retry later.
     pub(super) next_request_at: Micros,
     /// How often its submission was answered with a request to retry later.
     pub(super) deferrals: u32,
     /// When a request about it was last answered with its state.
     pub(super) last_answered_at: Micros,
+    /// Indexes of the tasks that have completed on their workers.
     pub(super) completed_tasks: BTreeSet<u32>,
     /// When the image of one of its tasks was last complete, so that the task counts as started.
     pub(super) last_task_start: Micros,
@@ -34,12 +38,14 @@
 }
 
 impl World {
+    /// Adds a job whose user submits it, queries it and withdraws it if it wants so.
     pub(super) fn submit(&mut self, spec: JobSpec) {
         let id = spec.id.clone();
         self.jobs.insert(id.clone(), UserJob { spec: Some(spec), ..Default::default() });
         self.schedule_at(self.now, SimEvent::UserTurn(id));
     }
 
+    /// Sends the next request of a job's user to a random controller.
     pub(super) fn advance_user(&mut self, id: String) {
         let Some(user_job) = self.jobs.get(&id) else { return };
         if user_job.rejected {
@@ -134,6 +140,7 @@
         }
     }
 
+    /// Checks the state in an answer against what the user knows, and records it.
     fn apply_told_state(
         &mut self,
         id: &str,
--- a/src/coordination/simulation/workers.rs
+++ b/src/coordination/simulation/workers.rs
@@ -29,22 +29,27 @@
     pub(super) spot: bool,
     pub(super) rented_at: Micros,
     pub(super) dead: bool,
+    /// Until when neither its reports nor direct orders get through.
     pub(super) partitioned_until: Micros,
+    /// Until when it does nothing; its tasks stay.
     pub(super) hung_until: Micros,
     /// Until when no message reaches the machine.
     pub(super) not_receiving_until: Micros,
     /// Until when its reports reach no controller, while direct orders reach it and are answered.
     pub(super) reports_blocked_until: Micros,
+    /// Every task fails on it.
     pub(super) faulty: bool,
     pub(super) session: u64,
     pub(super) tally: u64,
     pub(super) token: u64,
     pub(super) lease_renewed_at: Micros,
+    /// Index of the controller that it reports to.
     pub(super) target_controller: usize,
     pub(super) next_report_at: Micros,
     /// The report in flight: session, tally, time at which it was sent.
     pub(super) report_in_flight: Option<(u64, u64, Micros)>,
     pub(super) tasks: BTreeMap<TaskId, WorkerTask>,
+    /// When the cloud takes the spot machine back, once the preemption notice has been given.
     pub(super) preempted_at: Option<Micros>,
 }
 
@@ -139,8 +144,8 @@
                 }
                 TaskState::Waiting => (t.state, t.cause) = (TaskState::Ended, Some(Cause::Alone)),
                 TaskState::Running if w.faulty || self.broken_jobs.contains(&id.job) => {
-                    let trouble = if w.faulty { "faulty" } else { "mistaken" };
-                    *self.coverage.faults.entry(trouble).or_default() += 1;
+                    let fault = if w.faulty { "faulty" } else { "mistaken" };
+                    *self.coverage.faults.entry(fault).or_default() += 1;
                     (t.state, t.cause) = (TaskState::Ended, Some(Cause::Error))
                 }
                 TaskState::Running => {
@@ -303,8 +308,8 @@
                 || w.not_receiving_until > now
                 || self.are_zones_partitioned(self.controller_zones[node], &w.zone)
         });
-        let share = self.fault_profile.held_up;
-        if !blocked && self.chance(share) {
+        let p = self.fault_profile.held_up;
+        if !blocked && self.chance(p) {
             self.record_fault("held_up");
             let machine = machine.to_owned();
             self.schedule_within(S, 8 * S, SimEvent::LateOrders { machine, orders, sent_at });
@@ -358,6 +363,7 @@
         DirectReply::Done(Box::new(self.workers[machine].build_report(machine, now)))
     }
 
+    /// Handles the answer to a report; `None` if it was lost.
     pub(super) fn handle_report_answer(
         &mut self,
         name: String,
@@ -439,7 +445,7 @@
                     .filter(|(_, t)| t.state != TaskState::Ended)
                     .fold(supply, |r, (i, _)| r.minus(need(i)));
                 let fits = spec.need().fits(room);
-                let running = WorkerTask {
+                let new_task = WorkerTask {
                     attempt,
                     state: if fits { TaskState::Fetching } else { TaskState::Ended },
                     cause: (!fits).then_some(Cause::NoRoom),
@@ -447,7 +453,7 @@
                     ordered_at,
                     arrived_at: now,
                 };
-                w.tasks.insert(id, running);
+                w.tasks.insert(id, new_task);
             }
             Order::Stop { task, attempt, grace_s } => {
                 let id = TaskId::parse(&task).unwrap();
