--- a/src/coordination/simulation/users.rs
+++ b/src/coordination/simulation/users.rs
@@ -121,7 +121,7 @@
                     (user_job.known_accepted, user_job.accepted_at) = (true, now);
                     self.send_request_burst(&id);
                 }
-                self.apply_told_state(&id, withdraw, state, answered_by, sent_at, answered_at);
+                self.apply_job_state(&id, withdraw, state, answered_by, sent_at, answered_at);
             }
             Answer::NotFound => {
                 if let Some(known_at) = accepted {
@@ -141,7 +141,7 @@
     }
 
     /// Checks the state in an answer against what the user knows, and records it.
-    fn apply_told_state(
+    fn apply_job_state(
         &mut self,
         id: &str,
         withdraw: bool,
@@ -202,13 +202,13 @@
     ) {
         assert!(
             sent_at < known_at,
-            "{violation}: asked at {sent_at:?}, heard at {known_at:?}, answered at {answered_at:?}"
+            "{violation}: asked at {sent_at:?}, known since {known_at:?}, answered at {answered_at:?}"
         );
         self.coverage.overlapping_answers += 1;
         let late = self.checks_answer_times && answered_at > known_at;
         assert!(
             !late,
-            "{violation}, overlapping: asked at {sent_at:?}, heard at {known_at:?}, answered at {answered_at:?}"
+            "{violation}, overlapping: asked at {sent_at:?}, known since {known_at:?}, answered at {answered_at:?}"
         );
     }
 
