--- a/src/coordination/simulation/evictions.rs
+++ b/src/coordination/simulation/evictions.rs
@@ -19,7 +19,7 @@
         world.submit(JobSpec { tasks: 1_000, team: "green".into(), ..job });
     }
     world.run(Micros::from_secs(25));
-    world.befalls(Spell::AllApart, Micros::from_secs(50));
+    world.begin_fault(TimedFault::AllPartitioned, Micros::from_secs(50));
     world.run(Micros::from_secs(55));
     assert_eq!(
         eviction_count(&world),
@@ -30,7 +30,7 @@
     let held_machines = |n: &usize| world.controllers[*n].as_ref().map_or(0, |c| c.machine_counts().0);
     let crashed = (0..3).max_by_key(held_machines).unwrap();
     world.controllers[crashed] = None;
-    world.lives[crashed] += 1;
+    world.incarnations[crashed] += 1;
     world.run(Micros::from_secs(62));
     assert_eq!(eviction_count(&world), 1, "a crashed controller was not evicted before its lease expired");
 }
@@ -53,9 +53,9 @@
     let busy = |n: &usize| Some((*n, busy_machine(world.controllers[*n].as_ref()?)?));
     let (n, name) = (0..3).find_map(|n| busy(&n)).unwrap();
     // The machine fails, but the cloud still lists it as running.
-    world.workers.get_mut(&name).unwrap().cut_until = Micros::MAX;
+    world.workers.get_mut(&name).unwrap().partitioned_until = Micros::MAX;
     world.controllers[n] = None;
-    world.lives[n] += 1;
+    world.incarnations[n] += 1;
     world.run(Micros::from_secs(30));
     let fully_known: u64 = world.controllers.iter().flatten().map(|c| c.counters.takeovers_fully_known).sum();
     assert!(fully_known > 0, "no takeover completed by full knowledge of the machines");
@@ -87,11 +87,11 @@
         }
         world.run(Micros::from_secs(25));
         let n = seed as usize % 3;
-        world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(3));
+        world.begin_fault(TimedFault::ControllerPaused(n), world.now + Micros::from_secs(3));
         world.run(world.now + Micros::from_secs(8));
         assert_eq!(eviction_count(&world), 0, "seed {seed}: evicted after a pause of 3 s");
         world.run(world.now + Micros::from_secs(15));
-        world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(25));
+        world.begin_fault(TimedFault::ControllerPaused(n), world.now + Micros::from_secs(25));
         world.run(world.now + Micros::from_millis(10_500));
         let others = world.controllers.iter().flatten().filter(|c| c.own_name() != world.settings[n].member);
         let has_taken_over = |c: &Controller| c.view.members.len() == 2 && !c.takeover_in_progress;
@@ -123,18 +123,21 @@
     let id = job.id.clone();
     world.submit(JobSpec { tasks: 1_000, team: "green".into(), ..job });
     world.run(Micros::from_secs(10));
-    assert!(world.jobs[&id].told_accepted);
+    assert!(world.jobs[&id].known_accepted);
     world.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
     let key = records::registration_key("n-0");
     world.store.keys.remove(&key);
     world.store.revision += 1;
-    let (revision, life) = (world.store.revision, world.lives[0]);
+    let (revision, life) = (world.store.revision, world.incarnations[0]);
     world.store.log.push((revision, key, None));
     let request = 1_000_000;
     let (sent, until) = (world.now, world.now + Micros::from_secs(5));
-    world.requests.insert((0, life, request), Asked::User { job: id.clone(), withdraw: true, sent, until });
-    world.tell(0, Event::Withdraw(request, id.clone()));
+    world.pending_requests.insert(
+        (0, life, request),
+        PendingRequest::User { job: id.clone(), withdraw: true, sent_at: sent, deadline: until },
+    );
+    world.deliver_event(0, Event::Withdraw(request, id.clone()));
     // The simulated user checks every answer.
     world.run(Micros::from_secs(40));
-    assert!(world.jobs[&id].told_final.is_some(), "the withdrawal was lost");
+    assert!(world.jobs[&id].known_final.is_some(), "the withdrawal was lost");
 }
--- a/src/coordination/simulation/fleets.rs
+++ b/src/coordination/simulation/fleets.rs
@@ -6,7 +6,7 @@
 /// granted, the value exceeded the size limit, and no grant could be written any more.
 #[test]
 fn all_machines_are_granted_when_block_records_are_full() {
-    let mut world = World::sized(9, Trouble::default(), Size { controllers: 3, machines: 320 });
+    let mut world = World::with_size(9, Trouble::default(), ClusterSize { controllers: 3, machines: 320 });
     for _ in 0..320 {
         world.add_machine("c16", "east", false);
     }
@@ -67,7 +67,7 @@
     write(&mut world, &Value::clone);
     pause(&mut world, 400);
     for (id, wish) in &world.jobs {
-        assert!(wish.told_final.is_some(), "{id} is not over\n{}", world.describe(id));
+        assert!(wish.known_final.is_some(), "{id} is not over\n{}", world.describe(id));
     }
 }
 
@@ -79,7 +79,7 @@
 #[test]
 fn a_large_cluster_keeps_the_rules_with_bounded_placement_work() {
     let trouble = Trouble { crash: 0.01, machine_dies: 0.05, machine_cut: 0.1, ..Default::default() };
-    let mut world = World::sized(20, trouble, Size { controllers: 7, machines: 400 });
+    let mut world = World::with_size(20, trouble, ClusterSize { controllers: 7, machines: 400 });
     for n in 0..200 {
         world.add_machine("c16", ["east", "west"][n % 2], false);
     }
@@ -99,15 +99,15 @@
         world.run(next);
     }
     world.run(Micros::from_secs(90));
-    world.calm_after = world.now;
+    world.fault_free_from = world.now;
     world.run(Micros::from_secs(260));
     for (id, wish) in &world.jobs {
         let message = format!("{id} is not over: {:?}", wish.spec);
-        assert!(wish.told_final.is_some(), "{message}\n{}", world.describe(id));
+        assert!(wish.known_final.is_some(), "{message}\n{}", world.describe(id));
     }
     for (n, c) in world.controllers.iter().enumerate() {
         let Some(c) = c else { continue };
-        let seconds = world.now.since(world.booted[n]).as_secs_f64();
+        let seconds = world.now.since(world.started_at[n]).as_secs_f64();
         let passes = c.counters.placement_passes as f64 / seconds;
         assert!(passes < 12.0, "{passes} placement passes per second over all waiting jobs");
     }
@@ -117,7 +117,7 @@
 /// crashed.
 #[test]
 fn a_single_controller_finishes_all_jobs_also_after_a_crash() {
-    let mut world = World::sized(12, Trouble::default(), Size { controllers: 1, machines: 6 });
+    let mut world = World::with_size(12, Trouble::default(), ClusterSize { controllers: 1, machines: 6 });
     world.run(Micros::from_secs(5));
     for n in 0..4 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
@@ -126,7 +126,7 @@
     world.run(Micros::from_secs(30));
     world.crash(0);
     world.run(Micros::from_secs(200));
-    assert!(world.jobs.values().all(|j| j.told_final.is_some()), "{}", world.describe("j-000000"));
+    assert!(world.jobs.values().all(|j| j.known_final.is_some()), "{}", world.describe("j-000000"));
 }
 
 /// Guards against a task running twice because of outdated knowledge.
@@ -145,8 +145,8 @@
     let lapses = |w: &World| w.controllers.iter().flatten().map(|c| c.counters.lapses).sum::<u64>();
     assert_eq!(lapses(&world), 0);
     let busy = world.workers.iter().find(|(_, w)| !w.tasks.is_empty()).unwrap().0.clone();
-    world.workers.get_mut(&busy).unwrap().cut_until = Micros::from_secs(90);
-    world.befalls(Spell::StoreDown, Micros::from_secs(50));
+    world.workers.get_mut(&busy).unwrap().partitioned_until = Micros::from_secs(90);
+    world.begin_fault(TimedFault::StoreDown, Micros::from_secs(50));
     world.run(Micros::from_secs(50));
     assert_eq!(lapses(&world), 0, "a lease was taken for expired while the state service did not answer");
     world.run(Micros::from_secs(60));
--- a/src/coordination/simulation/idle.rs
+++ b/src/coordination/simulation/idle.rs
@@ -50,12 +50,14 @@
 impl World {
     /// Time at which the last fault was over.
     fn fault_free_since(&self) -> Micros {
-        let fault_free_from = self.calm_after.max(self.spells_over).max(self.cloud_down).max(self.all_away);
-        let fault_ends = self
-            .workers
-            .values()
-            .filter(|w| !w.dead)
-            .flat_map(|w| [w.cut_until, w.hung_until, w.deaf_until, w.mute_until]);
+        let fault_free_from = self
+            .fault_free_from
+            .max(self.faults_end)
+            .max(self.cloud_down_until)
+            .max(self.controllers_down_until);
+        let fault_ends = self.workers.values().filter(|w| !w.dead).flat_map(|w| {
+            [w.partitioned_until, w.hung_until, w.not_receiving_until, w.reports_blocked_until]
+        });
         fault_ends.fold(fault_free_from, Micros::max)
     }
 
@@ -69,13 +71,13 @@
         let usable = self.workers.iter().filter(|(_, w)| {
             !w.dead
                 && !w.faulty
-                && w.notice.is_none()
+                && w.preempted_at.is_none()
                 && w.token > 0
-                && self.now.since(w.renewed) <= max_report_age
+                && self.now.since(w.lease_renewed_at) <= max_report_age
         });
         usable
             .map(|(name, w)| {
-                let kind = self.types.iter().find(|t| t.name == w.kind);
+                let kind = self.machine_types.iter().find(|t| t.name == w.kind);
                 let supply = kind.map(MachineType::supply).unwrap_or_default();
                 let tasks = w.tasks.iter().filter(|(_, t)| t.state != TaskState::Ended);
                 (
@@ -90,7 +92,9 @@
     fn team_usage(&self) -> Vec<Resources> {
         let teams = &self.settings[0].params.teams;
         let mut usage = vec![Resources::default(); teams.len()];
-        for (id, _) in self.holding().flat_map(|w| &w.tasks).filter(|(_, t)| t.state != TaskState::Ended) {
+        for (id, _) in
+            self.workers_within_lease().flat_map(|w| &w.tasks).filter(|(_, t)| t.state != TaskState::Ended)
+        {
             let Some(spec) = self.jobs.get(&id.job).and_then(|j| j.spec.as_ref()) else { continue };
             if let Some(team) = teams.iter().position(|t| t.name == spec.team) {
                 usage[team] = usage[team].plus(spec.need());
@@ -118,16 +122,16 @@
 
     /// Number of tasks that have to be placed together for a job to proceed, and number of its placed tasks in each
     /// zone; `None` if it has no task to start.
-    fn tasks_to_place(&self, id: &str, wish: &Wish) -> Option<(u64, BTreeMap<&str, u64>)> {
+    fn tasks_to_place(&self, id: &str, wish: &UserJob) -> Option<(u64, BTreeMap<&str, u64>)> {
         let spec = wish.spec.as_ref()?;
-        let active = wish.told_accepted && wish.told_final.is_none() && !wish.refused;
+        let active = wish.known_accepted && wish.known_final.is_none() && !wish.rejected;
         // A broken job is retried ever more rarely, and a job that its user withdraws need not start any more.
-        if !active || wish.wants_withdrawal || self.mistaken.contains(id) {
+        if !active || wish.wants_withdrawal || self.broken_jobs.contains(id) {
             return None;
         }
         let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut placed_or_done = wish.tasks_done.clone();
-        for w in self.holding() {
+        let mut placed_or_done = wish.completed_tasks.clone();
+        for w in self.workers_within_lease() {
             for (task, _) in w.tasks.iter().filter(|(i, t)| i.job == id && t.state != TaskState::Ended) {
                 placed_or_done.insert(task.index);
                 *zones.entry(&w.zone).or_default() += 1;
@@ -173,17 +177,17 @@
     /// the machines in every sample is enough for one task (for a gang: for all missing tasks), and its team was under
     /// its limit in every sample.
     pub(super) fn check_neglect(&mut self) {
-        if self.now < self.idle.next_sample {
+        if self.now < self.neglect_monitor.next_sample {
             return;
         }
-        self.idle.next_sample = self.now + SAMPLE_INTERVAL;
+        self.neglect_monitor.next_sample = self.now + SAMPLE_INTERVAL;
         if self.now < self.fault_free_since() {
-            self.idle.samples.clear();
-            self.idle.waiting_since.clear();
+            self.neglect_monitor.samples.clear();
+            self.neglect_monitor.waiting_since.clear();
             return;
         }
-        if self.idle.samples.len() == SAMPLES {
-            self.idle.samples.pop_front();
+        if self.neglect_monitor.samples.len() == SAMPLES {
+            self.neglect_monitor.samples.pop_front();
         }
         let waits =
             self.jobs.iter().filter_map(|(id, wish)| Some((id.clone(), self.tasks_to_place(id, wish)?.0)));
@@ -199,21 +203,24 @@
             missing_tasks,
             gang_usage,
         };
-        self.idle.samples.push_back(sample);
+        self.neglect_monitor.samples.push_back(sample);
         let mut waiting_since = BTreeMap::new();
         let mut overdue = Vec::new();
         for (id, wish) in &self.jobs {
             let Some((count, placed)) = self.tasks_to_place(id, wish) else { continue };
-            let since = self.idle.waiting_since.get(id).copied().unwrap_or(self.now);
-            let since = if self.is_gang(id) { since } else { since.max(wish.begun) };
+            let since = self.neglect_monitor.waiting_since.get(id).copied().unwrap_or(self.now);
+            let since = if self.is_gang(id) { since } else { since.max(wish.last_task_start) };
             waiting_since.insert(id.clone(), since);
-            if self.now.since(since) >= MAX_WAIT && self.idle.samples.len() == SAMPLES {
+            if self.now.since(since) >= MAX_WAIT && self.neglect_monitor.samples.len() == SAMPLES {
                 overdue.push((id, wish, self.max_missing_tasks(id).max(count), placed, since));
             }
         }
         if !overdue.is_empty() {
-            let samples =
-                self.idle.samples.iter().map(|sample| (sample.free_capacity.clone(), sample.usage.clone()));
+            let samples = self
+                .neglect_monitor
+                .samples
+                .iter()
+                .map(|sample| (sample.free_capacity.clone(), sample.usage.clone()));
             let (free_capacity, usage) = min_free_and_max_usage(samples);
             for (id, wish, count, placed, since) in &overdue {
                 let Some(spec) = &wish.spec else { continue };
@@ -224,8 +231,8 @@
                 assert!(!fits, "neglected: {}", description());
             }
         }
-        self.met.waits += overdue.len() as u32;
-        self.idle.waiting_since = waiting_since;
+        self.coverage.neglect_checks += overdue.len() as u32;
+        self.neglect_monitor.waiting_since = waiting_since;
     }
 
     /// The largest number of a job's tasks that had to be placed in any sample.
@@ -235,15 +242,22 @@
     /// to be spread over two zones, and one zone had no machine until 249 s; in the sample at 250 s two of its tasks
     /// had been ordered there.
     fn max_missing_tasks(&self, id: &str) -> u64 {
-        self.idle.samples.iter().filter_map(|sample| sample.missing_tasks.get(id)).copied().max().unwrap_or(0)
+        self.neglect_monitor
+            .samples
+            .iter()
+            .filter_map(|sample| sample.missing_tasks.get(id))
+            .copied()
+            .max()
+            .unwrap_or(0)
     }
 
     /// Whether a whole gang has fitted in all samples, regardless of its tasks that were placed in some of them.
     fn whole_gang_fits(&self, id: &str, spec: &JobSpec) -> bool {
         let teams = &self.settings[0].params.teams;
         let Some(team) = teams.iter().position(|t| t.name == spec.team) else { return false };
-        let (free_capacity, usage) =
-            min_free_and_max_usage(self.idle.samples.iter().map(|sample| sample.without_job(id, team)));
+        let (free_capacity, usage) = min_free_and_max_usage(
+            self.neglect_monitor.samples.iter().map(|sample| sample.without_job(id, team)),
+        );
         let tasks = u64::from(spec.tasks);
         self.within_team_limit(spec, tasks, &usage)
             && self.fits_into(spec, tasks, &BTreeMap::new(), &free_capacity)
@@ -312,19 +326,19 @@
 fn count_long_waits(spec: JobSpec, before_sample: fn(&mut World, &str, u64)) -> u32 {
     let mut world = World::new(5, Trouble { judges_neglect: true, ..Default::default() });
     world.queue.clear();
-    world.calm_after = Micros::ZERO;
+    world.fault_free_from = Micros::ZERO;
     let name = world.add_machine("g8", "east", false);
     let id = spec.id.clone();
-    world.jobs.insert(id, Wish { spec: Some(spec), told_accepted: true, ..Default::default() });
+    world.jobs.insert(id, UserJob { spec: Some(spec), known_accepted: true, ..Default::default() });
     for sample in 0..24 {
         world.now = Micros::from_secs(30 + 5 * sample);
         let now = world.now;
         let w = world.workers.get_mut(&name).unwrap();
-        (w.renewed, w.token) = (now, 1);
+        (w.lease_renewed_at, w.token) = (now, 1);
         before_sample(&mut world, &name, sample);
         world.check_neglect();
     }
-    world.met.waits
+    world.coverage.neglect_checks
 }
 
 /// A job whose tasks need four processors each and fit on any on-demand machine.
@@ -364,7 +378,17 @@
         w.tasks.remove(&task);
         if placed {
             let state = TaskState::Waiting;
-            w.tasks.insert(task, Running { attempt: 1, state, cause, until, ordered, arrived: ordered });
+            w.tasks.insert(
+                task,
+                WorkerTask {
+                    attempt: 1,
+                    state,
+                    cause,
+                    state_until: until,
+                    ordered_at: ordered,
+                    arrived_at: ordered,
+                },
+            );
         }
     }
 }
@@ -392,7 +416,7 @@
         if sample >= 20 {
             let now = world.now;
             let (name, w) = world.workers.iter_mut().find(|(_, w)| w.kind == "c16").unwrap();
-            (w.renewed, w.token) = (now, 1);
+            (w.lease_renewed_at, w.token) = (now, 1);
             let name = name.clone();
             set_placed(world, &name, "j-000001", 0..2, true);
         }
@@ -419,13 +443,13 @@
     let task_starts = |world: &mut World, _: &str, sample| {
         if sample % 10 == 9 {
             let now = world.now;
-            world.jobs.values_mut().for_each(|w| w.begun = now);
+            world.jobs.values_mut().for_each(|w| w.last_task_start = now);
         }
     };
     assert_eq!(count_long_waits(array.clone(), task_starts), 0, "a task starts now and then");
     let fault_until_sample = |world: &mut World, _: &str, sample| {
         if sample == 8 {
-            world.spells_over = world.now + Micros(1);
+            world.faults_end = world.now + Micros(1);
         }
     };
     assert_eq!(count_long_waits(array, fault_until_sample), 0, "a fault was active too recently");
@@ -434,13 +458,20 @@
         if sample == 10 {
             let other = world.add_machine("c16", "west", false);
             let job = JobSpec { id: "j-000002".into(), cpus: 24.0, ..waiting_job(Shape::Array, 1, "red") };
-            world.jobs.insert(job.id.clone(), Wish { spec: Some(job.clone()), ..Default::default() });
+            world.jobs.insert(job.id.clone(), UserJob { spec: Some(job.clone()), ..Default::default() });
             let state = TaskState::Running;
             let (cause, until, ordered) = (None, Micros::MAX, Micros::ZERO);
-            let task = Running { attempt: 1, state, cause, until, ordered, arrived: ordered };
+            let task = WorkerTask {
+                attempt: 1,
+                state,
+                cause,
+                state_until: until,
+                ordered_at: ordered,
+                arrived_at: ordered,
+            };
             let now = world.now;
             let w = world.workers.get_mut(&other).unwrap();
-            w.renewed = now;
+            w.lease_renewed_at = now;
             w.tasks.insert(TaskId::new(&job.id, 0), task);
         }
     };
--- a/src/coordination/simulation/mistakes.rs
+++ b/src/coordination/simulation/mistakes.rs
@@ -11,7 +11,8 @@
 #[test]
 fn broken_jobs_quarantine_no_healthy_machine_and_delay_no_other_job() {
     for seed in 0..6 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 26 });
+        let mut world =
+            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 26 });
         let machines: Vec<String> = (0..24)
             .map(|n| world.add_machine(if n < 18 { "c16" } else { "g8" }, ["east", "west"][n % 2], false))
             .collect();
@@ -27,7 +28,7 @@
             if n % 4 == 0 {
                 spec.shape = [Shape::Array, Shape::Gang, Shape::Array, Shape::Service][n as usize / 4 % 4];
                 spec.tasks = [20, 4, 1, 2][n as usize / 4 % 4];
-                world.mistaken.insert(spec.id.clone());
+                world.broken_jobs.insert(spec.id.clone());
                 broken.push(spec.id.clone());
             }
             world.submit(spec);
@@ -35,12 +36,14 @@
         }
         let n = world.rng.random_range(0..3);
         world.crash(n);
-        let before = world.started;
+        let before = world.tasks_started;
         let mut unfinished = true;
         while unfinished && world.now < Micros::from_secs(400) {
             world.run(world.now + Micros::from_millis(500));
-            unfinished =
-                world.jobs.iter().any(|(id, w)| !broken.contains(id) && w.told_final.is_none() && !w.refused);
+            unfinished = world
+                .jobs
+                .iter()
+                .any(|(id, w)| !broken.contains(id) && w.known_final.is_none() && !w.rejected);
             for c in world.controllers.iter().flatten() {
                 for (name, m) in c.machines.iter().filter(|(name, _)| machines.contains(name)) {
                     let wrongly_quarantined = m.quarantined && !faulty.contains(name);
@@ -53,15 +56,15 @@
         }
         for (id, wish) in world.jobs.iter().filter(|(id, _)| !broken.contains(id)) {
             assert!(
-                wish.refused || wish.told_final.is_some(),
+                wish.rejected || wish.known_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
                 world.describe(id)
             );
         }
         // During ten more minutes retries become rare, and afterwards users can still withdraw the broken jobs.
-        let (starts_before, from) = (world.started, world.now);
+        let (starts_before, from) = (world.tasks_started, world.now);
         world.run(from + Micros::from_secs(600));
-        let retries = world.started - starts_before;
+        let retries = world.tasks_started - starts_before;
         assert!(
             retries < 400,
             "seed {seed}: {retries} retries of four broken jobs in ten minutes, {before} before"
@@ -70,7 +73,7 @@
         world.run(world.now + Micros::from_secs(40));
         for id in &broken {
             assert!(
-                world.jobs[id].told_final.is_some(),
+                world.jobs[id].known_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
                 world.describe(id)
             );
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -46,7 +46,7 @@
 fn limit_left_over_by_the_volumes_goes_to_a_job_that_fits() {
     for seed in 3_000..3_003 {
         let mut world = roomy(seed, &TEAM_LIMITS);
-        world.runs_for = 8 * S..12 * S;
+        world.task_run_time = 8 * S..12 * S;
         let high = |owner, nth, shape, tasks| JobParams {
             owner,
             nth,
@@ -61,9 +61,9 @@
         submit_job(&mut world, "red", high(2, 0, Shape::Gang, 4));
         let low = JobParams { priority: Priority::Low, cpus: 3.0, ..high(1, 1, Shape::Array, 10) };
         let low = submit_job(&mut world, "red", low);
-        let begun = |w: &World| w.jobs[&low].begun > Micros::ZERO;
+        let begun = |w: &World| w.jobs[&low].last_task_start > Micros::ZERO;
         assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe(&low));
-        assert!(world.taken()[0].0 <= 24_000);
+        assert!(world.running_usage()[0].0 <= 24_000);
     }
 }
 
@@ -76,7 +76,7 @@
 fn a_gang_as_large_as_its_teams_limit_is_not_starved_by_small_jobs() {
     for seed in 3_010..3_013 {
         let mut world = roomy(seed, &TEAM_LIMITS);
-        world.runs_for = 8 * S..12 * S;
+        world.task_run_time = 8 * S..12 * S;
         let low = |owner, nth| JobParams {
             owner,
             nth,
@@ -137,10 +137,10 @@
 }
 
 /// Delays the writes that record completed tasks.
-fn delay_progress_writes(t: &Transaction) -> Option<Fate> {
+fn delay_progress_writes(t: &Transaction) -> Option<CommitFault> {
     let records_progress =
         |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::COMPLETIONS_PREFIX));
-    t.writes.iter().any(records_progress).then_some(Fate::Late(Micros::from_secs(12)))
+    t.writes.iter().any(records_progress).then_some(CommitFault::Delayed(Micros::from_secs(12)))
 }
 
 /// Guards against counting ended tasks against their team's limit until their completion is recorded.
@@ -151,7 +151,7 @@
 #[test]
 fn ended_tasks_with_unrecorded_completions_do_not_count_against_the_limit() {
     let mut world = roomy(3_030, &TEAM_LIMITS);
-    world.runs_for = 3 * S..5 * S;
+    world.task_run_time = 3 * S..5 * S;
     let job = |owner| JobParams {
         owner,
         nth: 0,
@@ -164,11 +164,11 @@
     submit_job(&mut world, "red", job(1));
     submit_job(&mut world, "red", job(2));
     go(&mut world, Micros::from_secs(20));
-    world.fate_of = Some(delay_progress_writes);
+    world.commit_fault = Some(delay_progress_writes);
     let (mut used, samples) = (0, 300);
     for _ in 0..samples {
         go(&mut world, Micros::from_millis(200));
-        used += world.taken()[0].0;
+        used += world.running_usage()[0].0;
     }
     let used_fraction = used as f64 / samples as f64 / 24_000.0;
     assert!(used_fraction > 0.6, "only {used_fraction:.2} of the limit was in use");
@@ -182,12 +182,13 @@
 #[test]
 fn a_plain_job_takes_an_idle_accelerator_machine_where_there_is_no_other() {
     for seed in 3_040..3_043 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 3 });
+        let mut world =
+            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 3 });
         world.tuning.idle_return_s = 900.0;
         for _ in 0..3 {
             world.add_machine("g8", "east", false);
         }
-        world.capacity = 0;
+        world.cloud_capacity = 0;
         world.run(Micros::from_secs(12));
         let accelerated = JobParams {
             owner: 1,
@@ -211,7 +212,7 @@
             gpus: 0.0,
         };
         let plain = submit_job(&mut world, "green", plain);
-        let begun = |w: &World| w.jobs[&plain].begun > Micros::ZERO;
+        let begun = |w: &World| w.jobs[&plain].last_task_start > Micros::ZERO;
         assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe(&plain));
     }
 }
@@ -272,7 +273,7 @@
         cpus,
         gpus: 0.0,
     };
-    world.runs_for = 500 * S..600 * S;
+    world.task_run_time = 500 * S..600 * S;
     submit_job(&mut world, "green", job(200, Shape::Array, 200, 8.0));
     for nth in 0..100 {
         submit_job(&mut world, "red", job(nth, Shape::Array, 1, 1.0));
@@ -309,7 +310,7 @@
 fn at_a_full_team_limit_an_overdue_job_gets_the_next_free_slot() {
     for seed in 3_060..3_063 {
         let mut world = roomy(seed, &TEAM_LIMITS);
-        world.runs_for = 55 * S..65 * S;
+        world.task_run_time = 55 * S..65 * S;
         let array = |owner, nth| JobParams {
             owner,
             nth,
@@ -323,11 +324,11 @@
         go(&mut world, Micros::from_secs(8));
         let others: Vec<String> =
             (1..9).map(|nth| submit_job(&mut world, "red", array(nth % 3, nth))).collect();
-        let all_begun = |w: &World| others.iter().all(|id| w.jobs[id].begun > Micros::ZERO);
+        let all_begun = |w: &World| others.iter().all(|id| w.jobs[id].last_task_start > Micros::ZERO);
         let in_time = until(&mut world, MAX_WAIT, all_begun);
-        let begun = others.iter().filter(|id| world.jobs[*id].begun > Micros::ZERO).count();
+        let begun = others.iter().filter(|id| world.jobs[*id].last_task_start > Micros::ZERO).count();
         assert!(in_time, "seed {seed}: {begun} of 8 begun; {}", world.describe(&first));
-        assert!(world.taken()[0].0 <= 24_000);
+        assert!(world.running_usage()[0].0 <= 24_000);
     }
 }
 
@@ -339,7 +340,8 @@
 #[test]
 fn idle_machines_of_a_gang_are_not_returned_while_the_others_boot() {
     for seed in 3_070..3_073 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 60 });
+        let mut world =
+            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 60 });
         world.run(Micros::from_secs(12));
         let gang = JobParams {
             owner: 1,
--- a/src/coordination/simulation/outages.rs
+++ b/src/coordination/simulation/outages.rs
@@ -24,9 +24,9 @@
         (world.store_calls - before) as f64 / seconds as f64
     };
     let usual_rate = rate(&mut world, 5);
-    let over = |world: &World| world.jobs.values().filter(|w| w.told_final.is_some()).count();
+    let over = |world: &World| world.jobs.values().filter(|w| w.known_final.is_some()).count();
     let before = over(&world);
-    world.befalls(Spell::StoreDown, world.now + Micros::from_secs(25));
+    world.begin_fault(TimedFault::StoreDown, world.now + Micros::from_secs(25));
     world.run(world.now + Micros::from_secs(10));
     let rate_during_outage = rate(&mut world, 15);
     assert!(
@@ -39,7 +39,7 @@
     assert!(before < 40, "all jobs had ended before the outage");
     world.run(world.now + Micros::from_secs(200));
     for (id, wish) in &world.jobs {
-        assert!(wish.told_final.is_some(), "{id} is not over\n{}", world.describe(id));
+        assert!(wish.known_final.is_some(), "{id} is not over\n{}", world.describe(id));
     }
 }
 
@@ -52,7 +52,7 @@
         let w = &mut s.params.workers;
         (w.report_s, w.lease_s, w.cancel_s) = (report_s, lease_s, cancel_s);
     }
-    world.runs_for = 200 * S..300 * S;
+    world.task_run_time = 200 * S..300 * S;
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
     }
@@ -62,10 +62,10 @@
         world.submit(spec);
     }
     world.run(Micros::from_secs(30));
-    assert!(world.started > 50, "seed {seed}: only {} tasks run", world.started);
-    world.befalls(Spell::StoreDown, world.now + Micros::from_secs(seconds));
+    assert!(world.tasks_started > 50, "seed {seed}: only {} tasks run", world.tasks_started);
+    world.begin_fault(TimedFault::StoreDown, world.now + Micros::from_secs(seconds));
     world.run(world.now + Micros::from_secs(seconds + 30));
-    world.met.lost_by_lease
+    world.coverage.tasks_lost_to_lease_expiry
 }
 
 /// Report interval, worker lease and cancel deadline of the deployments: test rig, maapoue-cores, selatferi-hq,
@@ -115,19 +115,19 @@
         for round in 0..4u64 {
             let n = (seed + round) as usize % 3;
             let length = [4, 9, 17, 37][round as usize];
-            world.befalls(Spell::StandsStill(n), world.now + Micros::from_secs(length));
+            world.begin_fault(TimedFault::ControllerPaused(n), world.now + Micros::from_secs(length));
             if round % 2 == 1 {
                 world.crash((n + 1) % 3);
             }
             world.run(world.now + Micros::from_secs(length + 8));
         }
-        world.trouble = Trouble::default();
+        world.fault_profile = Trouble::default();
         for wish in world.jobs.values_mut() {
             wish.wants_withdrawal |= wish.spec.as_ref().is_some_and(|s| s.shape == Shape::Service);
         }
         world.run(world.now + Micros::from_secs(400));
         for (id, wish) in &world.jobs {
-            let over = wish.refused || wish.told_final.is_some();
+            let over = wish.rejected || wish.known_final.is_some();
             assert!(over, "seed {seed}: {id} is not over\n{}", world.describe(id));
         }
     }
--- a/src/coordination/simulation/quota_guard.rs
+++ b/src/coordination/simulation/quota_guard.rs
@@ -83,9 +83,9 @@
 }
 
 /// Delays the leader's writes of the quota record.
-fn delay_quota_writes(t: &Transaction) -> Option<Fate> {
+fn delay_quota_writes(t: &Transaction) -> Option<CommitFault> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::QUOTA_KEY));
-    written.then_some(Fate::Late(Micros::from_secs(60)))
+    written.then_some(CommitFault::Delayed(Micros::from_secs(60)))
 }
 
 /// Guards production deployments: after a breach the team starts no more tasks while other teams do, and the team's
@@ -96,7 +96,7 @@
     world.controllers.iter_mut().flatten().for_each(|c| c.quota_guard.tolerate_breaches = true);
     // Without the delay the leader would correct the record at once.
     let leader = world.leader().unwrap();
-    world.fate_of = Some(delay_quota_writes);
+    world.commit_fault = Some(delay_quota_writes);
     let valid_record = quota_record_in_store(&world);
     set_each_share(&mut world, 30_000);
     go(&mut world, Micros::from_millis(1_500));
@@ -120,9 +120,9 @@
 }
 
 /// Delays the records of uninformed controllers, whose confirmations the others no longer wait for.
-fn delay_uninformed_records(t: &Transaction) -> Option<Fate> {
+fn delay_uninformed_records(t: &Transaction) -> Option<CommitFault> {
     let key = |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::UNINFORMED_PREFIX));
-    t.writes.iter().any(key).then_some(Fate::Late(Micros::from_secs(30)))
+    t.writes.iter().any(key).then_some(CommitFault::Delayed(Micros::from_secs(30)))
 }
 
 /// Guards a team's limit against starts that were planned under a share of a former view: they have not been sent when
@@ -135,10 +135,10 @@
         let (planner, leader) = (1, world.leader().unwrap());
         assert_ne!(planner, leader, "seed {seed}");
         let restarted = 2 - leader;
-        world.passed_over = Some(planner);
+        world.excluded_controller = Some(planner);
         // Another controller does not receive its announcements of starts, and it cannot record that one as uninformed.
-        world.fate_of = Some(delay_uninformed_records);
-        world.befalls(Spell::Apart(planner, restarted), world.now + Micros::from_secs(14));
+        world.commit_fault = Some(delay_uninformed_records);
+        world.begin_fault(TimedFault::Partitioned(planner, restarted), world.now + Micros::from_secs(14));
         let unsent_starts = |w: &World| -> Vec<TaskId> {
             let machines = w.controllers[planner].as_ref().unwrap().machines.values();
             let tasks = machines.flat_map(|m| &m.tasks).filter(|(_, t)| t.pending.is_some());
--- a/src/coordination/simulation/returns.rs
+++ b/src/coordination/simulation/returns.rs
@@ -38,7 +38,7 @@
         let all = (0..3).map(|n| (n, busy_machines(world.controllers[n].as_ref().unwrap())));
         let (n, machines) = all.max_by_key(|(_, held)| held.len()).unwrap();
         for name in machines.iter().take(2) {
-            world.workers.get_mut(name).unwrap().cut_until = Micros::MAX;
+            world.workers.get_mut(name).unwrap().partitioned_until = Micros::MAX;
         }
         world.crash_for(n, Micros::from_millis(300));
         let since = world.now;
@@ -52,7 +52,7 @@
             "seed {seed}: still waits for {:?} 1 s after the restart",
             c.unresolved_machines
         );
-        world.all_over(600, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(600, &format!("seed {seed}"));
     }
 }
 
@@ -71,7 +71,7 @@
             lead.is_some_and(|lead| lead.grant_in_flight)
         }),
         ("within a second", |w, n| {
-            w.controllers[n].is_some() && w.booted[n] + Micros::from_millis(400) < w.now
+            w.controllers[n].is_some() && w.started_at[n] + Micros::from_millis(400) < w.now
         }),
     ];
     let trouble =
@@ -82,7 +82,7 @@
             let mut world = busy_cluster(40 + seed + 10 * i as u64, trouble, 300);
             for round in 0..6usize {
                 if round == 3 {
-                    world.befalls(Spell::StoreDown, world.now + Micros::from_secs(3));
+                    world.begin_fault(TimedFault::StoreDown, world.now + Micros::from_secs(3));
                 }
                 let leader = (0..3).find(|n| world.controllers[*n].as_ref().is_some_and(Controller::leading));
                 let n = leader.filter(|_| round % 2 == 0).unwrap_or(round % 3);
@@ -102,7 +102,7 @@
                 }
                 world.run(world.now + Micros::from_millis(1_500));
             }
-            world.all_over(600, &format!("seed {seed}"));
+            world.expect_all_jobs_to_end(600, &format!("seed {seed}"));
         }
         assert!(crashes >= 6, "{name}: the step was reached only {crashes} times");
     }
@@ -115,16 +115,16 @@
     let trouble = Trouble { machine_dies: 0.03, machine_cut: 0.05, ..Default::default() };
     for seed in 0..4 {
         let mut world = busy_cluster(80 + seed, trouble, 600);
-        let before = world.started;
+        let before = world.tasks_started;
         for n in 0..40 {
             let back = Micros(world.rng.random_range(50 * MS..700 * MS));
             world.crash_for(n % 3, back);
             let pause = Micros(world.rng.random_range(500 * MS..2_500 * MS));
             world.run(world.now + pause);
         }
-        let started = world.started - before;
+        let started = world.tasks_started - before;
         assert!(started > 200, "seed {seed}: {started} starts while controllers crashed repeatedly");
-        world.all_over(600, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(600, &format!("seed {seed}"));
     }
 }
 
@@ -149,7 +149,7 @@
                 c.unresolved_machines
             );
         }
-        world.all_over(600, &format!("seed {seed}"));
+        world.expect_all_jobs_to_end(600, &format!("seed {seed}"));
     }
 }
 
--- a/src/coordination/simulation/services.rs
+++ b/src/coordination/simulation/services.rs
@@ -49,7 +49,7 @@
     standing: usize,
     guaranteed: f64,
 ) -> World {
-    let mut world = World::sized(seed, trouble, Size { controllers: 3, machines });
+    let mut world = World::with_size(seed, trouble, ClusterSize { controllers: 3, machines });
     require_fast_starts(&mut world, guaranteed);
     for n in 0..standing {
         world.add_machine("g8", ["east", "west"][n % 2], false);
@@ -86,7 +86,7 @@
             let next = world.now + Micros::from_secs(4);
             world.run(next);
         }
-        world.calm_after = world.now;
+        world.fault_free_from = world.now;
         world.jobs.get_mut("j-000003").unwrap().wants_withdrawal = true;
         let end = world.now + Micros::from_secs(120);
         world.run(end);
@@ -96,7 +96,7 @@
             assert_eq!(running_replicas(&world, &id), tasks, "seed {seed}: {id}\n{}", world.describe(&id));
         }
         assert_eq!(running_replicas(&world, "j-000003"), 0, "seed {seed}: a withdrawn service still runs");
-        assert!(world.jobs["j-000003"].told_final.is_some());
+        assert!(world.jobs["j-000003"].known_final.is_some());
     }
 }
 
@@ -141,13 +141,13 @@
     };
     let failed = used(&world)[0].clone();
     // The machine fails, but the cloud still lists it as running.
-    world.workers.get_mut(&failed).unwrap().cut_until = Micros::MAX;
+    world.workers.get_mut(&failed).unwrap().partitioned_until = Micros::MAX;
     world.run(Micros::from_secs(54));
     assert!(!world.workers.contains_key(&failed), "the dead machine was not returned");
     assert_eq!(all(&world), 64, "not replaced 14 s after its machine died: {}", world.describe("j-000000"));
     let before: Vec<String> = used(&world);
     for w in world.workers.values_mut().filter(|w| w.zone == "east") {
-        w.cut_until = Micros::from_secs(64);
+        w.partitioned_until = Micros::from_secs(64);
     }
     world.run(Micros::from_secs(80));
     let returned: Vec<&String> = before.iter().filter(|name| !world.workers.contains_key(*name)).collect();
--- a/src/coordination/simulation/takeovers.rs
+++ b/src/coordination/simulation/takeovers.rs
@@ -33,12 +33,12 @@
 /// of starts.
 fn crash_with_unannounced_starts(seed: u64, skip_confirmations: bool) -> World {
     let mut world = World::new(seed, Trouble::default());
-    world.careless = skip_confirmations;
+    world.skip_confirmations = skip_confirmations;
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
     }
     world.run(Micros::from_secs(12));
-    world.befalls(Spell::Apart(0, 1), Micros::MAX);
+    world.begin_fault(TimedFault::Partitioned(0, 1), Micros::MAX);
     let ids: Vec<u32> = job_numbers_passing_to_second_member(["n-0", "n-1", "n-2"]).take(3).collect();
     for n in &ids {
         let spec = array(&mut world, *n, 30);
@@ -51,10 +51,10 @@
     assert!(begun(&world) > 10, "seed {seed}: the first controller has started {}", begun(&world));
     // Two machines still report to the other controllers, so that the crash is noticed before any lease has expired.
     for name in held.iter().skip(2) {
-        world.workers.get_mut(name).unwrap().cut_until = Micros::MAX;
+        world.workers.get_mut(name).unwrap().partitioned_until = Micros::MAX;
     }
     world.controllers[0] = None;
-    world.lives[0] += 1;
+    world.incarnations[0] += 1;
     world.run(Micros::from_secs(52));
     world
 }
@@ -99,7 +99,7 @@
         let c = world.controllers[n].as_ref().unwrap();
         let held: Vec<String> = c.machines.iter().filter(|m| c.owns(m.1)).map(|m| m.0.clone()).collect();
         for name in held.iter().skip(2).take(2) {
-            world.workers.get_mut(name).unwrap().cut_until = Micros::MAX;
+            world.workers.get_mut(name).unwrap().partitioned_until = Micros::MAX;
         }
         world.crash(n);
         let rejoined = |w: &World| w.controllers[n].as_ref().is_some_and(|c| c.is_view_member);
@@ -113,7 +113,7 @@
         without_wait += usize::from(!c.takeover_in_progress && unresolved > 0);
         world.run(world.now + Micros::from_secs(500));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
         }
     }
     assert!(without_wait > 0, "in no run a takeover completed without waiting");
@@ -143,7 +143,7 @@
         let (n, held) = all.max_by_key(|(_, held)| held.len()).unwrap();
         world.workers.get_mut(&held[0]).unwrap().dead = true;
         world.controllers[n] = None;
-        world.lives[n] += 1;
+        world.incarnations[n] += 1;
         let has_new_view = |w: &World| w.controllers.iter().flatten().all(|c| c.view.members.len() == 2);
         while !has_new_view(&world) {
             world.run(world.now + Micros::from_millis(50));
@@ -163,7 +163,7 @@
         without_wait += fully_known;
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
         }
     }
     assert!(without_wait > 0, "in no run a takeover completed without waiting");
--- a/src/coordination/simulation/withdrawals.rs
+++ b/src/coordination/simulation/withdrawals.rs
@@ -11,9 +11,10 @@
     let job = JobSpec { zone: None, spot: true, team: "green".into(), ..job };
     let (id, confirmed_at) = (TaskId::new(&job.id, 0), Micros::from_secs(100));
     world.now = confirmed_at + confirmed_ago;
-    let wish = Wish { spec: Some(job), told_accepted: true, wants_withdrawal: true, ..Default::default() };
+    let wish =
+        UserJob { spec: Some(job), known_accepted: true, wants_withdrawal: true, ..Default::default() };
     world.jobs.insert(id.job.clone(), wish);
-    let asking = Asking { job: id.job.clone(), withdraw: true, sent: confirmed_at };
+    let asking = AnsweredRequest { job: id.job.clone(), withdraw: true, sent_at: confirmed_at };
     let answer = Answer::Job {
         created: false,
         id: id.job.clone(),
@@ -22,18 +23,18 @@
         running: 0,
     };
     let now = std::mem::replace(&mut world.now, confirmed_at + Micros(2 * MS));
-    world.user_answered(asking, answer, 0, confirmed_at);
+    world.handle_user_answer(asking, answer, 0, confirmed_at);
     world.now = now;
-    let running = Running {
+    let running = WorkerTask {
         attempt: 1,
         state: TaskState::Running,
         cause: None,
-        until: Micros::MAX,
-        ordered: confirmed_at + ordered_after,
-        arrived: confirmed_at + ordered_after,
+        state_until: Micros::MAX,
+        ordered_at: confirmed_at + ordered_after,
+        arrived_at: confirmed_at + ordered_after,
     };
     let w = world.workers.get_mut(&name).unwrap();
-    (w.renewed, w.hung_until) = (now, now);
+    (w.lease_renewed_at, w.hung_until) = (now, now);
     w.tasks.insert(id.clone(), running);
     (world, name, id)
 }
@@ -43,16 +44,16 @@
 #[should_panic(expected = "ran_cancelled: TaskId")]
 fn a_start_ordered_after_a_confirmed_withdrawal_is_reported() {
     let (mut world, name, id) = withdrawn_job_with_running_task(Micros::from_secs(1), Micros(1));
-    world.has_begun(&name, &id);
+    world.check_task_start(&name, &id);
 }
 
 /// An order that was in transit when the withdrawal was confirmed may still start its task.
 #[test]
 fn a_start_in_flight_at_a_confirmed_withdrawal_is_not_reported() {
     let (mut world, name, id) = withdrawn_job_with_running_task(Micros::from_secs(1), Micros::ZERO);
-    world.has_begun(&name, &id);
-    world.check();
-    assert_eq!(world.met.in_flight, 1);
+    world.check_task_start(&name, &id);
+    world.check_rules();
+    assert_eq!(world.coverage.starts_in_flight_at_confirmation, 1);
 }
 
 /// Guards the check of withdrawn tasks: a task whose machine hung and resumed within its lease still runs.
@@ -60,14 +61,14 @@
 #[should_panic(expected = "still runs")]
 fn a_withdrawn_task_that_still_runs_after_its_machine_hung_is_reported() {
     let (mut world, ..) = withdrawn_job_with_running_task(Micros::from_secs(30), Micros::ZERO);
-    world.check();
+    world.check_rules();
 }
 
 /// A task whose start was in transit when the withdrawal was confirmed and reached the machine 2 s later.
 fn late_start_after_withdrawal(confirmed_ago: Micros) -> World {
     let (mut world, name, id) = withdrawn_job_with_running_task(confirmed_ago, Micros::ZERO);
     let task = world.workers.get_mut(&name).unwrap().tasks.get_mut(&id).unwrap();
-    task.arrived = task.ordered + Micros::from_secs(2);
+    task.arrived_at = task.ordered_at + Micros::from_secs(2);
     world
 }
 
@@ -80,7 +81,7 @@
 /// 14.84 s after the confirmation, with a `cancel_s` of 34 s.
 #[test]
 fn a_start_that_arrives_after_the_confirmation_may_run_until_the_stop_time_after_commit() {
-    late_start_after_withdrawal(Micros::from_secs(20)).check();
+    late_start_after_withdrawal(Micros::from_secs(20)).check_rules();
 }
 
 /// Guards the check of withdrawn tasks: a task whose start arrived after the confirmation still runs when the stop time
@@ -88,5 +89,5 @@
 #[test]
 #[should_panic(expected = "still runs")]
 fn a_start_that_arrives_after_the_confirmation_and_runs_beyond_the_stop_time_is_reported() {
-    late_start_after_withdrawal(Micros::from_secs(30)).check();
+    late_start_after_withdrawal(Micros::from_secs(30)).check_rules();
 }
