--- a/src/coordination/simulation.rs
+++ b/src/coordination/simulation.rs
@@ -59,7 +59,7 @@
 use network::Asked;
 use spells::{Fate, PATIENCE, Spell};
 use store::Store;
-use troubles::Trouble;
+use troubles::FaultProfile;
 use users::{Asking, Wish};
 use workers::{Running, Worker};
 
@@ -266,7 +266,7 @@
     capacity: usize,
     workers: BTreeMap<String, Worker>,
     jobs: BTreeMap<String, Wish>,
-    trouble: Trouble,
+    trouble: FaultProfile,
     started: u32,
     calm_after: Micros,
     /// How long tasks run, in microseconds; and whether a job's first task ends long before its others.
@@ -308,7 +308,7 @@
     controller_zones: Vec<&'static str>,
     /// Until then no controller is started.
     all_away: Micros,
-    /// When the leader ends next, under `Trouble::leaders`.
+    /// When the leader ends next, under `FaultProfile::leader_crashes`.
     next_end: Micros,
     /// Machines, their sessions, and the tasks and attempts that have begun in them.
     begun: BTreeSet<(String, u64, TaskId, u64)>,
@@ -322,11 +322,11 @@
 }
 
 impl World {
-    fn new(seed: u64, trouble: Trouble) -> World {
+    fn new(seed: u64, trouble: FaultProfile) -> World {
         World::sized(seed, trouble, Size { controllers: 3, machines: 14 })
     }
 
-    fn sized(seed: u64, trouble: Trouble, size: Size) -> World {
+    fn sized(seed: u64, trouble: FaultProfile, size: Size) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut base: Settings = toml::from_str(crate::settings::tests::SAMPLE).unwrap();
         base.params.teams[0].gpus_max = 4.0;
@@ -426,7 +426,7 @@
             judges_arrivals: true,
             idle: Idle::default(),
         };
-        world.bring(trouble);
+        world.set_fault_profile(trouble);
         for n in 0..size.controllers {
             world.at(Micros::from_millis(10 * n as u64), Happening::Start(n));
         }
@@ -497,7 +497,7 @@
             | Happening::Copy { node: n, .. }
                 if self.still_until(n) > self.now =>
             {
-                self.meets("stands_still");
+                self.meets("process_pause");
                 let until = self.still_until(n);
                 self.at(until, what);
             }
@@ -509,7 +509,7 @@
             Happening::Tick(n) => {
                 if self.controllers[n].is_some() {
                     if n == 0 || self.controllers[0].is_none() {
-                        self.make_trouble(0.1);
+                        self.inject_faults(0.1);
                     }
                     self.tell(n, Event::Tick);
                     if self.sequence.is_multiple_of(4) {
@@ -523,7 +523,7 @@
                 if let Event::Submit(_, spec) = &event
                     && self.jobs.get(&spec.id).is_some_and(|wish| wish.told_accepted)
                 {
-                    self.meets("repeats");
+                    self.meets("repeated_requests");
                 }
                 self.note_unasked(node, &event);
                 if self.lives[node] == life && !(users && self.zone_cut(self.controller_zones[node], "")) {
@@ -550,7 +550,7 @@
                     self.met.old_done += u32::from(t.cause == Some(Cause::Done));
                 }
                 self.next_request += 1;
-                self.meets("late_reports");
+                self.meets("duplicate_reports");
                 self.tell(node, Event::Report(self.next_request - 1, report));
             }
             Happening::LateCommit { node, sent, transaction } => self.late_commit(node, sent, transaction),
--- a/src/coordination/simulation/abuse.rs
+++ b/src/coordination/simulation/abuse.rs
@@ -6,7 +6,7 @@
 /// that nobody has started.
 #[test]
 fn reports_that_cannot_be_true_change_nothing() {
-    let mut world = World::new(5, Trouble::default());
+    let mut world = World::new(5, FaultProfile::default());
     for n in 0..6 {
         world.add_machine("c16", ["east", "west"][n % 2], false);
     }
--- a/src/coordination/simulation/asking.rs
+++ b/src/coordination/simulation/asking.rs
@@ -5,7 +5,7 @@
 /// How long, from an end of all controllers on, the longest time without an answered question is, in seconds, with
 /// this many jobs that are over, and how many requests the store has had for it.
 fn after_an_end_of_all(seed: u64, jobs: u32) -> (f64, u64) {
-    let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 24 });
+    let mut world = World::sized(seed, FaultProfile::default(), Size { controllers: 3, machines: 24 });
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
     }
--- a/src/coordination/simulation/at_limits.rs
+++ b/src/coordination/simulation/at_limits.rs
@@ -2,20 +2,20 @@
 //! and, beside them, controllers that stall between a decision and its sending.
 
 use super::meetings_limits::{ask_to_withdraw, go, running, with_more_than_limits_allow};
-use super::pairs::{both, pairs};
+use super::pairs::{combined_profile, fault_pairs};
 use super::*;
 
 /// The first run's seed.
-const FIRST: u64 = 2_000_000;
+const FIRST_SEED: u64 = 2_000_000;
 /// How often a second a controller stalls before sending.
-const STALLS: f64 = 0.02;
+const STALLS_PER_SECOND: f64 = 0.02;
 /// Seconds of calm in which all that is left gets done: three accelerators at a time do a team's.
-const LONG_ENOUGH_S: u64 = 1_500;
+const DRAIN_TIME_S: u64 = 1_500;
 /// Rounds of a run, each of up to four seconds.
 const ROUNDS: u32 = 40;
 
 /// A job of any shape for one of the teams, larger than what is left of its limits.
-fn job(world: &mut World, n: u32) -> JobSpec {
+fn job_beyond_limits(world: &mut World, n: u32) -> JobSpec {
     let team = ["blue", "green", "red"][n as usize % 3];
     let spec = world.random_job(n);
     let accelerators = f64::from(u32::from(world.rng.random_bool(0.4)));
@@ -28,8 +28,8 @@
 }
 
 /// A controller stalls before sending for up to as long as leases last, now and then.
-fn stall(world: &mut World, seconds: f64) {
-    if world.odds(STALLS * seconds) {
+fn maybe_stall(world: &mut World, seconds: f64) {
+    if world.odds(STALLS_PER_SECOND * seconds) {
         let node = world.rng.random_range(0..world.settings.len());
         let length = Micros(world.rng.random_range(200 * MS..25 * S));
         world.befalls(Spell::StallsBeforeSending(node), world.now + length);
@@ -37,15 +37,15 @@
 }
 
 /// Plays one run; it ends in calm, when all that was accepted and not withdrawn must be over.
-fn play(seed: u64, trouble: Trouble) -> World {
+fn run_seed(seed: u64, profile: FaultProfile) -> World {
     let (mut world, mut n) = with_more_than_limits_allow(seed);
     go(&mut world, Micros::from_secs(25));
-    world.bring(trouble);
+    world.set_fault_profile(profile);
     world.runs_for = 5 * S..40 * S;
     let mut endless = Vec::new();
     for _ in 0..ROUNDS {
         n += 1;
-        let spec = job(&mut world, n);
+        let spec = job_beyond_limits(&mut world, n);
         if spec.shape == Shape::Service {
             endless.push(spec.id.clone());
         }
@@ -57,33 +57,33 @@
             ask_to_withdraw(&mut world, by, &id);
         }
         let length = Micros(world.rng.random_range(500 * MS..4 * S));
-        stall(&mut world, length.as_secs_f64());
+        maybe_stall(&mut world, length.as_secs_f64());
         go(&mut world, length);
     }
     world.calm_after = world.now;
     world.runs_for = S..5 * S;
     endless.into_iter().for_each(|id| world.jobs.get_mut(&id).unwrap().wants_withdrawal = true);
     world.workers.values_mut().for_each(|w| w.faulty = false);
-    world.all_over(LONG_ENOUGH_S, &format!("seed {seed}"));
+    world.all_over(DRAIN_TIME_S, &format!("seed {seed}"));
     world
 }
 
 /// Plays so many runs from one on, each under the next pair of troubles.
-fn play_runs(from: u64, count: u64) {
-    let pairs = pairs();
+fn run_seeds(from: u64, count: u64) {
+    let pairs = fault_pairs();
     let run = |seed: u64| {
-        let (name, trouble) = both(pairs[(seed - FIRST) as usize % pairs.len()]);
-        (name, seed, trouble)
+        let (name, profile) = combined_profile(pairs[(seed - FIRST_SEED) as usize % pairs.len()]);
+        (name, seed, profile)
     };
-    super::troubles::play_each_by((from..from + count).map(run).collect(), |seed, trouble| {
-        drop(play(seed, trouble));
+    super::troubles::run_each_with((from..from + count).map(run).collect(), |seed, profile| {
+        drop(run_seed(seed, profile));
     });
 }
 
 /// Guards both limits of every team under any two troubles and stalls: `MARBLEWALK_SOAK` times as many runs.
 #[test]
 fn teams_at_both_limits_stay_within_them_under_any_two_troubles() {
-    play_runs(FIRST, 12 * super::troubles::soak());
+    run_seeds(FIRST_SEED, 12 * super::troubles::soak_factor());
 }
 
 /// Guards the check of all usage, which is left out where a member counts more than runs: under two troubles and stalls, with
@@ -93,9 +93,9 @@
 #[test]
 fn the_check_of_all_usage_is_made_in_a_good_part_of_the_rounds() {
     let (mut made, mut left_out) = (0, 0);
-    for seed in FIRST..FIRST + 4 {
-        let (_, trouble) = both(pairs()[(seed - FIRST) as usize]);
-        let world = play(seed, trouble);
+    for seed in FIRST_SEED..FIRST_SEED + 4 {
+        let (_, profile) = combined_profile(fault_pairs()[(seed - FIRST_SEED) as usize]);
+        let world = run_seed(seed, profile);
         for controller in world.controllers.iter().flatten() {
             let (compared, not) = controller.quota_guard.usage_checks();
             (made, left_out) = (made + compared, left_out + not);
@@ -110,5 +110,5 @@
 #[ignore = "plays the run that MARBLEWALK_SEED names"]
 fn replay_at_limits() {
     let seed = std::env::var("MARBLEWALK_SEED").unwrap().parse().unwrap();
-    play_runs(seed, 1);
+    run_seeds(seed, 1);
 }
--- a/src/coordination/simulation/contradictions.rs
+++ b/src/coordination/simulation/contradictions.rs
@@ -17,7 +17,7 @@
     let mut seen = 0;
     for seed in 700..710 {
         let (mut world, n, name, id) = starting(seed);
-        world.trouble.held_up = 0.0;
+        world.trouble.delayed_orders = 0.0;
         world.runs_for = 20 * S..30 * S;
         let until = world.now + Micros::from_secs(5);
         while !world.workers[&name].tasks.contains_key(&id) && world.now < until {
@@ -53,7 +53,7 @@
 fn a_plan_that_a_new_holder_still_repeats_is_no_contradiction() {
     let (mut questioned, mut lost) = (0, 0);
     for seed in 720..740 {
-        let mut world = super::meetings::full(seed, 12);
+        let mut world = super::meetings::saturated_cluster(seed, 12);
         let (n, name, id) = planned(&mut world);
         let to = other_than(&world, n);
         // The others know of the plan, and it has not been sent.
--- a/src/coordination/simulation/deafness.rs
+++ b/src/coordination/simulation/deafness.rs
@@ -9,7 +9,7 @@
 #[test]
 fn machines_that_do_not_hear_get_no_work_and_are_replaced_or_taken_back() {
     for seed in 0..4 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 16 });
+        let mut world = World::sized(seed, FaultProfile::default(), Size { controllers: 3, machines: 16 });
         let names: Vec<String> = (0..12).map(|_| world.add_machine("c16", "east", false)).collect();
         for n in 0..9 {
             let spec = array(&mut world, n, 250);
@@ -63,7 +63,7 @@
         world.calm_after = world.now;
         world.run(world.now + Micros::from_secs(400));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
 }
--- a/src/coordination/simulation/evictions.rs
+++ b/src/coordination/simulation/evictions.rs
@@ -10,7 +10,7 @@
 /// the others for ended, and evicted each other as fast as they came back.
 #[test]
 fn controllers_are_evicted_for_having_ended_but_not_for_being_refused() {
-    let mut world = World::new(10, Trouble::default());
+    let mut world = World::new(10, FaultProfile::default());
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
     }
@@ -35,7 +35,7 @@
 /// until every lease that could matter has run out.
 #[test]
 fn a_takeover_does_not_wait_long_for_machines_that_are_gone() {
-    let mut world = World::new(11, Trouble::default());
+    let mut world = World::new(11, FaultProfile::default());
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
     }
@@ -59,7 +59,7 @@
     assert!(
         world.controllers.iter().flatten().all(|c| !c.takeover_in_progress),
         "{}",
-        world.describe("j-000000")
+        world.describe_job("j-000000")
     );
 }
 
@@ -69,7 +69,7 @@
 fn a_controller_that_stands_still_is_replaced_before_its_lease_ends_and_accuses_nobody() {
     let mut soon = 0;
     for seed in 0..6 {
-        let mut world = World::new(30 + seed, Trouble::default());
+        let mut world = World::new(30 + seed, FaultProfile::default());
         for _ in 0..18 {
             world.add_machine("c16", "east", false);
         }
@@ -107,7 +107,7 @@
 /// took that for the job's being over, found no final state, and answered that there was no such job.
 #[test]
 fn an_evicted_controller_tells_no_user_that_a_job_is_unknown() {
-    let mut world = World::new(50, Trouble::default());
+    let mut world = World::new(50, FaultProfile::default());
     let job = JobSpec { shape: Shape::Array, ..world.random_job(1) };
     let id = job.id.clone();
     world.submit(JobSpec { tasks: 1_000, team: "green".into(), ..job });
--- a/src/coordination/simulation/fleets.rs
+++ b/src/coordination/simulation/fleets.rs
@@ -6,7 +6,7 @@
 /// were granted, the value became too long, and no grant could ever be written again.
 #[test]
 fn a_fleet_that_fills_its_values_is_granted_all_the_same() {
-    let mut world = World::sized(9, Trouble::default(), Size { controllers: 3, machines: 320 });
+    let mut world = World::sized(9, FaultProfile::default(), Size { controllers: 3, machines: 320 });
     for _ in 0..320 {
         world.add_machine("c16", "east", false);
     }
@@ -27,7 +27,7 @@
 /// again, and a job's tasks stopped as nobody's.
 #[test]
 fn records_that_are_not_understood_count_as_the_worst_they_may_be() {
-    let mut world = World::new(77, Trouble::default());
+    let mut world = World::new(77, FaultProfile::default());
     for n in 0..6 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
         world.submit(JobSpec { tasks: 60, team: "green".into(), ..job });
@@ -63,7 +63,7 @@
     write(&mut world, &Value::clone);
     pause(&mut world, 400);
     for (id, wish) in &world.jobs {
-        assert!(wish.told_final.is_some(), "{id} is not over\n{}", world.describe(id));
+        assert!(wish.told_final.is_some(), "{id} is not over\n{}", world.describe_job(id));
     }
 }
 
@@ -72,7 +72,7 @@
 /// and rules; here also that work per controller does not grow with the events.
 #[test]
 fn a_grown_cluster_keeps_the_rules_and_its_work_within_bounds() {
-    let trouble = Trouble { crash: 0.01, machine_dies: 0.05, machine_cut: 0.1, ..Default::default() };
+    let trouble = FaultProfile { crash: 0.01, machine_dies: 0.05, machine_cut: 0.1, ..Default::default() };
     let mut world = World::sized(20, trouble, Size { controllers: 7, machines: 400 });
     for n in 0..200 {
         world.add_machine("c16", ["east", "west"][n % 2], false);
@@ -97,7 +97,7 @@
     world.run(Micros::from_secs(260));
     for (id, wish) in &world.jobs {
         let told = format!("{id} is not over: {:?}", wish.spec);
-        assert!(wish.told_final.is_some(), "{told}\n{}", world.describe(id));
+        assert!(wish.told_final.is_some(), "{told}\n{}", world.describe_job(id));
     }
     for (n, c) in world.controllers.iter().enumerate() {
         let Some(c) = c else { continue };
@@ -110,7 +110,7 @@
 /// Guards the sharing of the store's limits where there is nobody to share them with.
 #[test]
 fn a_single_controller_does_all_the_work_also_after_it_has_ended() {
-    let mut world = World::sized(12, Trouble::default(), Size { controllers: 1, machines: 6 });
+    let mut world = World::sized(12, FaultProfile::default(), Size { controllers: 1, machines: 6 });
     world.run(Micros::from_secs(5));
     for n in 0..4 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
@@ -119,14 +119,14 @@
     world.run(Micros::from_secs(30));
     world.crash(0);
     world.run(Micros::from_secs(200));
-    assert!(world.jobs.values().all(|j| j.told_final.is_some()), "{}", world.describe("j-000000"));
+    assert!(world.jobs.values().all(|j| j.told_final.is_some()), "{}", world.describe_job("j-000000"));
 }
 
 /// Guards against a task run twice: in a state outage an owner took a machine for silent that had been
 /// granted to another just before, which the owner could not know, and started its tasks elsewhere.
 #[test]
 fn no_machine_is_taken_for_silent_on_old_knowledge() {
-    let mut world = World::new(13, Trouble::default());
+    let mut world = World::new(13, FaultProfile::default());
     for n in 0..4 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
         world.submit(JobSpec { tasks: 400, team: "green".into(), ..job });
--- a/src/coordination/simulation/idle.rs
+++ b/src/coordination/simulation/idle.rs
@@ -245,7 +245,7 @@
             "{id} waits since {since:?}, now {:?}: {spec:?}; its team took {most:?} at most; room all the while on \
              {free:?}; the team's jobs (owner, volume, placed, unfinished, need, why it has nothing running since): {volumes:?}\n{}",
             self.now,
-            self.describe(id)
+            self.describe_job(id)
         )
     }
 
@@ -278,7 +278,7 @@
 /// A calm world without controllers, one machine, and a job that waits beside it for two minutes; what else befalls
 /// is done before each look.
 fn left_waiting(spec: JobSpec, befalls: fn(&mut World, &str, u64)) -> u32 {
-    let mut world = World::new(5, Trouble { judges_neglect: true, ..Default::default() });
+    let mut world = World::new(5, FaultProfile { checks_neglect: true, ..Default::default() });
     world.queue.clear();
     world.calm_after = Micros::ZERO;
     let name = world.add_machine("g8", "east", false);
@@ -296,7 +296,7 @@
 }
 
 fn waiting(shape: Shape, tasks: u32, team: &str) -> JobSpec {
-    let mut world = World::new(6, Trouble::default());
+    let mut world = World::new(6, FaultProfile::default());
     let job = JobSpec {
         shape,
         tasks,
--- a/src/coordination/simulation/late_statuses.rs
+++ b/src/coordination/simulation/late_statuses.rs
@@ -3,7 +3,7 @@
 //! Two controllers' messages keep their order on one connection. A connection that was given up can deliver what it still
 //! held after the first messages of the next one.
 
-use super::meetings::full;
+use super::meetings::saturated_cluster;
 use super::start_orders::whole_status;
 use super::takeovers::array;
 use super::*;
@@ -46,7 +46,7 @@
 fn a_whole_status_that_is_late_takes_no_running_task_away() {
     let mut seen = 0;
     for (seed, late) in (560..568).zip([500, 1_000, 2_000, 4_000].into_iter().cycle()) {
-        let mut world = full(seed, 12);
+        let mut world = saturated_cluster(seed, 12);
         world.runs_for = 3 * S..9 * S;
         let (holder, receiver) = holder_and_receiver(&world);
         let earlier = whole_status(&mut world, holder, receiver);
@@ -98,7 +98,7 @@
 fn an_end_told_to_one_controller_is_not_settled_for_another() {
     let mut met = 0;
     for seed in 570..582 {
-        let mut world = full(seed, 0);
+        let mut world = saturated_cluster(seed, 0);
         world.runs_for = S..3 * S;
         for n in 0..40 {
             let spec = array(&mut world, n, 1);
--- a/src/coordination/simulation/limits.rs
+++ b/src/coordination/simulation/limits.rs
@@ -4,7 +4,7 @@
 
 /// Puts as many tasks of a job of the red team on a machine as take one accelerator more than its limit.
 fn too_many(befalls: fn(&mut World, &str)) -> World {
-    let mut world = World::new(3, Trouble::default());
+    let mut world = World::new(3, FaultProfile::default());
     let name = world.add_machine("g8", "east", false);
     let job = JobSpec { shape: Shape::Array, tasks: 5, cpus: 1.0, gpus: 1.0, ..world.random_job(4) };
     assert_eq!(job.team, "red");
@@ -72,18 +72,18 @@
 /// and jobs are withdrawn: each limit binds at some time.
 #[test]
 fn teams_at_their_limits_stay_within_them_whatever_happens() {
-    let trouble = Trouble {
+    let profile = FaultProfile {
         crash: 0.03,
         crash_all: 0.004,
         machine_hangs: 0.05,
         machine_cut: 0.05,
-        deaf: 0.03,
+        not_receiving: 0.03,
         withdrawn: 0.3,
         ..Default::default()
     };
     let mut peaks = vec![(0, 0); 3];
     for seed in 20_100..20_104 {
-        let mut world = World::sized(seed, trouble, Size { controllers: 3, machines: 24 });
+        let mut world = World::sized(seed, profile, Size { controllers: 3, machines: 24 });
         for n in 0..20 {
             world.add_machine(["c16", "g8"][n % 2], ["east", "west"][n % 4 / 2], false);
         }
--- a/src/coordination/simulation/looks.rs
+++ b/src/coordination/simulation/looks.rs
@@ -1,7 +1,7 @@
 //! Users who look everywhere: right after what they first hear they ask all controllers at once, repeat what they asked
 //! for, and call some jobs off; and they ask about jobs that nobody has submitted.
 
-use super::troubles::play;
+use super::troubles::run_random;
 use super::*;
 
 /// What a user asks of a controller.
@@ -19,7 +19,7 @@
             return;
         }
         self.met.looks += 1;
-        self.meets("looks");
+        self.meets("query_everywhere");
         let at_once = self.rng.random_bool(0.2);
         let repeats = self.rng.random_bool(0.5);
         let Some(wish) = self.jobs.get_mut(id) else { return };
@@ -76,7 +76,7 @@
 
 /// A world in which one job is accepted and over, as its user has heard.
 fn over(state: FinalState) -> (World, String) {
-    let mut world = World::new(1, Trouble::default());
+    let mut world = World::new(1, FaultProfile::default());
     let job = JobSpec { shape: Shape::Array, tasks: 1, gpus: 0.0, zone: None, ..world.random_job(1) };
     let id = job.id.clone();
     world.submit(JobSpec { team: "green".into(), ..job });
@@ -153,7 +153,7 @@
 fn users_who_look_everywhere_at_once_hear_nothing_older() {
     let mut met = Met::default();
     for seed in 0..4 {
-        let world = play(20_000 + seed, Trouble { looks: 0.7, ..Default::default() });
+        let world = run_random(20_000 + seed, FaultProfile { query_everywhere: 0.7, ..Default::default() });
         met.looks += world.met.looks;
         met.unknown_denied += world.met.unknown_denied;
         met.repeated_finals += world.met.repeated_finals;
--- a/src/coordination/simulation/measure.rs
+++ b/src/coordination/simulation/measure.rs
@@ -28,7 +28,7 @@
 
 /// A loaded cluster in which a hundredth of the machines dies, and a second later controllers end.
 fn takeover(machines: usize, controllers: usize, ended: Ended) -> Cost {
-    let mut world = World::sized(9, Trouble::default(), Size { controllers, machines });
+    let mut world = World::sized(9, FaultProfile::default(), Size { controllers, machines });
     // Limits as a deployment of this size has them.
     for settings in &mut world.settings {
         settings.params.state.rps = 300.0;
--- a/src/coordination/simulation/meetings.rs
+++ b/src/coordination/simulation/meetings.rs
@@ -4,8 +4,8 @@
 use super::*;
 
 /// A cluster with standing machines, full of arrays that always have tasks left to start.
-pub(super) fn full(seed: u64, jobs: u32) -> World {
-    let mut world = World::new(seed, Trouble::default());
+pub(super) fn saturated_cluster(seed: u64, jobs: u32) -> World {
+    let mut world = World::new(seed, FaultProfile::default());
     for _ in 0..14 {
         world.add_machine("c16", "east", false);
     }
@@ -19,7 +19,7 @@
 }
 
 /// Withdraws the jobs that this controller owns by way of others; how many withdrawals they recorded, and confirmed.
-fn withdraw_elsewhere(world: &mut World, leader: usize, length: Micros) -> (usize, usize) {
+fn withdraw_via_others(world: &mut World, leader: usize, length: Micros) -> (usize, usize) {
     world.passed_over = Some(leader);
     let c = world.controllers[leader].as_ref().unwrap();
     for (id, wish) in &mut world.jobs {
@@ -40,7 +40,7 @@
 fn a_leader_that_the_store_refused_before_an_outage_acts_on_nothing_it_knew_then() {
     let mut longest = Micros::ZERO;
     for seed in 0..10 {
-        let mut world = full(seed, 12);
+        let mut world = saturated_cluster(seed, 12);
         let leader = world.leader().unwrap();
         let refused = Micros(world.rng.random_range(3 * S..13 * S));
         world.befalls(Spell::StoreRefuses(leader), world.now + refused);
@@ -49,7 +49,7 @@
             world.befalls(Spell::Apart(leader, (leader + 1) % 3), world.now + Micros::from_secs(80));
             world.befalls(Spell::Apart(leader, (leader + 2) % 3), world.now + Micros::from_secs(80));
         }
-        let (recorded, confirmed) = withdraw_elsewhere(&mut world, leader, Micros::from_millis(2_500));
+        let (recorded, confirmed) = withdraw_via_others(&mut world, leader, Micros::from_millis(2_500));
         assert!(recorded > 0, "seed {seed}: no withdrawal was recorded by another");
         // One that the leader cannot know of is confirmed when it is silent, and not before.
         assert_eq!(confirmed == 0, seed % 2 == 0, "seed {seed}: {confirmed} of {recorded} were confirmed");
@@ -76,12 +76,12 @@
 fn what_is_over_by_another_controllers_word_ends_at_once_also_when_the_first_word_is_lost() {
     let mut left = 0;
     for seed in 0..4 {
-        let mut world = full(seed, 12);
+        let mut world = saturated_cluster(seed, 12);
         let leader = world.leader().unwrap();
         let start = world.now;
         world.befalls(Spell::StoreRefuses(leader), start + Micros::from_secs(14));
         (0..3).for_each(|n| world.befalls(Spell::Apart(leader, n), start + Micros::from_secs(3)));
-        let (recorded, _) = withdraw_elsewhere(&mut world, leader, Micros::from_millis(2_500));
+        let (recorded, _) = withdraw_via_others(&mut world, leader, Micros::from_millis(2_500));
         assert!(recorded > 0, "seed {seed}: no withdrawal was recorded by another");
         world.passed_over = Some(leader);
         let over: BTreeSet<String> = world.store.withdrawn.keys().cloned().collect();
@@ -101,7 +101,7 @@
 /// its records stood in them for ever, and its tasks were started.
 #[test]
 fn what_is_read_behind_ones_own_end_is_not_taken_into_the_next_life() {
-    let mut world = full(3, 2);
+    let mut world = saturated_cluster(3, 2);
     let (node, life) = (1, world.lives[1]);
     let me = world.settings[node].member.clone();
     let c = world.controllers[node].as_ref().unwrap();
@@ -129,7 +129,7 @@
 fn a_gap_in_any_of_its_forms_leaves_nothing_of_a_withdrawn_job() {
     for form in 0..4 {
         for seed in 20..24 {
-            let mut world = full(seed, 12);
+            let mut world = saturated_cluster(seed, 12);
             let leader = world.leader().unwrap();
             let other = (leader + 1) % 3;
             let start = world.now;
@@ -142,7 +142,7 @@
                 }
                 _ => {}
             }
-            let (_, confirmed) = withdraw_elsewhere(&mut world, leader, Micros::from_secs(3));
+            let (_, confirmed) = withdraw_via_others(&mut world, leader, Micros::from_secs(3));
             assert!(confirmed > 0, "form {form}, seed {seed}: nothing was confirmed by another");
             let (down, length) = (world.now, Micros::from_secs(30));
             world.befalls(Spell::StoreDown, down + length);
@@ -164,7 +164,7 @@
 #[test]
 fn jobs_whose_tasks_end_far_apart_outlive_changes_of_leader() {
     for seed in 40..48 {
-        let mut world = World::new(seed, Trouble::default());
+        let mut world = World::new(seed, FaultProfile::default());
         (world.far_apart, world.runs_for) = (true, 20 * S..40 * S);
         for _ in 0..14 {
             world.add_machine("c16", ["east", "west"][seed as usize % 2], false);
@@ -200,8 +200,8 @@
 fn transactions_carried_out_after_newer_ones_change_nothing() {
     let mut late = 0;
     for seed in 60..68 {
-        let trouble = Trouble { late_writes: 0.3, crash: 0.03, withdrawn: 0.4, ..Default::default() };
-        let world = super::troubles::play(seed, trouble);
+        let profile = FaultProfile { late_writes: 0.3, crash: 0.03, withdrawn: 0.4, ..Default::default() };
+        let world = super::troubles::run_random(seed, profile);
         late += world.met.late_commits;
         let open: Vec<_> =
             world.store.keys.keys().filter(|key| key.starts_with(records::RENTALS_PREFIX)).collect();
@@ -218,7 +218,7 @@
 #[test]
 fn controllers_that_hand_over_and_back_within_seconds_break_nothing() {
     for seed in 80..86 {
-        let mut world = full(seed, 9);
+        let mut world = saturated_cluster(seed, 9);
         for round in 0..5 {
             for wish in world.jobs.values_mut().skip(round).step_by(9) {
                 wish.wants_withdrawal = true;
@@ -247,7 +247,7 @@
 #[test]
 fn a_slow_store_makes_no_answer_older_than_what_was_said() {
     for seed in 100..108 {
-        let mut world = full(seed, 90);
+        let mut world = saturated_cluster(seed, 90);
         world.befalls(Spell::StoreSlow, world.now + Micros::from_secs(60));
         for round in 0..6 {
             for wish in world.jobs.values_mut().skip(round).step_by(6) {
@@ -265,7 +265,7 @@
 fn a_leader_alone_with_its_workers_holds_up_no_withdrawal() {
     let mut late = 0;
     for seed in 120..128 {
-        let mut world = full(seed, 12);
+        let mut world = saturated_cluster(seed, 12);
         let leader = world.leader().unwrap();
         let length = Micros::from_secs([8, 20, 45, 70][seed as usize % 4]);
         world.befalls(Spell::Isolated(leader), world.now + length);
@@ -273,7 +273,7 @@
             let from = world.now + Micros::from_secs(4);
             world.will_befall(from, Spell::StandsStill(leader), Micros::from_secs(9));
         }
-        let (recorded, confirmed) = withdraw_elsewhere(&mut world, leader, Micros::from_secs(4));
+        let (recorded, confirmed) = withdraw_via_others(&mut world, leader, Micros::from_secs(4));
         assert!(recorded > 0, "seed {seed}: nothing was withdrawn through another");
         assert_eq!(confirmed, 0, "seed {seed}: confirmed while the old leader may act and cannot know");
         world.passed_over = None;
@@ -290,8 +290,8 @@
 fn reports_of_earlier_sessions_prove_nothing_to_anybody() {
     let mut met = Met::default();
     for seed in 140..146 {
-        let trouble = Trouble {
-            copies: 0.5,
+        let profile = FaultProfile {
+            duplicate_reports: 0.5,
             reboots: 0.1,
             machine_cut: 0.03,
             crash: 0.03,
@@ -299,7 +299,7 @@
             withdrawn: 0.3,
             ..Default::default()
         };
-        let world = super::troubles::play(seed, trouble);
+        let world = super::troubles::run_random(seed, profile);
         met.late_copies += world.met.late_copies;
         met.earlier_sessions += world.met.earlier_sessions;
     }
@@ -312,7 +312,7 @@
 fn long_tasks_out_of_reach_outlive_their_leader_and_run_nowhere_else() {
     let mut out_of_reach = 0;
     for seed in 160..168 {
-        let mut world = full(seed, 6);
+        let mut world = saturated_cluster(seed, 6);
         world.runs_for = 60 * S..120 * S;
         world.run(world.now + Micros::from_secs(25));
         let leader = world.leader().unwrap();
@@ -343,9 +343,14 @@
 fn commands_held_up_for_seconds_do_nothing_that_is_no_longer_wanted() {
     let mut late = 0;
     for seed in 180..188 {
-        let trouble =
-            Trouble { held_up: 0.3, machine_hangs: 0.1, crash: 0.02, withdrawn: 0.5, ..Default::default() };
-        late += super::troubles::play(seed, trouble).met.late_orders;
+        let profile = FaultProfile {
+            delayed_orders: 0.3,
+            machine_hangs: 0.1,
+            crash: 0.02,
+            withdrawn: 0.5,
+            ..Default::default()
+        };
+        late += super::troubles::run_random(seed, profile).met.late_orders;
     }
     assert!(late > 10, "only {late} orders were carried out late");
 }
--- a/src/coordination/simulation/meetings_apart.rs
+++ b/src/coordination/simulation/meetings_apart.rs
@@ -16,7 +16,7 @@
 /// Starts are long on their way to workers' addresses. Meanwhile the workers report, and then their machines are given
 /// away, of which the former holder hears late.
 fn given_away_while_addressed(seed: u64) -> World {
-    let mut world = World::new(seed, Trouble::default());
+    let mut world = World::new(seed, FaultProfile::default());
     world.starts_take = 150 * MS..600 * MS;
     world.runs_for = 3 * S..10 * S;
     for _ in 0..14 {
--- a/src/coordination/simulation/meetings_handover.rs
+++ b/src/coordination/simulation/meetings_handover.rs
@@ -144,7 +144,11 @@
     let met = ids.iter().filter(in_time).count();
     go(&mut world, Micros::from_secs(40));
     for id in &ids {
-        assert!(world.jobs[id].told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+        assert!(
+            world.jobs[id].told_final.is_some(),
+            "seed {seed}: {id} is not over\n{}",
+            world.describe_job(id)
+        );
     }
     finish(&mut world, seed);
     (met, left)
@@ -201,7 +205,7 @@
             assert!(
                 world.jobs[id].told_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
-                world.describe(id)
+                world.describe_job(id)
             );
         }
         world.runs_for = S..3 * S;
--- a/src/coordination/simulation/meetings_jobs.rs
+++ b/src/coordination/simulation/meetings_jobs.rs
@@ -177,7 +177,7 @@
 #[test]
 fn one_task_jobs_four_a_second_leave_nothing_but_final_states() {
     for seed in 2_000..2_002 {
-        nothing_piles_up(World::new(seed, Trouble::default()), ONE_TASK, 16);
+        nothing_piles_up(World::new(seed, FaultProfile::default()), ONE_TASK, 16);
     }
 }
 
@@ -187,8 +187,8 @@
 #[test]
 fn small_jobs_leave_no_record_of_progress_and_no_word_on_machines_that_are_gone() {
     let of = Stream { size: 4, far_apart: true, minutes: 3, ..ONE_TASK };
-    nothing_piles_up(World::new(2_010, Trouble::default()), of, 16);
-    let mut world = World::sized(2_030, Trouble::default(), Size { controllers: 3, machines: 40 });
+    nothing_piles_up(World::new(2_010, FaultProfile::default()), of, 16);
+    let mut world = World::sized(2_030, FaultProfile::default(), Size { controllers: 3, machines: 40 });
     for s in &mut world.settings {
         (s.params.state.write_rps, s.params.state.rps) = (120.0, 600.0);
     }
@@ -207,16 +207,16 @@
 /// Guards the same while controllers end, machines die or are taken, and transactions come late.
 #[test]
 fn small_jobs_among_troubles_pile_nothing_up() {
-    let trouble = Trouble {
+    let profile = FaultProfile {
         crash: 0.03,
         machine_dies: 0.05,
-        spot_taken: 0.05,
+        spot_preempted: 0.05,
         late_writes: 0.05,
         ..Default::default()
     };
     for seed in 2_020..2_022 {
         let of = Stream { size: 2, minutes: 3, ..ONE_TASK };
-        let world = nothing_piles_up(World::new(seed, trouble), of, 100);
+        let world = nothing_piles_up(World::new(seed, profile), of, 100);
         let lost = world.next_machine as usize - world.workers.values().filter(|w| !w.dead).count();
         let (late, lives) = (world.met.late_commits, world.lives.iter().sum::<u64>());
         assert!(late > 10 && lives > 3 && lost > 10, "seed {seed}: {late} late, {lives} lives, {lost} lost");
@@ -226,7 +226,7 @@
 /// Small jobs of all shapes whose users ask, submit again and call off everywhere, most of all at the moment at which
 /// the last task ends; nothing else befalls them.
 fn called_off_at_the_end(seed: u64) -> World {
-    let mut world = World::new(seed, Trouble { repeats: 0.5, ..Default::default() });
+    let mut world = World::new(seed, FaultProfile { repeated_requests: 0.5, ..Default::default() });
     (world.looks, world.withdraw_at_end) = (0.6, 0.5);
     world.runs_for = S..6 * S;
     for n in 0..14 {
@@ -361,7 +361,7 @@
 
 /// A run in which every kind of transaction is made, while all that read what is written act on it.
 fn unanswered(seed: u64, kind: usize) -> World {
-    let mut world = World::new(seed, Trouble { repeats: 0.3, ..Default::default() });
+    let mut world = World::new(seed, FaultProfile { repeated_requests: 0.3, ..Default::default() });
     (world.fate_of, world.looks) = (Some(LOSES[kind]), 0.5);
     (world.far_apart, world.runs_for) = (true, 3 * S..12 * S);
     for n in 0..8 {
--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -78,7 +78,7 @@
 
 /// Machines that have room for more than all limits together, and are kept while they are idle.
 pub(super) fn roomy(seed: u64, teams: &[(&str, f64, f64)]) -> World {
-    let mut world = World::new(seed, Trouble::default());
+    let mut world = World::new(seed, FaultProfile::default());
     limit(&mut world, teams);
     (world.runs_for, world.tuning.idle_return_s) = (300 * S..400 * S, 900.0);
     for _ in 0..14 {
@@ -107,7 +107,7 @@
             return;
         }
     }
-    panic!("no new view in which nobody counts: {}", world.describe("j-000200"));
+    panic!("no new view in which nobody counts: {}", world.describe_job("j-000200"));
 }
 
 thread_local! {
@@ -274,7 +274,7 @@
 /// A cluster in which each team has just been given more work of both kinds than its limits let it have at once, and how
 /// many jobs these are.
 pub(super) fn with_more_than_limits_allow(seed: u64) -> (World, u32) {
-    let mut world = World::new(seed, Trouble::default());
+    let mut world = World::new(seed, FaultProfile::default());
     limit(&mut world, &TEAMS);
     world.runs_for = 25 * S..60 * S;
     for n in 0..16 {
--- a/src/coordination/simulation/meetings_looks.rs
+++ b/src/coordination/simulation/meetings_looks.rs
@@ -1,15 +1,15 @@
 //! Users who look everywhere, repeat and call off within milliseconds of what they hear, while something else goes wrong.
 
-use super::troubles::play;
+use super::troubles::run_random;
 use super::*;
 use crate::coordination::knowledge::Liveness;
 
 /// Plays runs in which users look everywhere, under further trouble; what they met together.
-fn looked(seeds: std::ops::Range<u64>, trouble: Trouble) -> Met {
+fn looked(seeds: std::ops::Range<u64>, profile: FaultProfile) -> Met {
     let mut met = Met::default();
-    let count = (seeds.end - seeds.start) * super::troubles::soak();
+    let count = (seeds.end - seeds.start) * super::troubles::soak_factor();
     for seed in seeds.start..seeds.start + count {
-        let world = play(seed, Trouble { looks: 0.7, withdrawn: 0.3, ..trouble });
+        let world = run_random(seed, FaultProfile { query_everywhere: 0.7, withdrawn: 0.3, ..profile });
         met.looks += world.met.looks;
         met.repeated_finals += world.met.repeated_finals;
         met.answers_lost += world.met.answers_lost;
@@ -23,7 +23,7 @@
 
 /// A small cluster with one array that is accepted and runs.
 fn with_one_job(seed: u64) -> (World, String) {
-    let mut world = World::new(seed, Trouble::default());
+    let mut world = World::new(seed, FaultProfile::default());
     (0..4).for_each(|_| drop(world.add_machine("c16", "east", false)));
     world.run(Micros::from_secs(20));
     let spec = super::takeovers::array(&mut world, 1, 40);
@@ -36,27 +36,27 @@
 /// Guards answers that a slow store gives late against being told after a newer one has been heard.
 #[test]
 fn users_who_look_everywhere_hear_nothing_older_from_a_slow_store() {
-    looked(30_000..30_004, Trouble { store_slow: 0.05, ..Default::default() });
+    looked(30_000..30_004, FaultProfile { store_slow: 0.05, ..Default::default() });
 }
 
 /// Guards acceptances, withdrawals and ends of which only the answer is lost: whoever asks next is told of them.
 #[test]
 fn users_who_look_everywhere_hear_of_what_was_carried_out_without_an_answer() {
-    let met = looked(30_100..30_104, Trouble { answers_lost: 0.3, ..Default::default() });
+    let met = looked(30_100..30_104, FaultProfile { answers_lost: 0.3, ..Default::default() });
     assert!(met.answers_lost > 100, "{met:?}");
 }
 
 /// The same with transactions that are carried out seconds later.
 #[test]
 fn users_who_look_everywhere_hear_nothing_older_while_writes_are_late() {
-    let met = looked(30_200..30_204, Trouble { late_writes: 0.2, ..Default::default() });
+    let met = looked(30_200..30_204, FaultProfile { late_writes: 0.2, ..Default::default() });
     assert!(met.late_commits > 30, "{met:?}");
 }
 
 /// Guards users who look everywhere while one controller after the other leads and ends.
 #[test]
 fn users_who_look_everywhere_hear_nothing_older_from_the_next_leader() {
-    looked(30_300..30_304, Trouble { leaders: true, crash: 0.02, ..Default::default() });
+    looked(30_300..30_304, FaultProfile { leader_crashes: true, crash: 0.02, ..Default::default() });
 }
 
 /// Guards users who look everywhere against controllers that others do not reach, or that the store refuses.
@@ -64,7 +64,12 @@
 fn users_who_look_everywhere_hear_nothing_older_from_a_controller_apart() {
     looked(
         30_400..30_404,
-        Trouble { isolated: 0.02, peers_apart: 0.03, store_refuses_one: 0.02, ..Default::default() },
+        FaultProfile {
+            isolated: 0.02,
+            peers_partitioned: 0.03,
+            store_refuses_one: 0.02,
+            ..Default::default()
+        },
     );
 }
 
@@ -73,7 +78,10 @@
 /// check, read before that, said that the job was live.
 #[test]
 fn an_end_found_in_the_records_is_told_like_one_recorded() {
-    play(262_009, Trouble { store_slow: 0.02, gap: 0.01, withdrawn: 0.3, ..Default::default() });
+    run_random(
+        262_009,
+        FaultProfile { store_slow: 0.02, refusal_then_outage: 0.01, withdrawn: 0.3, ..Default::default() },
+    );
     let (mut world, id) = with_one_job(7);
     // The first answer is lost, and two controllers follow nothing while the third finds the record.
     world.fate_of = Some(|t| {
@@ -100,7 +108,7 @@
 #[test]
 fn a_repeated_submission_is_not_refused_for_the_machine_types_known_here() {
     for seed in 0..3 {
-        let mut world = World::new(seed, Trouble::default());
+        let mut world = World::new(seed, FaultProfile::default());
         (0..4).for_each(|n| drop(world.add_machine("c16", ["east", "west"][n % 2], false)));
         world.run(Micros::from_secs(20));
         let node = seed as usize % 3;
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -1,7 +1,7 @@
 //! Meetings of machines, what they report and what they are told with ends of controllers and writes that lag
 //! (`docs/meetings.md`). Each asserts that it took place.
 
-use super::meetings::full;
+use super::meetings::saturated_cluster;
 use super::spells::Fate;
 use super::takeovers::array;
 use super::*;
@@ -48,7 +48,7 @@
 fn machines_up_at_once_under_writes_that_lag_outlive_their_leader() {
     let (mut unlisted, mut unrecorded, mut unanswered, mut late) = (0, 0, 0, 0);
     for seed in 200..210 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 20 });
+        let mut world = World::sized(seed, FaultProfile::default(), Size { controllers: 3, machines: 20 });
         world.boots = 200 * MS..2 * S;
         world.settings.iter_mut().for_each(|s| s.params.cloud.list_lag_s = 4.0);
         match seed % 2 {
@@ -102,7 +102,7 @@
 /// was that nobody had ever held the machine, and a controller that joined took over what ran there.
 #[test]
 fn a_machine_is_recorded_in_one_block_whatever_lags() {
-    let mut world = World::sized(300, Trouble::default(), Size { controllers: 3, machines: 0 });
+    let mut world = World::sized(300, FaultProfile::default(), Size { controllers: 3, machines: 0 });
     for n in 0..8 {
         let spec = array(&mut world, n, 400);
         world.submit(spec);
@@ -173,7 +173,7 @@
 fn old_reports_to_every_controller_as_a_new_leader_begins_prove_nothing() {
     let mut met = Met::default();
     for seed in 220..224 {
-        let mut world = full(seed, 12);
+        let mut world = saturated_cluster(seed, 12);
         world.keeps_reports = 0.4;
         for round in 0..3 {
             world.run(world.now + Micros::from_secs(6));
@@ -201,7 +201,7 @@
 fn machines_whose_old_reports_come_at_once_are_not_taken_for_deaf() {
     let (mut given, mut deaf) = (0, 0);
     for seed in 230..234 {
-        let mut world = full(seed, 12);
+        let mut world = saturated_cluster(seed, 12);
         world.keeps_reports = 1.0;
         world.run(world.now + Micros::from_secs(20));
         let leader = world.leader().unwrap();
@@ -243,7 +243,7 @@
 fn a_report_held_back_until_the_new_leader_has_acted_proves_nothing() {
     let mut met = Met::default();
     for (form, seed) in (0..4).flat_map(|form| (0..3).map(move |n| (form, 250 + 10 * form + n))) {
-        let mut world = full(seed, 12);
+        let mut world = saturated_cluster(seed, 12);
         world.run(world.now + Micros::from_secs(5));
         let send = |world: &mut World| -> Vec<Report> {
             let now = world.now;
@@ -319,7 +319,7 @@
 fn machines_that_reach_no_controller_are_not_taken_for_alive() {
     let (mut withdrawn, mut lost, mut wasted) = (0, 0, 0);
     for seed in 290..298 {
-        let mut world = full(seed, 12);
+        let mut world = saturated_cluster(seed, 12);
         world.runs_for = 20 * S..60 * S;
         world.looks = [0.0, 0.5][seed as usize / 2 % 2];
         world.run(world.now + Micros::from_secs(20));
@@ -342,7 +342,7 @@
         world.run(world.now + Micros::from_secs(60));
         wasted += begun(&world) - before;
         let kept = ever.iter().filter(|name| world.workers.contains_key(**name)).count();
-        assert_eq!(kept, 0, "seed {seed}: kept though it reaches nobody\n{}", world.describe(""));
+        assert_eq!(kept, 0, "seed {seed}: kept though it reaches nobody\n{}", world.describe_job(""));
         lost += world.met.lost_by_lease;
         world.runs_for = S..2 * S;
         world.all_over(500, &format!("seed {seed}"));
@@ -359,7 +359,7 @@
 fn all_controllers_away_for_longer_than_a_lease_lose_no_job() {
     let (mut lost, mut withdrawn, mut outlived) = (0, 0, Micros::ZERO);
     for seed in 310..318 {
-        let mut world = full(seed, 12);
+        let mut world = saturated_cluster(seed, 12);
         if seed % 2 == 0 {
             world.runs_for = 20 * S..60 * S;
         }
@@ -388,7 +388,7 @@
 fn a_zone_cut_off_with_a_controller_runs_nothing_that_runs_elsewhere() {
     let (mut inside, mut withdrawn, mut lost) = (0, 0, 0);
     for seed in 330..338 {
-        let mut world = World::new(seed, Trouble::default());
+        let mut world = World::new(seed, FaultProfile::default());
         for n in 0..14 {
             world.add_machine("c16", ["east", "west"][n % 2], false);
         }
@@ -425,7 +425,7 @@
 fn long_tasks_that_do_not_hear_the_new_leader_are_gone_in_time() {
     let (mut there, mut confirmed, mut outlived) = (0, 0, Micros::ZERO);
     for seed in 350..362 {
-        let mut world = full(seed, 8);
+        let mut world = saturated_cluster(seed, 8);
         world.runs_for = 60 * S..120 * S;
         world.looks = [0.0, 0.5][seed as usize / 2 % 2];
         world.run(world.now + Micros::from_secs(25));
@@ -473,7 +473,7 @@
 /// registration before it, and from then on nothing of what it said was missed, whatever was.
 #[test]
 fn a_life_that_was_loaded_is_not_ended_by_one_before_it() {
-    let mut world = full(410, 12);
+    let mut world = saturated_cluster(410, 12);
     let known = |c: &Controller| {
         let me = c.incarnation();
         let listed = |name: &String, m: &Machine| {
--- a/src/coordination/simulation/meetings_room.rs
+++ b/src/coordination/simulation/meetings_room.rs
@@ -21,7 +21,7 @@
 fn jobs_bound_to_a_zone_that_lost_its_machines_wait_and_hold_up_nothing() {
     let (mut lost, mut waited) = (0, 0);
     for seed in 2_300..2_306 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 7 });
+        let mut world = World::sized(seed, FaultProfile::default(), Size { controllers: 3, machines: 7 });
         for _ in 0..7 {
             world.add_machine("c16", "west", false);
         }
@@ -81,7 +81,7 @@
 
 /// More work than room, of which so many machines are all that there is, over slow links.
 fn more_than_room(seed: u64, ranks: &[Priority]) -> (World, Stops) {
-    let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 10 });
+    let mut world = World::sized(seed, FaultProfile::default(), Size { controllers: 3, machines: 10 });
     world.links = 20 * MS..400 * MS;
     for s in &mut world.settings {
         s.params.objectives.push(crate::settings::Objective {
--- a/src/coordination/simulation/meetings_starts.rs
+++ b/src/coordination/simulation/meetings_starts.rs
@@ -1,7 +1,7 @@
 //! Meetings of a start that is on its way to a machine with what its holder hears of that machine (`docs/meetings.md`). Each
 //! asserts that it took place.
 
-use super::meetings::full;
+use super::meetings::saturated_cluster;
 use super::*;
 use crate::coordination::Machine;
 
@@ -11,8 +11,8 @@
 fn a_start_that_is_still_on_its_way_begins_nothing_again() {
     let mut late = 0;
     for seed in 370..378 {
-        let mut world = full(seed, 12);
-        world.trouble.held_up = 0.4;
+        let mut world = saturated_cluster(seed, 12);
+        world.trouble.delayed_orders = 0.4;
         world.runs_for = 50 * MS..S;
         world.run(world.now + Micros::from_secs(60));
         late += world.met.late_orders;
@@ -25,8 +25,8 @@
 
 /// A controller, one of its machines, and a task whose start is on its way straight to the machine.
 pub(super) fn starting(seed: u64) -> (World, usize, String, TaskId) {
-    let mut world = full(seed, 12);
-    world.trouble.held_up = 1.0;
+    let mut world = saturated_cluster(seed, 12);
+    world.trouble.delayed_orders = 1.0;
     let until = world.now + Micros::from_secs(20);
     while world.now < until {
         world.run(world.now + Micros::from_millis(5));
--- a/src/coordination/simulation/mistakes.rs
+++ b/src/coordination/simulation/mistakes.rs
@@ -10,7 +10,7 @@
 #[test]
 fn mistaken_jobs_cost_no_machine_and_hold_nothing_up() {
     for seed in 0..6 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 26 });
+        let mut world = World::sized(seed, FaultProfile::default(), Size { controllers: 3, machines: 26 });
         let machines: Vec<String> = (0..24)
             .map(|n| world.add_machine(if n < 18 { "c16" } else { "g8" }, ["east", "west"][n % 2], false))
             .collect();
@@ -53,7 +53,7 @@
             assert!(
                 wish.refused || wish.told_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
-                world.describe(id)
+                world.describe_job(id)
             );
         }
         // Ten more minutes of tries: they become rare, and the users can still cancel.
@@ -70,7 +70,7 @@
             assert!(
                 world.jobs[id].told_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
-                world.describe(id)
+                world.describe_job(id)
             );
         }
     }
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -56,7 +56,7 @@
         let low = Wanted { priority: Priority::Low, cpus: 3.0, ..high(1, 1, Shape::Array, 10) };
         let low = submit(&mut world, "red", low);
         let begun = |w: &World| w.jobs[&low].begun > Micros::ZERO;
-        assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&low));
+        assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe_job(&low));
         assert!(world.taken()[0].0 <= 24_000);
     }
 }
@@ -92,7 +92,7 @@
             nth += 1;
             go(&mut world, Micros::from_millis(400));
         }
-        assert_eq!(there(&world, &gang), 4, "seed {seed}: {}", world.describe(&gang));
+        assert_eq!(there(&world, &gang), 4, "seed {seed}: {}", world.describe_job(&gang));
     }
 }
 
@@ -167,7 +167,7 @@
 #[test]
 fn a_plain_job_takes_an_idle_accelerator_machine_where_there_is_no_other() {
     for seed in 3_040..3_043 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 3 });
+        let mut world = World::sized(seed, FaultProfile::default(), Size { controllers: 3, machines: 3 });
         world.tuning.idle_return_s = 900.0;
         for _ in 0..3 {
             world.add_machine("g8", "east", false);
@@ -197,7 +197,7 @@
         };
         let plain = submit(&mut world, "green", plain);
         let begun = |w: &World| w.jobs[&plain].begun > Micros::ZERO;
-        assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&plain));
+        assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe_job(&plain));
     }
 }
 
@@ -209,7 +209,7 @@
 #[test]
 fn jobs_neglected_in_pairs_of_troubles_are_so_no_more() {
     let seeds = [400_000, 143_000, 191_000, 653_000, 206_000, 598_001, 670_000, 655_000, 634_001, 148_002];
-    super::pairs::play_seeds(&seeds);
+    super::pairs::run_pair_seeds(&seeds);
 }
 
 /// Guards `MOST_BACKFILLED`, a bound of 64 on the jobs that were backfilled at a time: on selatferi's limit day it was reached
@@ -300,7 +300,7 @@
         let all_begun = |w: &World| others.iter().all(|id| w.jobs[id].begun > Micros::ZERO);
         let in_time = until(&mut world, AIM, all_begun);
         let begun = others.iter().filter(|id| world.jobs[*id].begun > Micros::ZERO).count();
-        assert!(in_time, "seed {seed}: {begun} of 8 begun; {}", world.describe(&first));
+        assert!(in_time, "seed {seed}: {begun} of 8 begun; {}", world.describe_job(&first));
         assert!(world.taken()[0].0 <= 24_000);
     }
 }
@@ -311,7 +311,7 @@
 #[test]
 fn machines_that_wait_for_the_rest_of_a_gang_to_boot_are_not_returned() {
     for seed in 3_070..3_073 {
-        let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 60 });
+        let mut world = World::sized(seed, FaultProfile::default(), Size { controllers: 3, machines: 60 });
         world.run(Micros::from_secs(12));
         let gang = Wanted {
             owner: 1,
@@ -324,6 +324,6 @@
         };
         let gang = submit(&mut world, "green", gang);
         let begun = |w: &World| there(w, &gang) == 24;
-        assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&gang));
+        assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe_job(&gang));
     }
 }
--- a/src/coordination/simulation/network.rs
+++ b/src/coordination/simulation/network.rs
@@ -102,7 +102,7 @@
             // Messages between two controllers share a connection and keep their order.
             let mut delay = Micros(2 * MS) + self.link();
             if cut {
-                self.meets("peers_apart");
+                self.meets("peers_partitioned");
                 let Some(until) = self.held_until(from, other) else { continue };
                 delay = until.since(self.now);
                 self.met.late_words += u32::from(delay > Micros::from_secs(5));
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -163,7 +163,7 @@
     let job = spec.id.clone();
     world.submit(JobSpec { team: "blue".into(), zone: Some("west".into()), spot: false, ..spec });
     let all = until(world, Micros::from_secs(40), |w| there(w, &job) == 32);
-    assert!(all, "{} begun\n{}", there(world, &job), world.describe(&job));
+    assert!(all, "{} begun\n{}", there(world, &job), world.describe_job(&job));
     for machine in &machines {
         grant_to(world, machine, held_by);
         assert!(until(world, Micros::from_secs(3), |w| holds(w, held_by, machine)), "{machine} is another's");
--- a/src/coordination/simulation/odd.rs
+++ b/src/coordination/simulation/odd.rs
@@ -10,7 +10,7 @@
     /// A user asks one controller, or all, for something that makes no sense.
     pub(super) fn ask_oddly(&mut self) {
         let node = self.rng.random_range(0..self.settings.len());
-        self.meets("odd");
+        self.meets("invalid_requests");
         match self.rng.random_range(0..5) {
             0 => {
                 let unfinished = |w: &Wish| w.told_accepted && w.told_final.is_none();
--- a/src/coordination/simulation/outages.rs
+++ b/src/coordination/simulation/outages.rs
@@ -6,7 +6,7 @@
 /// back: users' requests would be refused for as long again.
 #[test]
 fn an_outage_of_the_store_ends_without_a_storm() {
-    let mut world = World::new(31, Trouble::default());
+    let mut world = World::new(31, FaultProfile::default());
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
     }
@@ -36,14 +36,14 @@
     assert!(before < 40, "no job was left to end in the outage");
     world.run(world.now + Micros::from_secs(200));
     for (id, wish) in &world.jobs {
-        assert!(wish.told_final.is_some(), "{id} is not over\n{}", world.describe(id));
+        assert!(wish.told_final.is_some(), "{id} is not over\n{}", world.describe_job(id));
     }
 }
 
 /// Tasks lost by their leases in an outage of so many seconds, with a deployment's times: between two reports, a
 /// worker's lease, a withdrawal's time.
 fn lost_in_an_outage(seed: u64, seconds: u64, (report_s, lease_s, cancel_s): (f64, f64, f64)) -> usize {
-    let mut world = World::new(seed, Trouble::default());
+    let mut world = World::new(seed, FaultProfile::default());
     for s in &mut world.settings {
         let w = &mut s.params.workers;
         (w.report_s, w.lease_s, w.cancel_s) = (report_s, lease_s, cancel_s);
@@ -96,7 +96,7 @@
 fn a_controller_that_stands_still_does_no_harm_when_it_goes_on() {
     for seed in 0..6 {
         let mut world =
-            World::new(seed, Trouble { machine_hangs: 0.1, machine_cut: 0.05, ..Default::default() });
+            World::new(seed, FaultProfile { machine_hangs: 0.1, machine_cut: 0.05, ..Default::default() });
         for _ in 0..18 {
             world.add_machine("c16", "east", false);
         }
@@ -115,14 +115,14 @@
             }
             world.run(world.now + Micros::from_secs(length + 8));
         }
-        world.trouble = Trouble::default();
+        world.trouble = FaultProfile::default();
         for wish in world.jobs.values_mut() {
             wish.wants_withdrawal |= wish.spec.as_ref().is_some_and(|s| s.shape == Shape::Service);
         }
         world.run(world.now + Micros::from_secs(400));
         for (id, wish) in &world.jobs {
             let over = wish.refused || wish.told_final.is_some();
-            assert!(over, "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(over, "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
 }
--- a/src/coordination/simulation/overload.rs
+++ b/src/coordination/simulation/overload.rs
@@ -19,7 +19,7 @@
 }
 
 fn cluster(seed: u64, machines: usize) -> World {
-    let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines });
+    let mut world = World::sized(seed, FaultProfile::default(), Size { controllers: 3, machines });
     for n in 0..machines {
         world.add_machine("c16", if n % 2 == 0 { "east" } else { "west" }, false);
     }
@@ -68,7 +68,7 @@
         assert!(jobs >= tasks - 0.05, "seed {seed}: {jobs:.2} of the jobs, {tasks:.2} of the tasks");
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
 }
@@ -150,7 +150,7 @@
         }
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
             let quiet = wish.spec.as_ref().is_some_and(|s| s.class == "quiet");
             let most = if quiet { 6 } else { 12 };
             assert!(wish.turned_away <= most, "seed {seed}: {id} was turned away {} times", wish.turned_away);
--- a/src/coordination/simulation/returns.rs
+++ b/src/coordination/simulation/returns.rs
@@ -5,7 +5,7 @@
 use crate::coordination::Phase;
 
 /// Three controllers, 24 machines and work for all of them.
-fn busy(seed: u64, trouble: Trouble, tasks: u32) -> World {
+fn busy(seed: u64, trouble: FaultProfile, tasks: u32) -> World {
     let mut world = World::new(seed, trouble);
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
@@ -28,7 +28,7 @@
 #[test]
 fn a_quick_return_waits_for_no_machine_that_the_others_know() {
     for seed in 0..8 {
-        let mut world = busy(seed, Trouble::default(), 300);
+        let mut world = busy(seed, FaultProfile::default(), 300);
         let held = |c: &Controller| {
             let own = c.machines.iter().filter(|(_, m)| c.owns(m) && !m.idle());
             own.map(|(name, _)| name.clone()).collect::<Vec<_>>()
@@ -73,7 +73,7 @@
         }),
     ];
     let trouble =
-        Trouble { machine_dies: 0.02, machine_cut: 0.05, machine_hangs: 0.02, ..Default::default() };
+        FaultProfile { machine_dies: 0.02, machine_cut: 0.05, machine_hangs: 0.02, ..Default::default() };
     for (i, (name, reached)) in steps.into_iter().enumerate() {
         let mut met = 0;
         for seed in 0..3 {
@@ -110,7 +110,7 @@
 /// each back within a fraction of a second, while machines die and are cut off.
 #[test]
 fn a_loop_of_ends_for_a_minute_breaks_nothing_and_ends_with_the_loop() {
-    let trouble = Trouble { machine_dies: 0.03, machine_cut: 0.05, ..Default::default() };
+    let trouble = FaultProfile { machine_dies: 0.03, machine_cut: 0.05, ..Default::default() };
     for seed in 0..4 {
         let mut world = busy(80 + seed, trouble, 600);
         let before = world.started;
@@ -132,7 +132,7 @@
 #[test]
 fn after_an_end_of_all_no_job_waits_for_machines_that_the_list_passes_over() {
     for seed in 0..4 {
-        let mut world = busy(120 + seed, Trouble::default(), 300);
+        let mut world = busy(120 + seed, FaultProfile::default(), 300);
         let used = world.workers.iter().filter(|(_, w)| !w.tasks.is_empty()).map(|(name, _)| name.clone());
         let taken: Vec<String> = used.take(4).collect();
         (0..3).for_each(|n| world.crash_for(n, Micros::from_millis(200)));
@@ -154,7 +154,7 @@
 /// record of it, and counts all that its tasks may take.
 #[test]
 fn tasks_of_jobs_that_were_over_before_count_against_the_limit() {
-    let mut world = busy(140, Trouble::default(), 300);
+    let mut world = busy(140, FaultProfile::default(), 300);
     let c = world.controllers[0].as_mut().unwrap();
     let before = c.usage_by_team();
     let (name, free) =
--- a/src/coordination/simulation/rules.rs
+++ b/src/coordination/simulation/rules.rs
@@ -78,7 +78,7 @@
             assert!(
                 since <= most,
                 "forgotten: nothing was heard of {id} for {since:?}\n{}",
-                self.describe(id)
+                self.describe_job(id)
             );
         }
     }
@@ -90,7 +90,7 @@
         self.run(self.now + Micros::from_secs(seconds));
         for (id, wish) in &self.jobs {
             let over = wish.refused || wish.told_final.is_some();
-            assert!(over, "{what}: {id} is not over\n{}", self.describe(id));
+            assert!(over, "{what}: {id} is not over\n{}", self.describe_job(id));
         }
     }
 
--- a/src/coordination/simulation/second_starts.rs
+++ b/src/coordination/simulation/second_starts.rs
@@ -34,7 +34,7 @@
     let mut there = 0;
     for seed in 500..520 {
         let (mut world, n, name, id) = starting(seed);
-        world.trouble.held_up = 0.0;
+        world.trouble.delayed_orders = 0.0;
         world.runs_for = 20 * S..30 * S;
         let starts = orders(&mut world, n, &name, None);
         let c = world.controllers[n].as_ref().unwrap();
@@ -86,7 +86,7 @@
 #[test]
 fn a_planned_start_is_taken_back_when_its_task_turns_up_elsewhere() {
     for seed in 520..524 {
-        let mut world = super::meetings::full(seed, 12);
+        let mut world = super::meetings::saturated_cluster(seed, 12);
         let (n, name, id) = planned(&mut world);
         let held = |c: &Controller| {
             let known = c.machines.iter().find(|(_, m)| c.owns(m) && m.resolved);
@@ -136,7 +136,7 @@
         let (mut world, n, name, id) = starting(seed);
         // By then the call is at the machine, and held up there.
         world.run(world.now + Micros::from_millis(10));
-        world.trouble.held_up = 0.0;
+        world.trouble.delayed_orders = 0.0;
         let machine = &world.controllers[n].as_ref().unwrap().machines[&name];
         let (token, session, attempt) = (machine.row.token, machine.session, machine.tasks[&id].attempt);
         let sent = world.now;
--- a/src/coordination/simulation/services.rs
+++ b/src/coordination/simulation/services.rs
@@ -42,7 +42,7 @@
 }
 
 /// Standing machines with accelerators in both zones, and services in a hurry.
-fn hurried(seed: u64, trouble: Trouble, machines: usize, standing: usize, guaranteed: f64) -> World {
+fn hurried(seed: u64, trouble: FaultProfile, machines: usize, standing: usize, guaranteed: f64) -> World {
     let mut world = World::sized(seed, trouble, Size { controllers: 3, machines });
     in_a_hurry(&mut world, guaranteed);
     for n in 0..standing {
@@ -55,14 +55,14 @@
 /// are there again, spread as their jobs ask, and those withdrawn are gone.
 #[test]
 fn lost_replicas_are_replaced_whatever_happens() {
-    let trouble = Trouble {
+    let trouble = FaultProfile {
         crash: 0.02,
         crash_all: 0.004,
         machine_dies: 0.04,
         machine_cut: 0.02,
-        spot_taken: 0.2,
+        spot_preempted: 0.2,
         store_outage: 0.01,
-        peers_apart: 0.02,
+        peers_partitioned: 0.02,
         ..Default::default()
     };
     for seed in 900..906 {
@@ -87,7 +87,7 @@
         for n in (0..10).filter(|n| *n != 3) {
             let id = format!("j-{n:06}");
             let tasks = [2, 8, 12][n % 3];
-            assert_eq!(serving(&world, &id), tasks, "seed {seed}: {id}\n{}", world.describe(&id));
+            assert_eq!(serving(&world, &id), tasks, "seed {seed}: {id}\n{}", world.describe_job(&id));
         }
         assert_eq!(serving(&world, "j-000003"), 0, "seed {seed}: a withdrawn service runs");
         assert!(world.jobs["j-000003"].told_final.is_some());
@@ -97,7 +97,7 @@
 /// Guards against services that waited for a boot while arrays ran in the room that they could have.
 #[test]
 fn a_service_in_a_hurry_takes_an_arrays_place_at_once() {
-    let mut world = hurried(30, Trouble::default(), 6, 6, 24.0);
+    let mut world = hurried(30, FaultProfile::default(), 6, 6, 24.0);
     for n in 0..3 {
         let job = JobSpec { shape: Shape::Array, gpus: 1.0, cpus: 2.0, zone: None, ..world.random_job(n) };
         world.submit(JobSpec { tasks: 400, priority: Priority::Low, team: "green".into(), ..job });
@@ -112,14 +112,14 @@
     world.submit(service);
     let end = world.now + Micros::from_secs(8);
     world.run(end);
-    assert_eq!(serving(&world, "j-000007"), 4, "{}", world.describe("j-000007"));
+    assert_eq!(serving(&world, "j-000007"), 4, "{}", world.describe_job("j-000007"));
 }
 
 /// Guards against replicas that were missed until a dead machine's lease had ended, and against giving
 /// back a whole zone that is only out of its owners' reach.
 #[test]
 fn a_dead_machines_replicas_start_elsewhere_long_before_its_lease_ends() {
-    let mut world = hurried(31, Trouble::default(), 40, 30, 96.0);
+    let mut world = hurried(31, FaultProfile::default(), 40, 30, 96.0);
     world.run(Micros::from_secs(3));
     for n in 0..8 {
         let service = replicas(&mut world, n, 8);
@@ -137,7 +137,12 @@
     world.workers.get_mut(&dying).unwrap().cut_until = Micros::MAX;
     world.run(Micros::from_secs(54));
     assert!(!world.workers.contains_key(&dying), "the dead machine was not returned");
-    assert_eq!(all(&world), 64, "not replaced 14 s after its machine died: {}", world.describe("j-000000"));
+    assert_eq!(
+        all(&world),
+        64,
+        "not replaced 14 s after its machine died: {}",
+        world.describe_job("j-000000")
+    );
     let before: Vec<String> = used(&world);
     for w in world.workers.values_mut().filter(|w| w.zone == "east") {
         w.cut_until = Micros::from_secs(64);
@@ -151,7 +156,7 @@
 /// them is kept.
 #[test]
 fn guarantees_are_kept_only_as_far_as_teams_use_them() {
-    let mut world = hurried(32, Trouble::default(), 200, 6, 4_000.0);
+    let mut world = hurried(32, FaultProfile::default(), 200, 6, 4_000.0);
     world.run(Micros::from_secs(3));
     for n in 0..2 {
         let service = replicas(&mut world, n, 8);
--- a/src/coordination/simulation/spells.rs
+++ b/src/coordination/simulation/spells.rs
@@ -141,7 +141,7 @@
     /// The last task of a job has ended this moment.
     pub(super) fn has_ended(&mut self, id: String) {
         let share = self.withdraw_at_end;
-        if self.odds(share) && self.meets("at_end") {
+        if self.odds(share) && self.meets("withdraw_at_end") {
             self.call_off(id, 5 * MS);
         }
     }
--- a/src/coordination/simulation/takeovers.rs
+++ b/src/coordination/simulation/takeovers.rs
@@ -29,7 +29,7 @@
 /// Two controllers do not reach each other; one starts tasks and ends, and nobody hears most of its
 /// machines any more; the other takes the job over.
 fn an_end_nobody_was_told_of(seed: u64, careless: bool) -> World {
-    let mut world = World::new(seed, Trouble::default());
+    let mut world = World::new(seed, FaultProfile::default());
     world.careless = careless;
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
@@ -80,7 +80,7 @@
 fn a_controller_that_joins_waits_for_no_machine_that_the_others_know() {
     let mut quick = 0;
     for seed in 0..6 {
-        let mut world = World::new(seed, Trouble::default());
+        let mut world = World::new(seed, FaultProfile::default());
         for _ in 0..24 {
             world.add_machine("c16", "east", false);
         }
@@ -108,7 +108,7 @@
         quick += usize::from(!c.takeover_in_progress && open > 0);
         world.run(world.now + Micros::from_secs(500));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
     assert!(quick > 0, "the way that needs no wait was never taken");
@@ -120,7 +120,7 @@
 fn a_takeover_waits_for_no_machine_of_which_all_is_known() {
     let mut quick = 0;
     for seed in 0..6 {
-        let mut world = World::new(seed, Trouble::default());
+        let mut world = World::new(seed, FaultProfile::default());
         for _ in 0..24 {
             world.add_machine("c16", "east", false);
         }
@@ -157,7 +157,7 @@
         quick += listed;
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
     assert!(quick > 0, "the way that needs no wait was never taken");
--- a/src/coordination/simulation/troubles.rs
+++ b/src/coordination/simulation/troubles.rs
@@ -4,81 +4,81 @@
 
 /// Troubles that a run may bring, each with its odds per second.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Trouble {
+pub(super) struct FaultProfile {
     /// No trouble: a run fails for a job neglected in calm.
     #[expect(dead_code, reason = "every run is judged so by now; older tests still ask for it by name")]
-    pub(super) judges_neglect: bool,
+    pub(super) checks_neglect: bool,
     pub(super) crash: f64,
     pub(super) crash_all: f64,
     pub(super) machine_dies: f64,
     pub(super) machine_cut: f64,
     pub(super) machine_hangs: f64,
     pub(super) faulty: f64,
-    pub(super) spot_taken: f64,
+    pub(super) spot_preempted: f64,
     pub(super) store_outage: f64,
     pub(super) store_refuses_one: f64,
     pub(super) cloud_outage: f64,
-    pub(super) peers_apart: f64,
+    pub(super) peers_partitioned: f64,
     pub(super) lost: f64,
     pub(super) late: f64,
     /// A controller stands still while its clock runs on.
-    pub(super) stands_still: f64,
+    pub(super) process_pause: f64,
     /// A controller loses the store and the other controllers, not its workers.
     pub(super) isolated: f64,
     /// A machine's reports arrive, answers and commands don't reach it.
-    pub(super) deaf: f64,
+    pub(super) not_receiving: f64,
     /// A machine is started again within a fraction of a second, with a new session and no tasks.
     pub(super) reboots: f64,
     /// Odds, not a second but each time: a report is copied, the copy comes late, to whichever controller is
     /// there; a user repeats what was carried out; a job is submitted with a mistake.
-    pub(super) copies: f64,
-    pub(super) repeats: f64,
-    pub(super) mistaken: f64,
+    pub(super) duplicate_reports: f64,
+    pub(super) repeated_requests: f64,
+    pub(super) broken_jobs: f64,
     /// The store answers slowly.
     pub(super) store_slow: f64,
     /// The store refuses the leader alone, and then everybody, for longer than a withdrawal may take.
-    pub(super) gap: f64,
+    pub(super) refusal_then_outage: f64,
     /// Odds, each time: a transaction gets no answer and is carried out 2 to 12 s later; a job is withdrawn.
     pub(super) late_writes: f64,
     pub(super) withdrawn: f64,
     /// Orders to a worker's address are held up for seconds, with their answer.
-    pub(super) held_up: f64,
+    pub(super) delayed_orders: f64,
     /// Odds, each time: a transaction is carried out and its answer lost; a copy of a report is kept for the next leader.
     pub(super) answers_lost: f64,
     pub(super) kept_reports: f64,
     /// A machine's reports reach nobody; direct commands reach it and are answered.
-    pub(super) mute: f64,
+    pub(super) blocked_reports: f64,
     /// The leader ends every 12 s.
-    pub(super) leaders: bool,
+    pub(super) leader_crashes: bool,
     /// Users call off some of the running jobs within 0.2 s, and in half of the cases their machines hang.
-    pub(super) call_off: f64,
+    pub(super) withdraw_running: f64,
     /// Odds, each time: a job is called off at the moment at which its last task ends.
-    pub(super) at_end: f64,
+    pub(super) withdraw_at_end: f64,
     /// Machines are up within two seconds; messages are under way for long.
     pub(super) quick_boots: bool,
     pub(super) slow_links: bool,
     /// A zone's workers and controllers reach only each other; all controllers are away: each for longer than the
     /// workers' lease.
     pub(super) zone_cut: f64,
-    pub(super) all_away: f64,
+    pub(super) all_controllers_down: f64,
     /// Users ask for what makes no sense.
-    pub(super) odd: f64,
+    pub(super) invalid_requests: f64,
     /// Odds, each time: a user who first hears that a job is accepted, done or withdrawn asks everywhere.
-    pub(super) looks: f64,
+    pub(super) query_everywhere: f64,
 }
 
 impl World {
     /// These troubles may be drawn from now on.
-    pub(super) fn bring(&mut self, trouble: Trouble) {
-        self.trouble = trouble;
-        self.boots = if trouble.quick_boots { 200 * MS..2 * S } else { S..15 * S };
-        self.links = if trouble.slow_links { 50 * MS..400 * MS } else { 0..0 };
-        self.keeps_reports = trouble.kept_reports;
-        self.withdraw_at_end = trouble.at_end;
-        self.looks = trouble.looks;
+    pub(super) fn set_fault_profile(&mut self, profile: FaultProfile) {
+        self.trouble = profile;
+        self.boots = if profile.quick_boots { 200 * MS..2 * S } else { S..15 * S };
+        self.links = if profile.slow_links { 50 * MS..400 * MS } else { 0..0 };
+        self.keeps_reports = profile.kept_reports;
+        self.withdraw_at_end = profile.withdraw_at_end;
+        self.looks = profile.query_everywhere;
     }
 
-    pub(super) fn make_trouble(&mut self, seconds: f64) {
+    pub(super) fn inject_faults(&mut self, seconds: f64) {
         let t = self.trouble;
         let s = |p: f64| p * seconds;
         if self.odds(s(t.crash)) {
@@ -103,17 +103,17 @@
             let length = Micros(self.rng.random_range(5 * S..40 * S));
             self.befalls(Spell::StoreSlow, self.now + length);
         }
-        if self.odds(s(t.gap))
+        if self.odds(s(t.refusal_then_outage))
             && let Some(leader) = self.leader()
         {
             let refused = Micros(self.rng.random_range(S..15 * S));
             let away = Micros(self.rng.random_range(20 * S..70 * S));
-            self.meets("gap");
+            self.meets("refusal_then_outage");
             self.befalls(Spell::StoreRefuses(leader), self.now + refused);
             let from = Micros(self.rng.random_range(0..refused.0));
             self.will_befall(self.now + from, Spell::StoreDown, away);
         }
-        if self.odds(s(t.stands_still)) {
+        if self.odds(s(t.process_pause)) {
             let length = Micros(self.rng.random_range(S..40 * S));
             let n = self.rng.random_range(0..self.settings.len());
             self.befalls(Spell::StandsStill(n), self.now + length);
@@ -126,28 +126,28 @@
         if self.odds(s(t.cloud_outage)) {
             self.cloud_down = self.now + Micros(self.rng.random_range(S..30 * S));
         }
-        if self.odds(s(t.peers_apart)) {
+        if self.odds(s(t.peers_partitioned)) {
             let a = self.rng.random_range(0..self.settings.len());
             let until = self.now + Micros(self.rng.random_range(S..30 * S));
             self.befalls(Spell::Apart(a, (a + 1) % self.settings.len()), until);
         }
-        if t.leaders
+        if t.leader_crashes
             && self.now >= self.next_end
             && self.now < self.calm_after
             && let Some(leader) = self.leader()
         {
             self.next_end = self.now + Micros::from_secs(12);
             self.crash(leader);
-            self.meets("leaders");
+            self.meets("leader_crashes");
         }
-        if self.odds(s(t.call_off)) {
+        if self.odds(s(t.withdraw_running)) {
             let count = self.rng.random_range(2..8);
             let hang = if self.rng.random_bool(0.5) { self.rng.random_range(S..40 * S) } else { 0 };
             if self.withdraw_now(count, Micros(hang)) > 0 {
-                self.meets("call_off");
+                self.meets("withdraw_running");
             }
         }
-        if self.odds(s(t.odd)) {
+        if self.odds(s(t.invalid_requests)) {
             self.ask_oddly();
         }
         let lease = self.lease().0;
@@ -156,7 +156,7 @@
             let zone = ["east", "west"][self.rng.random_range(0..2)];
             self.befalls(Spell::ZoneCut(zone), self.now + length);
         }
-        if self.odds(s(t.all_away)) && self.meets("all_away") {
+        if self.odds(s(t.all_controllers_down)) && self.meets("all_controllers_down") {
             let length = Micros(self.rng.random_range(lease + S..lease * 3));
             self.all_away(length);
         }
@@ -167,22 +167,23 @@
         }
         let name = names[self.rng.random_range(0..names.len())].clone();
         let (now, length) = (self.now, Micros(self.rng.random_range(S..50 * S)));
-        let (deaf, reboots, mute) = (self.odds(s(t.deaf)), self.odds(s(t.reboots)), self.odds(s(t.mute)));
-        let (dies, cut, hangs, faulty, taken) = (
+        let (not_receiving, reboots, blocked_reports) =
+            (self.odds(s(t.not_receiving)), self.odds(s(t.reboots)), self.odds(s(t.blocked_reports)));
+        let (dies, cut, hangs, faulty, preempted) = (
             self.odds(s(t.machine_dies)),
             self.odds(s(t.machine_cut)),
             self.odds(s(t.machine_hangs)),
             self.odds(s(t.faulty)),
-            self.odds(s(t.spot_taken)),
+            self.odds(s(t.spot_preempted)),
         );
         let Some(w) = self.workers.get_mut(&name) else { return };
-        let taken = taken && w.spot;
+        let preempted = preempted && w.spot;
         w.dead |= dies;
         w.faulty |= faulty;
-        if deaf {
+        if not_receiving {
             w.deaf_until = now + length;
         }
-        if mute {
+        if blocked_reports {
             w.mute_until = now + length;
         }
         if reboots {
@@ -194,14 +195,14 @@
         if hangs {
             w.hung_until = now + length;
         }
-        if taken {
+        if preempted {
             match w.notice {
                 None => w.notice = Some(now + Micros::from_secs(12)),
                 Some(_) => w.dead = true,
             }
         }
-        for (drawn, trouble) in [(dies, "machine_dies"), (taken, "spot_taken"), (reboots, "reboots")] {
-            drawn.then(|| self.meets(trouble));
+        for (drawn, fault) in [(dies, "machine_dies"), (preempted, "spot_preempted"), (reboots, "reboots")] {
+            drawn.then(|| self.meets(fault));
         }
     }
 
@@ -211,7 +212,7 @@
     }
 
     /// What each controller knows of a job, for the message of a failed run.
-    pub(super) fn describe(&self, id: &str) -> String {
+    pub(super) fn describe_job(&self, id: &str) -> String {
         let mut text = String::new();
         for c in self.controllers.iter().flatten() {
             let job = c.jobs.get(id).map(|j| {
@@ -244,36 +245,36 @@
 
     /// How long an ended controller stays away: half of them are started again within a fraction of a
     /// second.
-    fn away(&mut self) -> Micros {
+    fn random_downtime(&mut self) -> Micros {
         let quick = self.rng.random_bool(0.5);
         Micros(self.rng.random_range(if quick { 50 * MS..700 * MS } else { 700 * MS..7 * S }))
     }
 
     pub(super) fn crash(&mut self, n: usize) {
         if self.controllers[n].is_some() {
-            let back = self.away();
-            self.crash_for(n, back);
+            let downtime = self.random_downtime();
+            self.crash_for(n, downtime);
         }
     }
 
     /// Ends a controller, which is started again after a time of one's own.
-    pub(super) fn crash_for(&mut self, n: usize, away: Micros) {
+    pub(super) fn crash_for(&mut self, n: usize, downtime: Micros) {
         if self.controllers[n].take().is_some() {
             self.lives[n] += 1;
-            self.at(self.now + away, Happening::Start(n));
+            self.at(self.now + downtime, Happening::Start(n));
         }
     }
 }
 
 /// A run of a few minutes under the given trouble; at the end all is calm, and all that was accepted
 /// and not withdrawn must be done.
-pub(super) fn play(seed: u64, trouble: Trouble) -> World {
-    let mut world = World::new(seed, trouble);
+pub(super) fn run_random(seed: u64, profile: FaultProfile) -> World {
+    let mut world = World::new(seed, profile);
     world.run(Micros::from_secs(5));
     let mut endless = Vec::new();
     for n in 0..40u32 {
         let spec = world.random_job(n);
-        let mistaken = trouble.mistaken > 0.0 && world.rng.random_bool(trouble.mistaken);
+        let mistaken = profile.broken_jobs > 0.0 && world.rng.random_bool(profile.broken_jobs);
         if mistaken {
             world.mistaken.insert(spec.id.clone());
         }
@@ -284,7 +285,7 @@
         let pause = world.rng.random_range(0..5 * S);
         let next = world.now + Micros(pause);
         world.run(next);
-        if trouble.withdrawn > 0.0 && n >= 3 && world.rng.random_bool(trouble.withdrawn) {
+        if profile.withdrawn > 0.0 && n >= 3 && world.rng.random_bool(profile.withdrawn) {
             let id = format!("j-{:06}", n - 3);
             world.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
         }
@@ -308,7 +309,7 @@
             "seed {seed}: {id} is not over: {:?}, done {:?}\n{}",
             wish.spec,
             wish.tasks_done,
-            world.describe(id)
+            world.describe_job(id)
         );
     }
     assert!(world.started > 50, "seed {seed}: hardly anything ran");
@@ -317,42 +318,42 @@
 }
 
 /// How many times as many seeds as in CI are to be played: `MARBLEWALK_SOAK`, a number.
-pub(super) fn soak() -> u64 {
+pub(super) fn soak_factor() -> u64 {
     std::env::var("MARBLEWALK_SOAK").ok().and_then(|n| n.parse().ok()).unwrap_or(1).max(1)
 }
 
 /// How many runs are played at once in a soak: `RUST_TEST_THREADS`, or as many as there are processors.
-fn at_once() -> usize {
+fn parallel_runs() -> usize {
     let processors = || std::thread::available_parallelism().map_or(1, |n| n.get());
     std::env::var("RUST_TEST_THREADS").ok().and_then(|n| n.parse().ok()).unwrap_or_else(processors).max(1)
 }
 
 /// Plays the seeds given; with `MARBLEWALK_SOAK` that many times as many.
-pub(super) fn play_all(seeds: std::ops::Range<u64>, trouble: Trouble) {
-    let count = (seeds.end - seeds.start) * soak();
-    play_each((seeds.start..seeds.start + count).map(|seed| (String::new(), seed, trouble)).collect());
+pub(super) fn run_seeds(seeds: std::ops::Range<u64>, profile: FaultProfile) {
+    let count = (seeds.end - seeds.start) * soak_factor();
+    run_each((seeds.start..seeds.start + count).map(|seed| (String::new(), seed, profile)).collect());
 }
 
 /// Plays runs, each with what it is called, one after the other; in a soak on all processors, and all that failed
 /// are named at the end.
-pub(super) fn play_each(runs: Vec<(String, u64, Trouble)>) {
-    play_each_by(runs, |seed, trouble| drop(play(seed, trouble)));
+pub(super) fn run_each(runs: Vec<(String, u64, FaultProfile)>) {
+    run_each_with(runs, |seed, profile| drop(run_random(seed, profile)));
 }
 
 /// The same, each played by a function of one's own.
-pub(super) fn play_each_by(runs: Vec<(String, u64, Trouble)>, play: fn(u64, Trouble)) {
-    if soak() <= 1 {
-        return runs.into_iter().for_each(|(_, seed, trouble)| play(seed, trouble));
+pub(super) fn run_each_with(runs: Vec<(String, u64, FaultProfile)>, run: fn(u64, FaultProfile)) {
+    if soak_factor() <= 1 {
+        return runs.into_iter().for_each(|(_, seed, profile)| run(seed, profile));
     }
     let next = std::sync::atomic::AtomicUsize::new(0);
     let failed = std::sync::Mutex::new(Vec::new());
     std::thread::scope(|threads| {
-        for _ in 0..at_once() {
+        for _ in 0..parallel_runs() {
             threads.spawn(|| {
-                while let Some((name, seed, trouble)) =
+                while let Some((name, seed, profile)) =
                     runs.get(next.fetch_add(1, std::sync::atomic::Ordering::Relaxed))
                 {
-                    if let Err(panic) = std::panic::catch_unwind(|| play(*seed, *trouble)) {
+                    if let Err(panic) = std::panic::catch_unwind(|| run(*seed, *profile)) {
                         let why = panic.downcast_ref::<String>().and_then(|text| text.lines().next());
                         eprintln!("failed: {name}, seed {seed}: {}", why.unwrap_or_default());
                         failed.lock().unwrap().push((name.as_str(), *seed));
@@ -367,106 +368,122 @@
 
 #[test]
 fn a_quiet_cluster_does_all_its_work() {
-    play_all(0..6, Trouble { judges_neglect: true, ..Default::default() });
+    run_seeds(0..6, FaultProfile { checks_neglect: true, ..Default::default() });
 }
 
 /// Guards against the fault by which a task's place was forgotten when a machine changed hands.
 #[test]
 fn controllers_that_crash_singly_and_together_run_nothing_twice() {
-    play_all(100..108, Trouble { crash: 0.04, crash_all: 0.01, ..Default::default() });
+    run_seeds(100..108, FaultProfile { crash: 0.04, crash_all: 0.01, ..Default::default() });
 }
 
 #[test]
 fn state_outages_with_crashes_lose_no_accepted_job() {
-    play_all(200..208, Trouble { store_outage: 0.03, crash_all: 0.015, crash: 0.02, ..Default::default() });
+    run_seeds(
+        200..208,
+        FaultProfile { store_outage: 0.03, crash_all: 0.015, crash: 0.02, ..Default::default() },
+    );
 }
 
 #[test]
 fn a_controller_refused_by_the_store_alone_falls_silent_in_time() {
-    let trouble = Trouble { store_refuses_one: 0.03, machine_cut: 0.05, ..Default::default() };
-    play_all(300..308, trouble);
+    let profile = FaultProfile { store_refuses_one: 0.03, machine_cut: 0.05, ..Default::default() };
+    run_seeds(300..308, profile);
     // A start that was planned for a withdrawn job, sent minutes later.
-    play(32_053, trouble);
+    run_random(32_053, profile);
 }
 
 #[test]
 fn machines_that_die_hang_or_are_cut_off_neither_block_nor_double_work() {
-    let trouble = Trouble {
+    let profile = FaultProfile {
         machine_dies: 0.03,
         machine_cut: 0.05,
         machine_hangs: 0.05,
         faulty: 0.01,
-        spot_taken: 0.3,
+        spot_preempted: 0.3,
         crash: 0.01,
         ..Default::default()
     };
-    play_all(400..408, trouble);
+    run_seeds(400..408, profile);
     // A session that began unheard was taken for one that had lapsed.
-    play(42_017, trouble);
+    run_random(42_017, profile);
 }
 
 #[test]
 fn messages_lost_or_minutes_late_change_nothing() {
-    let trouble = Trouble { lost: 0.03, late: 0.7, crash: 0.02, ..Default::default() };
-    play_all(500..508, trouble);
+    let profile = FaultProfile { lost: 0.03, late: 0.7, crash: 0.02, ..Default::default() };
+    run_seeds(500..508, profile);
 }
 
 #[test]
 fn controllers_apart_from_each_other_keep_the_rules() {
-    let trouble = Trouble { peers_apart: 0.04, crash: 0.02, cloud_outage: 0.02, ..Default::default() };
-    play_all(600..608, trouble);
+    let profile =
+        FaultProfile { peers_partitioned: 0.04, crash: 0.02, cloud_outage: 0.02, ..Default::default() };
+    run_seeds(600..608, profile);
 }
 
 #[test]
 fn everything_at_once_breaks_no_rule() {
-    let trouble = Trouble {
+    let profile = FaultProfile {
         crash: 0.02,
         crash_all: 0.004,
         machine_dies: 0.01,
         machine_cut: 0.03,
         machine_hangs: 0.03,
         faulty: 0.004,
-        spot_taken: 0.1,
+        spot_preempted: 0.1,
         store_outage: 0.01,
         store_refuses_one: 0.01,
         cloud_outage: 0.01,
-        peers_apart: 0.02,
+        peers_partitioned: 0.02,
         lost: 0.01,
         late: 0.6,
         ..Default::default()
     };
-    play_all(700..712, trouble);
+    run_seeds(700..712, profile);
 }
 
 /// Guards against what copies prove: a late one of a report says nothing about now, whoever it comes to, also a
 /// controller that has just begun, and what was carried out is not carried out again.
 #[test]
 fn late_copies_and_repeats_prove_nothing() {
-    let trouble =
-        Trouble { copies: 0.3, repeats: 0.3, crash: 0.03, reboots: 0.05, late: 0.5, ..Default::default() };
-    play_all(800..808, trouble);
+    let profile = FaultProfile {
+        duplicate_reports: 0.3,
+        repeated_requests: 0.3,
+        crash: 0.03,
+        reboots: 0.05,
+        late: 0.5,
+        ..Default::default()
+    };
+    run_seeds(800..808, profile);
 }
 
 /// Guards against trust in a machine that speaks and does not hear: its tasks die with its sessions, and its jobs
 /// go on elsewhere, also where their controllers end.
 #[test]
 fn machines_that_do_not_hear_hold_nothing_up() {
-    let trouble = Trouble { deaf: 0.1, reboots: 0.02, crash: 0.02, crash_all: 0.002, ..Default::default() };
-    play_all(900..908, trouble);
+    let profile = FaultProfile {
+        not_receiving: 0.1,
+        reboots: 0.02,
+        crash: 0.02,
+        crash_all: 0.002,
+        ..Default::default()
+    };
+    run_seeds(900..908, profile);
 }
 
 /// Guards against a controller that goes on with its workers when others may act for it: cut off from the store
 /// and the other controllers, standing still in the middle of it, and back within a fraction of a second.
 #[test]
 fn a_controller_with_its_workers_alone_falls_silent_in_time() {
-    let trouble = Trouble { isolated: 0.03, stands_still: 0.02, crash: 0.02, ..Default::default() };
-    play_all(1_000..1_008, trouble);
+    let profile = FaultProfile { isolated: 0.03, process_pause: 0.02, crash: 0.02, ..Default::default() };
+    run_seeds(1_000..1_008, profile);
 }
 
 /// Guards every rule against all that the operators have met, at once.
 #[test]
 fn all_troubles_of_the_operators_together_break_no_rule() {
-    let trouble = Trouble {
+    let profile = FaultProfile {
         crash: 0.015,
         crash_all: 0.002,
         machine_dies: 0.005,
@@ -475,17 +492,17 @@
         faulty: 0.003,
         store_outage: 0.005,
         store_refuses_one: 0.005,
-        peers_apart: 0.01,
+        peers_partitioned: 0.01,
         lost: 0.005,
         late: 0.5,
-        stands_still: 0.01,
+        process_pause: 0.01,
         isolated: 0.01,
-        deaf: 0.03,
+        not_receiving: 0.03,
         reboots: 0.02,
-        copies: 0.1,
-        repeats: 0.1,
-        mistaken: 0.1,
+        duplicate_reports: 0.1,
+        repeated_requests: 0.1,
+        broken_jobs: 0.1,
         ..Default::default()
     };
-    play_all(1_100..1_112, trouble);
+    run_seeds(1_100..1_112, profile);
 }
--- a/src/coordination/simulation/users.rs
+++ b/src/coordination/simulation/users.rs
@@ -55,7 +55,7 @@
         let others: Vec<usize> = others.collect();
         let node = others[self.rng.random_range(0..others.len())];
         if self.controllers[node].is_some() && !self.lost() {
-            let repeats = self.trouble.repeats;
+            let repeats = self.trouble.repeated_requests;
             let again = accepted && self.odds(repeats);
             let look = if submits && (!accepted || again && !withdraw) {
                 Look::Submits
--- a/src/coordination/simulation/withdrawals.rs
+++ b/src/coordination/simulation/withdrawals.rs
@@ -5,7 +5,7 @@
 /// A job whose withdrawal was confirmed this long ago, and the machine that a task of it is on; its start was ordered
 /// so long after that.
 fn withdrawn(ago: Micros, ordered: Micros) -> (World, String, TaskId) {
-    let mut world = World::new(4, Trouble::default());
+    let mut world = World::new(4, FaultProfile::default());
     let name = world.add_machine("c16", "east", false);
     let job = JobSpec { shape: Shape::Array, tasks: 1, cpus: 1.0, gpus: 0.0, ..world.random_job(1) };
     let job = JobSpec { zone: None, spot: true, team: "green".into(), ..job };
--- a/src/coordination/simulation/workers.rs
+++ b/src/coordination/simulation/workers.rs
@@ -135,7 +135,7 @@
                 }
                 TaskState::Waiting => (t.state, t.cause) = (TaskState::Ended, Some(Cause::Alone)),
                 TaskState::Running if w.faulty || self.mistaken.contains(&id.job) => {
-                    let trouble = if w.faulty { "faulty" } else { "mistaken" };
+                    let trouble = if w.faulty { "faulty" } else { "broken_jobs" };
                     *self.met.troubles.entry(trouble).or_default() += 1;
                     (t.state, t.cause) = (TaskState::Ended, Some(Cause::Error))
                 }
@@ -182,9 +182,10 @@
             let (session, tally) = (w.session, w.tally);
             let late = self.trouble.late;
             // What cannot be sent leaves no copies.
-            let (copies, keeps) = if mute { (0.0, 0.0) } else { (self.trouble.copies, self.keeps_reports) };
+            let (copies, keeps) =
+                if mute { (0.0, 0.0) } else { (self.trouble.duplicate_reports, self.keeps_reports) };
             let cut = cut && self.meets("machine_cut")
-                || mute && self.meets("mute")
+                || mute && self.meets("blocked_reports")
                 || self.zone_cut(self.controller_zones[node], &zone) && self.meets("zone_cut");
             if self.odds(keeps) {
                 self.kept.push(report.clone());
@@ -289,9 +290,9 @@
                 || w.deaf_until > now
                 || self.zone_cut(self.controller_zones[node], &w.zone)
         });
-        let share = self.trouble.held_up;
+        let share = self.trouble.delayed_orders;
         if !held_up && self.odds(share) {
-            self.meets("held_up");
+            self.meets("delayed_orders");
             let machine = machine.to_owned();
             self.soon(S, 8 * S, Happening::LateOrders { machine, orders, sent });
             return DirectReply::Unclear;
@@ -358,7 +359,7 @@
             || w.deaf_until > now
         {
             if w.deaf_until > now {
-                self.meets("deaf");
+                self.meets("not_receiving");
             }
             return;
         }
