--- a/src/coordination/simulation/at_limits.rs
+++ b/src/coordination/simulation/at_limits.rs
@@ -1,5 +1,5 @@
-//! Random runs in which every team has more work than either of its limits allows, of all shapes, under any two troubles
-//! and, beside them, controllers that stall between a decision and its sending.
+//! Random runs in which every team has more work, of all shapes, than either of its limits allows, under any two kinds of
+//! fault and with controllers that stall between a decision and its sending.
 
 use super::meetings_limits::{ask_to_withdraw, go, running, with_more_than_limits_allow};
 use super::pairs::{combined_profile, fault_pairs};
@@ -7,14 +7,14 @@
 
 /// The first run's seed.
 const FIRST_SEED: u64 = 2_000_000;
-/// How often a second a controller stalls before sending.
+/// The rate of stalls before sending.
 const STALLS_PER_SECOND: f64 = 0.02;
-/// Seconds of calm in which all that is left gets done: three accelerators at a time do a team's.
+/// The time in which all remaining work completes in calm. A team runs it on three accelerators at a time, so it is long.
 const DRAIN_TIME_S: u64 = 1_500;
-/// Rounds of a run, each of up to four seconds.
+/// The number of rounds in a run, each of up to four seconds.
 const ROUNDS: u32 = 40;
 
-/// A job of any shape for one of the teams, larger than what is left of its limits.
+/// A random job of any shape for one of the teams, larger than what remains of the team's limits.
 fn job_beyond_limits(world: &mut World, n: u32) -> JobSpec {
     let team = ["blue", "green", "red"][n as usize % 3];
     let spec = world.random_job(n);
@@ -27,7 +27,7 @@
     JobSpec { team: team.into(), tasks, cpus, gpus: accelerators, zone: None, ..spec }
 }
 
-/// A controller stalls before sending for up to as long as leases last, now and then.
+/// Makes a random controller stall before sending, at the rate `STALLS_PER_SECOND`, for up to as long as leases last.
 fn maybe_stall(world: &mut World, seconds: f64) {
     if world.odds(STALLS_PER_SECOND * seconds) {
         let node = world.rng.random_range(0..world.settings.len());
@@ -36,7 +36,7 @@
     }
 }
 
-/// Plays one run; it ends in calm, when all that was accepted and not withdrawn must be over.
+/// Runs one seed. After a calm period at the end, every accepted job must be done or withdrawn.
 fn run_seed(seed: u64, profile: FaultProfile) -> World {
     let (mut world, mut n) = with_more_than_limits_allow(seed);
     go(&mut world, Micros::from_secs(25));
@@ -68,7 +68,7 @@
     world
 }
 
-/// Plays so many runs from one on, each under the next pair of troubles.
+/// Runs `count` seeds beginning with `from`, each under the next pair of faults.
 fn run_seeds(from: u64, count: u64) {
     let pairs = fault_pairs();
     let run = |seed: u64| {
@@ -80,34 +80,35 @@
     });
 }
 
-/// Guards both limits of every team under any two troubles and stalls: `MARBLEWALK_SOAK` times as many runs.
+/// Guards both limits of every team under any two kinds of fault and stalls; with `MARBLEWALK_SOAK`, in that many times as
+/// many runs.
 #[test]
-fn teams_at_both_limits_stay_within_them_under_any_two_troubles() {
+fn teams_at_both_limits_stay_within_them_under_any_two_kinds_of_fault() {
     run_seeds(FIRST_SEED, 12 * super::troubles::soak_factor());
 }
 
-/// Guards the check of all usage, which is left out where a member counts more than runs: under two troubles and stalls, with
-/// every team at its limits, it must be made in a good part of the rounds, or it guards nothing. (d0f2704 narrowed it: a
-/// member that had not followed the store counted unknown tasks as all that their machine had left, and nothing had been
-/// exceeded.)
+/// Guards against a check of total usage that is skipped too often to detect anything. It is skipped where a controller
+/// counts more usage than there is; under two kinds of fault and stalls, with every team at its limits, it must be made
+/// in more than half of the rounds. (d0f2704 narrowed it: a controller that had not followed the store counted unknown
+/// tasks as using all that was left of their machine, although no limit was exceeded.)
 #[test]
-fn the_check_of_all_usage_is_made_in_a_good_part_of_the_rounds() {
-    let (mut made, mut left_out) = (0, 0);
+fn total_usage_is_checked_in_most_rounds() {
+    let (mut checked, mut skipped) = (0, 0);
     for seed in FIRST_SEED..FIRST_SEED + 4 {
         let (_, profile) = combined_profile(fault_pairs()[(seed - FIRST_SEED) as usize]);
         let world = run_seed(seed, profile);
         for controller in world.controllers.iter().flatten() {
-            let (compared, not) = controller.quota_guard.usage_checks();
-            (made, left_out) = (made + compared, left_out + not);
+            let (compared, not_compared) = controller.quota_guard.usage_checks();
+            (checked, skipped) = (checked + compared, skipped + not_compared);
         }
     }
-    eprintln!("all usage compared {made} times, left out {left_out} times");
-    assert!(made > left_out, "compared {made} times, left out {left_out} times");
+    eprintln!("total usage checked {checked} times, skipped {skipped} times");
+    assert!(checked > skipped, "checked {checked} times, skipped {skipped} times");
 }
 
-/// Plays one run again: `MARBLEWALK_SEED=2000001 cargo test replay_at_limits -- --ignored --nocapture`.
+/// Repeats one run: `MARBLEWALK_SEED=2000001 cargo test replay_at_limits -- --ignored --nocapture`.
 #[test]
-#[ignore = "plays the run that MARBLEWALK_SEED names"]
+#[ignore = "repeats the run with the seed in MARBLEWALK_SEED"]
 fn replay_at_limits() {
     let seed = std::env::var("MARBLEWALK_SEED").unwrap().parse().unwrap();
     run_seeds(seed, 1);
--- a/src/coordination/simulation/limits.rs
+++ b/src/coordination/simulation/limits.rs
@@ -1,9 +1,10 @@
-//! Teams held against their limits, as the rules count them.
+//! The simulation's check of teams' limits, and runs of teams at their limits.
 
 use super::*;
 
-/// Puts as many tasks of a job of the red team on a machine as take one accelerator more than its limit.
-fn too_many(befalls: fn(&mut World, &str)) -> World {
+/// A world in which a machine runs tasks of the red team that take one accelerator more than its limit. `alter` then
+/// changes the world or the machine named.
+fn world_over_limit(alter: fn(&mut World, &str)) -> World {
     let mut world = World::new(3, FaultProfile::default());
     let name = world.add_machine("g8", "east", false);
     let job = JobSpec { shape: Shape::Array, tasks: 5, cpus: 1.0, gpus: 1.0, ..world.random_job(4) };
@@ -15,7 +16,7 @@
         let task = Running { attempt: 1, state, cause: None, until: Micros::MAX, ordered, arrived };
         world.workers.get_mut(&name).unwrap().tasks.insert(TaskId::new(&job.id, index), task);
     }
-    befalls(&mut world, &name);
+    alter(&mut world, &name);
     world
 }
 
@@ -23,17 +24,18 @@
     world.workers.get_mut(name).unwrap()
 }
 
-/// Guards the judge of limits: accelerators of a team that is not the first one, on a machine that runs.
+/// Guards the check of limits: it must count accelerators, also of a team that is not the first one.
 #[test]
 #[should_panic(expected = "quota: red takes (5000, 5000)")]
-fn a_team_that_takes_more_accelerators_than_its_limit_is_a_fault() {
-    too_many(|_, _| {}).check();
+fn use_of_more_accelerators_than_the_limit_is_detected() {
+    world_over_limit(|_, _| {}).check();
 }
 
-/// Guards the judge of limits: nobody can ask the machine, and the job was withdrawn.
+/// Guards the check of limits: it must count tasks of a withdrawn job on a hung machine that no controller reaches, as
+/// long as the machine's lease holds.
 #[test]
 #[should_panic(expected = "quota: red takes (5000, 5000)")]
-fn withdrawn_tasks_on_a_hung_machine_that_nobody_reaches_count_within_its_lease() {
+fn withdrawn_tasks_on_an_unreachable_hung_machine_count_within_its_lease() {
     let hung = |world: &mut World, name: &str| {
         let lease = world.lease();
         let w = worker(world, name);
@@ -42,36 +44,36 @@
         world.now = now;
         world.jobs.values_mut().for_each(|w| w.told_final = Some((FinalState::Withdrawn, now)));
     };
-    too_many(hung).check();
+    world_over_limit(hung).check();
 }
 
-/// What is not there does not count: tasks without their image, and tasks of machines that are dead, or past their
-/// lease, where a hung one would end them before anything else.
+/// Guards against counting tasks that take no resources: those that still fetch their image, and those of machines that
+/// are dead or whose lease has expired, as a hung machine ends its tasks first when it resumes after that.
 #[test]
-fn tasks_that_are_not_there_count_against_no_limit() {
+fn tasks_that_cannot_run_count_against_no_limit() {
     let fetching = |world: &mut World, name: &str| {
         let task = worker(world, name).tasks.values_mut().next().unwrap();
         task.state = TaskState::Fetching;
     };
     let dead = |world: &mut World, name: &str| worker(world, name).dead = true;
-    let lapsed = |world: &mut World, name: &str| {
+    let expired = |world: &mut World, name: &str| {
         let lease = world.lease();
         let w = worker(world, name);
         w.hung_until = Micros::MAX;
         let now = w.renewed + lease + Micros(1);
         world.now = now;
     };
-    for befalls in [fetching as fn(&mut World, &str), dead, lapsed] {
-        let mut world = too_many(befalls);
+    for alter in [fetching as fn(&mut World, &str), dead, expired] {
+        let mut world = world_over_limit(alter);
         world.check();
         assert!(world.met.peaks[2].1 <= 4_000);
     }
 }
 
-/// Guards every team's limit, of processors and of accelerators, while controllers end, machines hang and are cut off,
-/// and jobs are withdrawn: each limit binds at some time.
+/// Guards every team's limits of processors and accelerators while controllers crash, machines hang and are cut off, and
+/// jobs are withdrawn. Each limit must bind at some time.
 #[test]
-fn teams_at_their_limits_stay_within_them_whatever_happens() {
+fn teams_stay_within_their_limits_under_crashes_and_machine_faults() {
     let profile = FaultProfile {
         crash: 0.03,
         crash_all: 0.004,
@@ -112,7 +114,7 @@
         }
     }
     eprintln!("{peaks:?}");
-    // A task takes one or two processors, so that no other fits beside what binds.
+    // A task takes one or two processors: if a limit's remainder is smaller than that, the limit binds.
     assert!(peaks[0].0 >= 39_000 && peaks[2].0 >= 23_000, "{peaks:?}: a limit never bound");
     assert_eq!((peaks[0].1, peaks[2].1), (4_000, 4_000), "a limit never bound");
 }
--- a/src/coordination/simulation/pairs.rs
+++ b/src/coordination/simulation/pairs.rs
@@ -1,16 +1,17 @@
-//! Every trouble that a random run may draw: each alone, every two, and all at once.
+//! Random runs under each kind of fault alone, under every two kinds, and under all of them combined.
 
 use super::*;
 
-/// The first pair's first seed, and how many seeds each pair may have.
+/// The first seed of the first pair.
 const FIRST_SEED: u64 = 100_000;
+/// The number of seeds reserved for each pair.
 const SEEDS_PER_PAIR: u64 = 1_000;
 
-/// Adds a trouble to a run's.
+/// Adds one kind of fault to a profile.
 type EnableFault = fn(&mut FaultProfile);
 
-/// Every trouble that a random run may draw, each by itself at odds at which it is met several times in a run. New ones
-/// come last, so that the pairs before them keep their seeds.
+/// All kinds of fault, by name, each at a rate at which it takes effect several times in a run. Append new kinds at the
+/// end: the seeds of a pair follow from its position.
 fn all_faults() -> Vec<(&'static str, EnableFault)> {
     vec![
         ("crash", |t| t.crash = 0.03),
@@ -51,8 +52,8 @@
     ]
 }
 
-/// Every two troubles: their numbers in the list. The first troubles' come first, as they were numbered when there were
-/// no more; then those of each later trouble with all before it.
+/// All pairs of faults, as positions in `all_faults`. First come the pairs of the 23 oldest kinds, whose seeds were fixed
+/// when there were no others; then those of each later kind with all kinds before it.
 pub(super) fn fault_pairs() -> Vec<(usize, usize)> {
     let first = 23;
     let mut pairs: Vec<_> = (0..first).flat_map(|i| (i + 1..first).map(move |j| (i, j))).collect();
@@ -60,7 +61,7 @@
     pairs
 }
 
-/// The two troubles of a pair together, with a third of the jobs withdrawn, and the pair's name.
+/// A pair's name, and the profile with both of its faults, under which a third of the jobs are withdrawn.
 pub(super) fn combined_profile((i, j): (usize, usize)) -> (String, FaultProfile) {
     let faults = all_faults();
     let mut profile = FaultProfile { withdrawn: 0.3, ..Default::default() };
@@ -69,7 +70,7 @@
     (format!("{} and {}", faults[i].0, faults[j].0), profile)
 }
 
-/// Plays every two troubles together; `part` of `of` of the pairs. Each pair has seeds of its own.
+/// Runs part number `part` of the pairs, cut into `of` parts. Each pair has its own seeds.
 fn run_pairs(part: usize, of: usize) {
     let mut runs = Vec::new();
     for (n, pair) in fault_pairs().into_iter().enumerate().filter(|(n, _)| n % of == part) {
@@ -82,7 +83,7 @@
     super::troubles::run_each(runs);
 }
 
-/// Plays the runs of pairs that these seeds name.
+/// Runs these seeds, each under the pair of faults that it belongs to.
 pub(super) fn run_pair_seeds(seeds: &[u64]) {
     let runs = seeds.iter().map(|seed| {
         let (name, profile) =
@@ -92,9 +93,9 @@
     super::troubles::run_each(runs.collect());
 }
 
-/// Plays one run of a pair again: `MARBLEWALK_SEED=267001 cargo test replay_a_pair -- --ignored --nocapture`.
+/// Repeats one run of a pair: `MARBLEWALK_SEED=267001 cargo test replay_a_pair -- --ignored --nocapture`.
 #[test]
-#[ignore = "plays the run of a pair that MARBLEWALK_SEED names"]
+#[ignore = "repeats the run of a pair with the seed in MARBLEWALK_SEED"]
 fn replay_a_pair() {
     let seed: u64 = std::env::var("MARBLEWALK_SEED").unwrap().parse().unwrap();
     let (name, profile) = combined_profile(fault_pairs()[((seed - FIRST_SEED) / SEEDS_PER_PAIR) as usize]);
@@ -102,25 +103,26 @@
     super::troubles::run_random(seed, profile);
 }
 
-/// Guards the troubles themselves: one that is drawn and met by nothing guards nothing. Each is drawn alone.
+/// Guards against a fault that is injected but has no effect, so that its tests would check nothing. Each kind is injected
+/// alone.
 #[test]
-fn every_trouble_drawn_alone_is_met() {
+fn every_kind_of_fault_takes_effect() {
     for (n, (name, enable)) in all_faults().into_iter().enumerate() {
         let mut alone = FaultProfile::default();
         enable(&mut alone);
-        let met = |seed| {
+        let effects = |seed| {
             super::troubles::run_random(seed, alone).met.troubles.get(name).copied().unwrap_or_default()
         };
-        let met: u32 = (0..3).map(|seed| met(90_000 + 10 * n as u64 + seed)).sum();
-        eprintln!("{name}: {met}");
-        assert!(met > 0, "{name} was not met");
+        let effects: u32 = (0..3).map(|seed| effects(90_000 + 10 * n as u64 + seed)).sum();
+        eprintln!("{name}: {effects}");
+        assert!(effects > 0, "{name} never took effect");
     }
 }
 
-/// Guards every rule against all that may be drawn, at once: messages fast and slow, machines quick to be up and not, and
-/// with a leader that lasts and one that ends every 12 s.
+/// Guards every rule against all kinds of fault combined, by turns with fast and slow messages, with fast and slow boots
+/// of machines, and with a leader that stays and one that crashes every 12 s.
 #[test]
-fn all_that_may_be_drawn_at_once_breaks_no_rule() {
+fn all_faults_combined_break_no_rule() {
     let profile = FaultProfile {
         crash: 0.01,
         crash_all: 0.002,
@@ -168,8 +170,8 @@
     super::troubles::run_each(runs);
 }
 
-/// Guards the check of what is forgotten: with the store away for 70 s when the last job had come, it took a job for
-/// forgotten about which nobody could have answered.
+/// Guards against a false alarm of the check for forgotten jobs: the store was down for 70 s after the last submission, and
+/// the check reported a job about which no controller could have answered.
 #[test]
 fn a_long_outage_at_the_end_of_a_run_is_not_taken_for_a_forgotten_job() {
     let profile = FaultProfile {
@@ -181,10 +183,11 @@
     super::troubles::run_random(249_015, profile);
 }
 
-/// Guards jobs in calm against waiting for 90 s beside a machine that fits while their team is under its limit. Pairs and
-/// seeds in which one did: gangs and arrays of a team near its limits, whatever the troubles were.
+/// Guards against a job that waits for 90 s in a calm period although a machine has room for it and its team is under its
+/// limit. The pairs and seeds are ones in which a job did: gangs and arrays of a team near its limits, under various
+/// faults.
 #[test]
-fn no_job_is_neglected_in_calm_after_two_troubles() {
+fn no_job_is_neglected_in_calm_after_two_kinds_of_fault() {
     let runs = [128_001, 132_000, 171_000, 388_000, 431_000].map(|seed: u64| {
         let (i, j) = fault_pairs()[(seed as usize - 100_000) / 1_000];
         let mut profile = FaultProfile { withdrawn: 0.3, checks_neglect: true, ..Default::default() };
@@ -195,8 +198,8 @@
     super::troubles::run_each(runs.into());
 }
 
-/// Every rule where any two troubles meet, cut in eight, so that they are played at once.
-mod no_two_troubles_together_break_a_rule {
+/// Guards every rule under any two kinds of fault; in eight parts, which run in parallel.
+mod no_two_kinds_of_fault_break_a_rule {
     use super::run_pairs;
 
     #[test]
--- a/src/coordination/simulation/troubles.rs
+++ b/src/coordination/simulation/troubles.rs
@@ -1,74 +1,85 @@
-//! Troubles, and runs of a few minutes under them.
+//! Fault injection: which faults a random run may inject, how they are drawn, and runs of a few minutes under them.
 
 use super::*;
 
-/// Troubles that a run may bring, each with its odds per second.
+/// Which faults a run may inject. A number is the fault's expected rate per second unless its comment says otherwise.
 #[derive(Clone, Copy, Default)]
 pub(super) struct FaultProfile {
-    /// No trouble: a run fails for a job neglected in calm.
-    #[expect(dead_code, reason = "every run is judged so by now; older tests still ask for it by name")]
+    /// No fault: a run fails if a job is neglected in a calm period.
+    #[expect(dead_code, reason = "every run is checked for neglect; older tests still set the flag")]
     pub(super) checks_neglect: bool,
+    /// One controller, or all of them, crash and are restarted.
     pub(super) crash: f64,
     pub(super) crash_all: f64,
+    /// A machine dies, is disconnected for 1 to 50 s, or hangs for as long.
     pub(super) machine_dies: f64,
     pub(super) machine_cut: f64,
     pub(super) machine_hangs: f64,
+    /// A machine becomes faulty: every task that runs on it fails.
     pub(super) faulty: f64,
+    /// A spot machine gets a preemption notice, or dies if it has one already.
     pub(super) spot_preempted: f64,
+    /// The store is down for all controllers, or refuses one controller only.
     pub(super) store_outage: f64,
     pub(super) store_refuses_one: f64,
     pub(super) cloud_outage: f64,
+    /// Two controllers are partitioned from each other.
     pub(super) peers_partitioned: f64,
+    /// Probability per message: it is lost; and that a lost report or transaction arrives up to a minute later after all.
     pub(super) lost: f64,
     pub(super) late: f64,
-    /// A controller stands still while its clock runs on.
+    /// A controller's process is paused while its clock runs on.
     pub(super) process_pause: f64,
     /// A controller loses the store and the other controllers, not its workers.
     pub(super) isolated: f64,
-    /// A machine's reports arrive, answers and commands don't reach it.
+    /// A machine's reports arrive, but answers and orders do not reach it.
     pub(super) not_receiving: f64,
-    /// A machine is started again within a fraction of a second, with a new session and no tasks.
+    /// A machine reboots within a fraction of a second, with a new session and no tasks.
     pub(super) reboots: f64,
-    /// Odds, not a second but each time: a report is copied, the copy comes late, to whichever controller is
-    /// there; a user repeats what was carried out; a job is submitted with a mistake.
+    /// Probability per report: a copy of it arrives late at a random controller, in whichever incarnation that is.
     pub(super) duplicate_reports: f64,
+    /// Probability per request: a user repeats a request that was carried out.
     pub(super) repeated_requests: f64,
+    /// Probability per job: it is broken and fails wherever it runs.
     pub(super) broken_jobs: f64,
     /// The store answers slowly.
     pub(super) store_slow: f64,
-    /// The store refuses the leader alone, and then everybody, for longer than a withdrawal may take.
+    /// The store refuses the leader alone, and then all controllers, for longer than a withdrawal may take.
     pub(super) refusal_then_outage: f64,
-    /// Odds, each time: a transaction gets no answer and is carried out 2 to 12 s later; a job is withdrawn.
+    /// Probability per transaction: it gets no answer and is committed 2 to 12 s later.
     pub(super) late_writes: f64,
+    /// Probability per job: it is withdrawn.
     pub(super) withdrawn: f64,
-    /// Orders to a worker's address are held up for seconds, with their answer.
+    /// Probability per call: orders to a worker's address arrive seconds later, and the call gets no answer.
     pub(super) delayed_orders: f64,
-    /// Odds, each time: a transaction is carried out and its answer lost; a copy of a report is kept for the next leader.
+    /// Probability per transaction: it is committed, but its answer is lost.
     pub(super) answers_lost: f64,
+    /// Probability per report: a copy of it is kept and delivered when the next leader appears.
     pub(super) kept_reports: f64,
-    /// A machine's reports reach nobody; direct commands reach it and are answered.
+    /// A machine's reports reach no controller; direct orders reach it and are answered.
     pub(super) blocked_reports: f64,
-    /// The leader ends every 12 s.
+    /// The leader crashes every 12 s.
     pub(super) leader_crashes: bool,
-    /// Users call off some of the running jobs within 0.2 s, and in half of the cases their machines hang.
+    /// Users withdraw some of the running jobs within 0.2 s, and in half of the cases their machines hang.
     pub(super) withdraw_running: f64,
-    /// Odds, each time: a job is called off at the moment at which its last task ends.
+    /// Probability per job: it is withdrawn at the moment at which its last task ends.
     pub(super) withdraw_at_end: f64,
-    /// Machines are up within two seconds; messages are under way for long.
+    /// Machines boot within two seconds; every message takes 50 to 400 ms longer.
     pub(super) quick_boots: bool,
     pub(super) slow_links: bool,
-    /// A zone's workers and controllers reach only each other; all controllers are away: each for longer than the
+    /// A zone's workers and controllers reach only each other; all controllers are down. Each lasts longer than the
     /// workers' lease.
     pub(super) zone_cut: f64,
     pub(super) all_controllers_down: f64,
-    /// Users ask for what makes no sense.
+    /// Users send invalid requests.
     pub(super) invalid_requests: f64,
-    /// Odds, each time: a user who first hears that a job is accepted, done or withdrawn asks everywhere.
+    /// Probability each time that a user first learns that a job is accepted, done or withdrawn: the user then queries
+    /// every controller.
     pub(super) query_everywhere: f64,
 }
 
 impl World {
-    /// These troubles may be drawn from now on.
+    /// Sets which faults may be injected from now on.
     pub(super) fn set_fault_profile(&mut self, profile: FaultProfile) {
         self.trouble = profile;
         self.boots = if profile.quick_boots { 200 * MS..2 * S } else { S..15 * S };
@@ -78,14 +89,15 @@
         self.looks = profile.query_everywhere;
     }
 
+    /// Draws the faults that begin within the next `seconds`, at most one per kind.
     pub(super) fn inject_faults(&mut self, seconds: f64) {
         let t = self.trouble;
         let s = |p: f64| p * seconds;
         if self.odds(s(t.crash)) {
             let n = self.rng.random_range(0..self.settings.len());
-            let there = self.controllers[n].is_some();
+            let was_up = self.controllers[n].is_some();
             self.crash(n);
-            there.then(|| self.meets("crash"));
+            was_up.then(|| self.meets("crash"));
         }
         if self.odds(s(t.crash_all)) && self.meets("crash_all") {
             (0..self.settings.len()).for_each(|n| self.crash(n));
@@ -206,12 +218,12 @@
         }
     }
 
-    /// The controller that leads, as it sees it itself.
+    /// The first controller that takes itself for the leader.
     pub(super) fn leader(&self) -> Option<usize> {
         (0..self.settings.len()).find(|n| self.controllers[*n].as_ref().is_some_and(Controller::leading))
     }
 
-    /// What each controller knows of a job, for the message of a failed run.
+    /// Describes what each controller knows of a job, for the message of a failed run.
     pub(super) fn describe_job(&self, id: &str) -> String {
         let mut text = String::new();
         for c in self.controllers.iter().flatten() {
@@ -243,13 +255,13 @@
         text
     }
 
-    /// How long an ended controller stays away: half of them are started again within a fraction of a
-    /// second.
+    /// Draws how long a crashed controller stays down: half of them are restarted within a fraction of a second.
     fn random_downtime(&mut self) -> Micros {
         let quick = self.rng.random_bool(0.5);
         Micros(self.rng.random_range(if quick { 50 * MS..700 * MS } else { 700 * MS..7 * S }))
     }
 
+    /// Crashes a controller, unless it is down already; it restarts after a random time.
     pub(super) fn crash(&mut self, n: usize) {
         if self.controllers[n].is_some() {
             let downtime = self.random_downtime();
@@ -257,7 +269,7 @@
         }
     }
 
-    /// Ends a controller, which is started again after a time of one's own.
+    /// Crashes a controller, unless it is down already; it restarts after the given time.
     pub(super) fn crash_for(&mut self, n: usize, downtime: Micros) {
         if self.controllers[n].take().is_some() {
             self.lives[n] += 1;
@@ -266,8 +278,8 @@
     }
 }
 
-/// A run of a few minutes under the given trouble; at the end all is calm, and all that was accepted
-/// and not withdrawn must be done.
+/// Runs a random workload for a few minutes under the given faults. After a calm period at the end, every accepted job
+/// must be done or withdrawn.
 pub(super) fn run_random(seed: u64, profile: FaultProfile) -> World {
     let mut world = World::new(seed, profile);
     world.run(Micros::from_secs(5));
@@ -312,35 +324,35 @@
             world.describe_job(id)
         );
     }
-    assert!(world.started > 50, "seed {seed}: hardly anything ran");
+    assert!(world.started > 50, "seed {seed}: too few tasks were started");
     world.odd_ones_refused();
     world
 }
 
-/// How many times as many seeds as in CI are to be played: `MARBLEWALK_SOAK`, a number.
+/// The number by which a soak multiplies CI's number of seeds, from `MARBLEWALK_SOAK`; 1 without it.
 pub(super) fn soak_factor() -> u64 {
     std::env::var("MARBLEWALK_SOAK").ok().and_then(|n| n.parse().ok()).unwrap_or(1).max(1)
 }
 
-/// How many runs are played at once in a soak: `RUST_TEST_THREADS`, or as many as there are processors.
+/// The number of parallel runs in a soak: `RUST_TEST_THREADS`, or the number of processors.
 fn parallel_runs() -> usize {
     let processors = || std::thread::available_parallelism().map_or(1, |n| n.get());
     std::env::var("RUST_TEST_THREADS").ok().and_then(|n| n.parse().ok()).unwrap_or_else(processors).max(1)
 }
 
-/// Plays the seeds given; with `MARBLEWALK_SOAK` that many times as many.
+/// Runs the given seeds, and in a soak the `soak_factor` times as many that follow them.
 pub(super) fn run_seeds(seeds: std::ops::Range<u64>, profile: FaultProfile) {
     let count = (seeds.end - seeds.start) * soak_factor();
     run_each((seeds.start..seeds.start + count).map(|seed| (String::new(), seed, profile)).collect());
 }
 
-/// Plays runs, each with what it is called, one after the other; in a soak on all processors, and all that failed
-/// are named at the end.
+/// Runs each of (name, seed, profile), one after the other. In a soak the runs share all processors, and the failed ones
+/// are listed at the end.
 pub(super) fn run_each(runs: Vec<(String, u64, FaultProfile)>) {
     run_each_with(runs, |seed, profile| drop(run_random(seed, profile)));
 }
 
-/// The same, each played by a function of one's own.
+/// As `run_each`, with the given function in place of `run_random`.
 pub(super) fn run_each_with(runs: Vec<(String, u64, FaultProfile)>, run: fn(u64, FaultProfile)) {
     if soak_factor() <= 1 {
         return runs.into_iter().for_each(|(_, seed, profile)| run(seed, profile));
@@ -367,18 +379,18 @@
 }
 
 #[test]
-fn a_quiet_cluster_does_all_its_work() {
+fn all_jobs_complete_without_faults() {
     run_seeds(0..6, FaultProfile { checks_neglect: true, ..Default::default() });
 }
 
-/// Guards against the fault by which a task's place was forgotten when a machine changed hands.
+/// Guards against forgetting where a task runs when its machine is granted to another controller.
 #[test]
-fn controllers_that_crash_singly_and_together_run_nothing_twice() {
+fn crashes_of_one_or_all_controllers_run_no_task_twice() {
     run_seeds(100..108, FaultProfile { crash: 0.04, crash_all: 0.01, ..Default::default() });
 }
 
 #[test]
-fn state_outages_with_crashes_lose_no_accepted_job() {
+fn store_outages_with_crashes_lose_no_accepted_job() {
     run_seeds(
         200..208,
         FaultProfile { store_outage: 0.03, crash_all: 0.015, crash: 0.02, ..Default::default() },
@@ -386,15 +398,15 @@
 }
 
 #[test]
-fn a_controller_refused_by_the_store_alone_falls_silent_in_time() {
+fn a_controller_refused_by_the_store_becomes_inactive_in_time() {
     let profile = FaultProfile { store_refuses_one: 0.03, machine_cut: 0.05, ..Default::default() };
     run_seeds(300..308, profile);
-    // A start that was planned for a withdrawn job, sent minutes later.
+    // A start that was planned before its job was withdrawn was sent minutes later.
     run_random(32_053, profile);
 }
 
 #[test]
-fn machines_that_die_hang_or_are_cut_off_neither_block_nor_double_work() {
+fn machines_that_die_hang_or_are_cut_off_neither_block_nor_duplicate_tasks() {
     let profile = FaultProfile {
         machine_dies: 0.03,
         machine_cut: 0.05,
@@ -405,25 +417,25 @@
         ..Default::default()
     };
     run_seeds(400..408, profile);
-    // A session that began unheard was taken for one that had lapsed.
+    // A session whose first reports were lost was taken for one that had expired.
     run_random(42_017, profile);
 }
 
 #[test]
-fn messages_lost_or_minutes_late_change_nothing() {
+fn lost_and_late_messages_break_no_rule() {
     let profile = FaultProfile { lost: 0.03, late: 0.7, crash: 0.02, ..Default::default() };
     run_seeds(500..508, profile);
 }
 
 #[test]
-fn controllers_apart_from_each_other_keep_the_rules() {
+fn controllers_partitioned_from_each_other_break_no_rule() {
     let profile =
         FaultProfile { peers_partitioned: 0.04, crash: 0.02, cloud_outage: 0.02, ..Default::default() };
     run_seeds(600..608, profile);
 }
 
 #[test]
-fn everything_at_once_breaks_no_rule() {
+fn basic_faults_combined_break_no_rule() {
     let profile = FaultProfile {
         crash: 0.02,
         crash_all: 0.004,
@@ -443,10 +455,10 @@
     run_seeds(700..712, profile);
 }
 
-/// Guards against what copies prove: a late one of a report says nothing about now, whoever it comes to, also a
-/// controller that has just begun, and what was carried out is not carried out again.
+/// Guards against taking a late copy of a report for the machine's present state, at any controller, also one that has
+/// just started, and against carrying out a repeated request a second time.
 #[test]
-fn late_copies_and_repeats_prove_nothing() {
+fn late_report_copies_and_repeated_requests_change_nothing() {
     let profile = FaultProfile {
         duplicate_reports: 0.3,
         repeated_requests: 0.3,
@@ -458,10 +470,10 @@
     run_seeds(800..808, profile);
 }
 
-/// Guards against trust in a machine that speaks and does not hear: its tasks die with its sessions, and its jobs
-/// go on elsewhere, also where their controllers end.
+/// Guards against relying on a machine whose reports arrive but which receives nothing: its tasks end with its sessions,
+/// and its jobs continue on other machines, also when their controllers crash.
 #[test]
-fn machines_that_do_not_hear_hold_nothing_up() {
+fn machines_that_receive_nothing_block_no_job() {
     let profile = FaultProfile {
         not_receiving: 0.1,
         reboots: 0.02,
@@ -472,17 +484,18 @@
     run_seeds(900..908, profile);
 }
 
-/// Guards against a controller that goes on with its workers when others may act for it: cut off from the store
-/// and the other controllers, standing still in the middle of it, and back within a fraction of a second.
+/// Guards against a controller that keeps ordering its workers when others may already act for it: it is cut off from the
+/// store and the other controllers, its process is paused meanwhile, or it crashes and is back within a fraction of a
+/// second.
 #[test]
-fn a_controller_with_its_workers_alone_falls_silent_in_time() {
+fn a_controller_that_reaches_only_its_workers_becomes_inactive_in_time() {
     let profile = FaultProfile { isolated: 0.03, process_pause: 0.02, crash: 0.02, ..Default::default() };
     run_seeds(1_000..1_008, profile);
 }
 
-/// Guards every rule against all that the operators have met, at once.
+/// Guards every rule against all faults that operators have met, combined.
 #[test]
-fn all_troubles_of_the_operators_together_break_no_rule() {
+fn faults_seen_by_operators_combined_break_no_rule() {
     let profile = FaultProfile {
         crash: 0.015,
         crash_all: 0.002,
