--- a/src/coordination/simulation/looks.rs
+++ b/src/coordination/simulation/looks.rs
@@ -19,7 +19,7 @@
             return;
         }
         self.met.looks += 1;
-        self.meets("query_everywhere");
+        self.meets("request_bursts");
         let at_once = self.rng.random_bool(0.2);
         let repeats = self.rng.random_bool(0.5);
         let Some(wish) = self.jobs.get_mut(id) else { return };
@@ -153,7 +153,7 @@
 fn users_who_look_everywhere_at_once_hear_nothing_older() {
     let mut met = Met::default();
     for seed in 0..4 {
-        let world = run_random(20_000 + seed, FaultProfile { query_everywhere: 0.7, ..Default::default() });
+        let world = run_random(20_000 + seed, FaultProfile { request_bursts: 0.7, ..Default::default() });
         met.looks += world.met.looks;
         met.unknown_denied += world.met.unknown_denied;
         met.repeated_finals += world.met.repeated_finals;
--- a/src/coordination/simulation/meetings.rs
+++ b/src/coordination/simulation/meetings.rs
@@ -1,9 +1,9 @@
-//! Meetings of two troubles, each brought about by a script that asserts that it did (`docs/meetings.md`).
+//! Scripted combinations of two faults; each test asserts that its combination took place (`docs/meetings.md`).
 
 use super::takeovers::array;
 use super::*;
 
-/// A cluster with standing machines, full of arrays that always have tasks left to start.
+/// A cluster with a fixed set of machines, saturated with arrays that always have tasks left to start.
 pub(super) fn saturated_cluster(seed: u64, jobs: u32) -> World {
     let mut world = World::new(seed, FaultProfile::default());
     for _ in 0..14 {
@@ -18,7 +18,8 @@
     world
 }
 
-/// Withdraws the jobs that this controller owns by way of others; how many withdrawals they recorded, and confirmed.
+/// Withdraws the jobs that this controller owns, through the other controllers, and runs for `length`. Returns how many
+/// withdrawals the others recorded, and how many they confirmed.
 fn withdraw_via_others(world: &mut World, leader: usize, length: Micros) -> (usize, usize) {
     world.passed_over = Some(leader);
     let c = world.controllers[leader].as_ref().unwrap();
@@ -32,26 +33,27 @@
     (world.store.withdrawn.len(), world.jobs.values().filter(told).count())
 }
 
-/// Guards withdrawals, also against being confirmed too soon, from a controller that acts on old knowledge: the store refuses the leader alone, another
-/// confirms withdrawals, and then the store is away for all, for longer than a withdrawal may take. When it is back
-/// all leases have their full time again, so the old leader could renew its own before it had read one change; it
-/// answered its workers and started tasks of jobs withdrawn a minute ago.
+/// Guards against a controller that acts on stale knowledge after an outage, and against withdrawals that are confirmed
+/// too early. The store refuses the leader alone, another controller confirms withdrawals, and then the store is down for
+/// all, for longer than a withdrawal may take. When it is back, all leases have their full term again, so the old leader
+/// could renew its own before it had read any change: it answered its workers and started tasks of jobs that had been
+/// withdrawn a minute before.
 #[test]
-fn a_leader_that_the_store_refused_before_an_outage_acts_on_nothing_it_knew_then() {
+fn a_leader_refused_before_an_outage_does_not_act_on_stale_knowledge_after_it() {
     let mut longest = Micros::ZERO;
     for seed in 0..10 {
         let mut world = saturated_cluster(seed, 12);
         let leader = world.leader().unwrap();
         let refused = Micros(world.rng.random_range(3 * S..13 * S));
         world.befalls(Spell::StoreRefuses(leader), world.now + refused);
-        // Peers that can say what is over are as far away as the store in half of the runs.
+        // In half of the runs the leader also can't reach the peers that could tell it which jobs have ended.
         if seed % 2 == 0 {
             world.befalls(Spell::Apart(leader, (leader + 1) % 3), world.now + Micros::from_secs(80));
             world.befalls(Spell::Apart(leader, (leader + 2) % 3), world.now + Micros::from_secs(80));
         }
         let (recorded, confirmed) = withdraw_via_others(&mut world, leader, Micros::from_millis(2_500));
         assert!(recorded > 0, "seed {seed}: no withdrawal was recorded by another");
-        // One that the leader cannot know of is confirmed when it is silent, and not before.
+        // A withdrawal that the leader cannot know of is confirmed only once the leader is inactive.
         assert_eq!(confirmed == 0, seed % 2 == 0, "seed {seed}: {confirmed} of {recorded} were confirmed");
         let down = world.now;
         world.befalls(Spell::StoreDown, down + Micros::from_secs(69));
@@ -62,18 +64,18 @@
         world.run(world.now + Micros::from_secs(20));
         longest = longest.max(world.met.outlived);
         let told = |id| world.jobs[id].told_final.is_some();
-        assert!(world.store.withdrawn.keys().all(told), "seed {seed}: withdrawals that nobody was told of");
+        assert!(world.store.withdrawn.keys().all(told), "seed {seed}: withdrawals that no user was told of");
     }
-    // Workers keep reporting to the old leader, so something does live on until its lease and theirs are over.
-    eprintln!("longest that a task outlived the record of its withdrawal: {longest:?}");
+    // Workers keep reporting to the old leader, so some tasks do run on until its lease and theirs have expired.
+    eprintln!("longest time for which a task ran after its withdrawal was recorded: {longest:?}");
     assert!(longest > Micros::from_secs(10), "the old leader's tasks were gone after {longest:?}");
 }
 
-/// Guards against a word that is heard and not acted upon: a controller that the store refuses was told by the others
-/// which jobs were over, answered users so, and went on running their tasks; and the word was given once, so that a
-/// status which did not arrive was never made up for.
+/// Guards against ignoring the ends of jobs that other controllers announce. A controller that the store refused learnt
+/// from the others' statuses which jobs had ended and answered users accordingly, but went on running the jobs' tasks;
+/// and each end was announced only once, so that a lost status was never made up for.
 #[test]
-fn what_is_over_by_another_controllers_word_ends_at_once_also_when_the_first_word_is_lost() {
+fn ends_announced_by_peers_stop_tasks_at_once_also_after_a_lost_status() {
     let mut left = 0;
     for seed in 0..4 {
         let mut world = saturated_cluster(seed, 12);
@@ -84,57 +86,63 @@
         let (recorded, _) = withdraw_via_others(&mut world, leader, Micros::from_millis(2_500));
         assert!(recorded > 0, "seed {seed}: no withdrawal was recorded by another");
         world.passed_over = Some(leader);
-        let over: BTreeSet<String> = world.store.withdrawn.keys().cloned().collect();
+        let withdrawn: BTreeSet<String> = world.store.withdrawn.keys().cloned().collect();
         let running = |w: &World| {
             let tasks = w.workers.values().flat_map(|w| &w.tasks);
-            tasks.filter(|(id, t)| over.contains(&id.job) && t.state == TaskState::Running).count()
+            tasks.filter(|(id, t)| withdrawn.contains(&id.job) && t.state == TaskState::Running).count()
         };
         left += running(&world);
         world.run(start + Micros::from_secs(6));
-        assert_eq!(running(&world), 0, "seed {seed}: the old leader keeps tasks of withdrawn jobs running");
+        assert_eq!(running(&world), 0, "seed {seed}: the old leader still runs tasks of withdrawn jobs");
     }
-    assert!(left > 20, "only {left} tasks were left to end");
+    assert!(left > 20, "only {left} tasks were left to stop");
 }
 
-/// Guards the next life's records against the last one's changes: a controller that reads of its own end leaves, and
-/// what stands behind that in the same answer must not be taken in. A job that was withdrawn before the new life loaded
-/// its records stood in them for ever, and its tasks were started.
+/// Guards the records of a controller's next incarnation against changes read by the last one. A controller that reads
+/// that its registration is deleted ends its incarnation, and must not apply the changes that follow in the same reply:
+/// a job that was withdrawn before the new incarnation loaded its records stayed in them for ever, and its tasks were
+/// started.
 #[test]
-fn what_is_read_behind_ones_own_end_is_not_taken_into_the_next_life() {
+fn changes_read_after_the_own_registrations_deletion_are_not_applied() {
     let mut world = saturated_cluster(3, 2);
-    let (node, life) = (1, world.lives[1]);
-    let me = world.settings[node].member.clone();
+    let (node, incarnation) = (1, world.lives[1]);
+    let own_name = world.settings[node].member.clone();
     let c = world.controllers[node].as_ref().unwrap();
-    let (after, mine) = (c.applied_revision, c.incarnation().1);
+    let (after, registration) = (c.applied_revision, c.incarnation().1);
     let spec = array(&mut world, 77, 4);
     let changes = vec![
-        Change::Delete { key: records::registration_key(&me), stamp: after + 1 },
+        Change::Delete { key: records::registration_key(&own_name), stamp: after + 1 },
         Change::Put {
             key: records::live_job_key(&spec.id),
             value: (&serde_json::to_value(&spec).unwrap()).into(),
             stamp: after + 2,
         },
     ];
-    assert!(mine <= after);
-    let news = StoreReply::News(ChangeBatch { revision: after + 2, changes });
+    assert!(registration <= after);
+    let reply = StoreReply::News(ChangeBatch { revision: after + 2, changes });
     let c = world.controllers[node].as_mut().unwrap();
-    c.handle_follow_reply(c.now, news);
-    assert_eq!((c.jobs.len(), c.applied_revision), (0, 0), "changes of no life are kept");
-    assert_eq!(world.lives[node], life);
+    c.handle_follow_reply(c.now, reply);
+    assert_eq!(
+        (c.jobs.len(), c.applied_revision),
+        (0, 0),
+        "changes after the end of the incarnation were applied"
+    );
+    assert_eq!(world.lives[node], incarnation);
 }
 
-/// Guards the gap's other forms: two controllers are refused; one is refused twice; one ends inside and is back at
-/// once; the store is back for a second only, so that some have their full time again and others do not.
+/// Guards against tasks of withdrawn jobs that survive a refusal followed by an outage, in four variants: two controllers
+/// are refused; the leader is refused twice; the leader crashes during the outage and is back at once; the store is back
+/// for a second only, so that some leases have their full term again and others do not.
 #[test]
-fn a_gap_in_any_of_its_forms_leaves_nothing_of_a_withdrawn_job() {
-    for form in 0..4 {
+fn no_task_of_a_withdrawn_job_survives_a_refusal_followed_by_an_outage() {
+    for variant in 0..4 {
         for seed in 20..24 {
             let mut world = saturated_cluster(seed, 12);
             let leader = world.leader().unwrap();
             let other = (leader + 1) % 3;
             let start = world.now;
             world.befalls(Spell::StoreRefuses(leader), start + Micros::from_secs(9));
-            match form {
+            match variant {
                 0 => world.befalls(Spell::StoreRefuses(other), start + Micros::from_secs(9)),
                 1 => {
                     let from = start + Micros::from_secs(40);
@@ -143,26 +151,26 @@
                 _ => {}
             }
             let (_, confirmed) = withdraw_via_others(&mut world, leader, Micros::from_secs(3));
-            assert!(confirmed > 0, "form {form}, seed {seed}: nothing was confirmed by another");
+            assert!(confirmed > 0, "variant {variant}, seed {seed}: nothing was confirmed by another");
             let (down, length) = (world.now, Micros::from_secs(30));
             world.befalls(Spell::StoreDown, down + length);
-            // It is back for a second, or until the second refusal is over.
-            let again = down + length + Micros::from_secs(if form == 3 { 1 } else { 8 });
+            // The store is back for a second, or for eight.
+            let again = down + length + Micros::from_secs(if variant == 3 { 1 } else { 8 });
             world.will_befall(again, Spell::StoreDown, Micros::from_secs(40));
-            if form == 2 {
+            if variant == 2 {
                 world.run(down + Micros::from_secs(10));
                 world.crash_for(leader, Micros::from_millis(300));
             }
             world.run(again + Micros::from_secs(60));
-            world.all_over(400, &format!("form {form}, seed {seed}"));
+            world.all_over(400, &format!("variant {variant}, seed {seed}"));
         }
     }
 }
 
-/// Guards jobs whose tasks end far apart, with a change of leader in between: what has ended must be neither lost nor
-/// run again, and the job called done neither early nor never. Of a gang one `done` makes all done.
+/// Guards jobs whose tasks end far apart, with changes of leader in between: completions must be neither lost nor
+/// repeated, and the job must be reported done, but not early. In a gang one `done` completes all tasks.
 #[test]
-fn jobs_whose_tasks_end_far_apart_outlive_changes_of_leader() {
+fn jobs_whose_tasks_end_far_apart_survive_leader_changes() {
     for seed in 40..48 {
         let mut world = World::new(seed, FaultProfile::default());
         (world.far_apart, world.runs_for) = (true, 20 * S..40 * S);
@@ -182,22 +190,22 @@
             };
             w.jobs.values().filter(begun).count()
         };
-        assert!(partly(&world) > 4, "seed {seed}: no job is done in part");
+        assert!(partly(&world) > 4, "seed {seed}: too few jobs are partly done");
         for _ in 0..2 {
             let leader = world.leader().unwrap();
             world.crash_for(leader, Micros::from_secs(if seed % 2 == 0 { 1 } else { 25 }));
             world.run(world.now + Micros::from_secs(7));
         }
         world.all_over(400, &format!("seed {seed}"));
-        // A completion that nobody had recorded when its controller ended may be lost with it.
+        // A completion that was not recorded when its controller crashed may be lost with it.
         assert!(world.met.done_again <= 2, "seed {seed}: {} tasks ran again", world.met.done_again);
     }
 }
 
-/// Guards what a transaction that got no answer does when it is carried out after newer ones of its controller: every
-/// kind of commit is late here, with controllers that end and work that is withdrawn.
+/// Guards against a transaction that got no answer and takes effect after newer ones of its controller. Every kind of
+/// transaction is delayed here, while controllers crash and jobs are withdrawn.
 #[test]
-fn transactions_carried_out_after_newer_ones_change_nothing() {
+fn transactions_committed_after_newer_ones_change_nothing() {
     let mut late = 0;
     for seed in 60..68 {
         let profile = FaultProfile { late_writes: 0.3, crash: 0.03, withdrawn: 0.4, ..Default::default() };
@@ -205,18 +213,18 @@
         late += world.met.late_commits;
         let open: Vec<_> =
             world.store.keys.keys().filter(|key| key.starts_with(records::RENTALS_PREFIX)).collect();
-        assert!(open.is_empty(), "seed {seed}: rentals that nobody closes: {open:?}");
+        assert!(open.is_empty(), "seed {seed}: rental records that were not deleted: {open:?}");
         let orphans =
             world.store.keys.keys().filter(|key| key.starts_with(records::COMPLETIONS_PREFIX)).count();
-        assert_eq!(orphans, 0, "seed {seed}: completions of jobs that are over");
+        assert_eq!(orphans, 0, "seed {seed}: completion records of jobs that have ended");
     }
-    assert!(late > 100, "only {late} transactions were carried out after newer ones");
+    assert!(late > 100, "only {late} transactions were committed after newer ones");
 }
 
-/// Guards against a leader that is followed by the next and by itself again, all ending and one returning, within a
-/// second each, in the midst of withdrawals.
+/// Guards every rule against leadership that changes hands and back within seconds during withdrawals: the leader and
+/// its successor crash, then all controllers do, and the first leader is the first to return.
 #[test]
-fn controllers_that_hand_over_and_back_within_seconds_break_nothing() {
+fn leadership_that_changes_back_and_forth_within_seconds_breaks_no_rule() {
     for seed in 80..86 {
         let mut world = saturated_cluster(seed, 9);
         for round in 0..5 {
@@ -242,10 +250,10 @@
     }
 }
 
-/// Guards users who withdraw and ask while the store takes its time: an answer read before a withdrawal and given
-/// after it told a user that the job runs.
+/// Guards against outdated answers while the store is slow: an answer that was read before a withdrawal and sent after it
+/// told a user that the job was running.
 #[test]
-fn a_slow_store_makes_no_answer_older_than_what_was_said() {
+fn answers_read_before_a_withdrawal_are_not_sent_after_it() {
     for seed in 100..108 {
         let mut world = saturated_cluster(seed, 90);
         world.befalls(Spell::StoreSlow, world.now + Micros::from_secs(60));
@@ -259,10 +267,11 @@
     }
 }
 
-/// Guards against a leader that has neither store nor peers while its workers and users reach it, and whose jobs are
-/// withdrawn through the new one: it must have fallen silent before anybody acts for it, and in time for each.
+/// Guards withdrawals against a leader that reaches neither the store nor its peers, but its workers and users. Its jobs
+/// are withdrawn through the others: it must become inactive before another controller acts in its place, and in time
+/// for every withdrawal.
 #[test]
-fn a_leader_alone_with_its_workers_holds_up_no_withdrawal() {
+fn a_leader_that_reaches_only_its_workers_delays_no_withdrawal() {
     let mut late = 0;
     for seed in 120..128 {
         let mut world = saturated_cluster(seed, 12);
@@ -274,20 +283,23 @@
             world.will_befall(from, Spell::StandsStill(leader), Micros::from_secs(9));
         }
         let (recorded, confirmed) = withdraw_via_others(&mut world, leader, Micros::from_secs(4));
-        assert!(recorded > 0, "seed {seed}: nothing was withdrawn through another");
-        assert_eq!(confirmed, 0, "seed {seed}: confirmed while the old leader may act and cannot know");
+        assert!(recorded > 0, "seed {seed}: no withdrawal was recorded by another");
+        assert_eq!(
+            confirmed, 0,
+            "seed {seed}: withdrawals confirmed while the uninformed old leader may act"
+        );
         world.passed_over = None;
         world.run(world.now + length);
         world.all_over(400, &format!("seed {seed}"));
         late += world.met.late_words;
     }
-    assert!(late > 50, "only {late} words came late");
+    assert!(late > 50, "only {late} peer messages were late");
 }
 
-/// Guards against reports that come after newer ones, of earlier sessions and attempts, to controllers that remember
-/// nothing, with machines that are back at once.
+/// Guards against acting on reports of earlier sessions and attempts that arrive after newer ones, at controllers that
+/// have restarted, while machines reboot at once.
 #[test]
-fn reports_of_earlier_sessions_prove_nothing_to_anybody() {
+fn reports_of_earlier_sessions_are_no_evidence() {
     let mut met = Met::default();
     for seed in 140..146 {
         let profile = FaultProfile {
@@ -306,11 +318,11 @@
     assert!(met.late_copies > 1_000 && met.earlier_sessions > 100, "{met:?}");
 }
 
-/// Guards against a leader that ends while machines with long tasks cannot be reached, or do not hear the new one: what
-/// runs there is started nowhere else, counts, and is gone in time where it is withdrawn.
+/// Guards long tasks on machines that are disconnected, or do not receive anything, when the leader that holds them
+/// crashes: the tasks must not start anywhere else, they count against limits, and those of withdrawn jobs stop in time.
 #[test]
-fn long_tasks_out_of_reach_outlive_their_leader_and_run_nowhere_else() {
-    let mut out_of_reach = 0;
+fn long_tasks_on_unreachable_machines_survive_a_leader_crash_and_run_nowhere_else() {
+    let mut unreachable = 0;
     for seed in 160..168 {
         let mut world = saturated_cluster(seed, 6);
         world.runs_for = 60 * S..120 * S;
@@ -321,7 +333,7 @@
         let until = world.now + Micros::from_secs([10, 30][seed as usize / 2 % 2]);
         for name in &held {
             let Some(w) = world.workers.get_mut(name) else { continue };
-            out_of_reach += w.tasks.len();
+            unreachable += w.tasks.len();
             if seed % 2 == 0 { w.cut_until = until } else { w.deaf_until = until }
         }
         world.run(world.now + Micros::from_secs(1));
@@ -334,13 +346,13 @@
         world.runs_for = S..2 * S;
         world.all_over(400, &format!("seed {seed}"));
     }
-    assert!(out_of_reach > 100, "only {out_of_reach} tasks were out of reach when their leader ended");
+    assert!(unreachable > 100, "only {unreachable} tasks were unreachable when the leader crashed");
 }
 
-/// Guards against commands and answers that are held up for seconds on a machine that then goes on: a start planned
-/// before a withdrawal, a stop before the task's next start, an answer that would renew a lease.
+/// Guards against orders and answers that reach a machine seconds late, also one that hung meanwhile: a start planned
+/// before a withdrawal, a stop sent before the task's next start, an answer that would renew a lease.
 #[test]
-fn commands_held_up_for_seconds_do_nothing_that_is_no_longer_wanted() {
+fn delayed_orders_have_no_outdated_effect() {
     let mut late = 0;
     for seed in 180..188 {
         let profile = FaultProfile {
@@ -352,5 +364,5 @@
         };
         late += super::troubles::run_random(seed, profile).met.late_orders;
     }
-    assert!(late > 10, "only {late} orders were carried out late");
+    assert!(late > 10, "only {late} orders were executed late");
 }
--- a/src/coordination/simulation/meetings_looks.rs
+++ b/src/coordination/simulation/meetings_looks.rs
@@ -9,7 +9,7 @@
     let mut met = Met::default();
     let count = (seeds.end - seeds.start) * super::troubles::soak_factor();
     for seed in seeds.start..seeds.start + count {
-        let world = run_random(seed, FaultProfile { query_everywhere: 0.7, withdrawn: 0.3, ..profile });
+        let world = run_random(seed, FaultProfile { request_bursts: 0.7, withdrawn: 0.3, ..profile });
         met.looks += world.met.looks;
         met.repeated_finals += world.met.repeated_finals;
         met.answers_lost += world.met.answers_lost;
--- a/src/coordination/simulation/pairs.rs
+++ b/src/coordination/simulation/pairs.rs
@@ -38,7 +38,7 @@
         ("reboots", |t| t.reboots = 0.04),
         ("broken_jobs", |t| t.broken_jobs = 0.15),
         ("answers_lost", |t| t.answers_lost = 0.15),
-        ("kept_reports", |t| (t.kept_reports, t.crash) = (0.3, t.crash.max(0.05))),
+        ("retained_reports", |t| (t.retained_reports, t.crash) = (0.3, t.crash.max(0.05))),
         ("blocked_reports", |t| t.blocked_reports = 0.06),
         ("withdraw_running", |t| t.withdraw_running = 0.05),
         ("withdraw_at_end", |t| t.withdraw_at_end = 0.4),
@@ -47,7 +47,7 @@
         ("all_controllers_down", |t| t.all_controllers_down = 0.01),
         ("leader_crashes", |t| t.leader_crashes = true),
         ("slow_links", |t| t.slow_links = true),
-        ("query_everywhere", |t| t.query_everywhere = 0.5),
+        ("request_bursts", |t| t.request_bursts = 0.5),
         ("invalid_requests", |t| t.invalid_requests = 0.5),
     ]
 }
@@ -149,13 +149,13 @@
         reboots: 0.01,
         broken_jobs: 0.05,
         answers_lost: 0.02,
-        kept_reports: 0.06,
+        retained_reports: 0.06,
         blocked_reports: 0.01,
         withdraw_running: 0.02,
         withdraw_at_end: 0.1,
         zone_cut: 0.003,
         all_controllers_down: 0.002,
-        query_everywhere: 0.2,
+        request_bursts: 0.2,
         invalid_requests: 0.1,
         withdrawn: 0.2,
         ..Default::default()
--- a/src/coordination/simulation/spells.rs
+++ b/src/coordination/simulation/spells.rs
@@ -157,7 +157,7 @@
         for report in std::mem::take(&mut self.kept) {
             for node in 0..self.settings.len() {
                 self.met.kept_given += 1;
-                self.meets("kept_reports");
+                self.meets("retained_reports");
                 self.soon(0, 2 * S, Happening::Copy { node, report: report.clone() });
             }
         }
--- a/src/coordination/simulation/troubles.rs
+++ b/src/coordination/simulation/troubles.rs
@@ -55,7 +55,7 @@
     /// Probability per transaction: it is committed, but its answer is lost.
     pub(super) answers_lost: f64,
     /// Probability per report: a copy of it is kept and delivered when the next leader appears.
-    pub(super) kept_reports: f64,
+    pub(super) retained_reports: f64,
     /// A machine's reports reach no controller; direct orders reach it and are answered.
     pub(super) blocked_reports: f64,
     /// The leader crashes every 12 s.
@@ -75,7 +75,7 @@
     pub(super) invalid_requests: f64,
     /// Probability each time that a user first learns that a job is accepted, done or withdrawn: the user then queries
     /// every controller.
-    pub(super) query_everywhere: f64,
+    pub(super) request_bursts: f64,
 }
 
 impl World {
@@ -84,9 +84,9 @@
         self.trouble = profile;
         self.boots = if profile.quick_boots { 200 * MS..2 * S } else { S..15 * S };
         self.links = if profile.slow_links { 50 * MS..400 * MS } else { 0..0 };
-        self.keeps_reports = profile.kept_reports;
+        self.keeps_reports = profile.retained_reports;
         self.withdraw_at_end = profile.withdraw_at_end;
-        self.looks = profile.query_everywhere;
+        self.looks = profile.request_bursts;
     }
 
     /// Draws the faults that begin within the next `seconds`, at most one per kind.
