--- a/src/coordination/simulation/meetings_handover.rs
+++ b/src/coordination/simulation/meetings_handover.rs
@@ -1,15 +1,15 @@
-//! Meetings of hand-over and changes of leader with withdrawals and outages, each brought about by a script that asserts
-//! that it did (`docs/meetings.md`).
+//! Scripted combinations of takeovers and leader changes with withdrawals and outages; each test asserts that its
+//! combination took place (`docs/meetings.md`).
 
 use super::meetings_limits::*;
 use super::*;
 use crate::coordination::replica::rendezvous;
 use crate::protocol::store::Condition;
 
-/// Guards every rule against ten changes of leader within two minutes, in half of the runs with an outage of the store
-/// in the midst of them, while jobs come and are withdrawn and all teams are at their limits.
+/// Guards every rule against ten leader changes within two minutes while jobs are submitted and withdrawn and all teams
+/// are at their limits. In half of the runs the store is down for a part of that time.
 #[test]
-fn ten_leaders_within_two_minutes_break_no_rule() {
+fn ten_leader_changes_within_two_minutes_break_no_rule() {
     for seed in 80..86 {
         let (mut world, mut n) = at_their_limits(seed);
         let start = world.now;
@@ -17,16 +17,16 @@
         if seed % 2 == 1 {
             world.will_befall(outage, Spell::StoreDown, Micros::from_secs(25));
         }
-        let (before, mut ends, mut inside) = (world.store.revision, 0, 0);
-        let mut led = None;
+        let (before, mut crashes, mut inside) = (world.store.revision, 0, 0);
+        let mut last_successor = None;
         while world.now < start + Micros::from_secs(120) {
             let next = world.now + Micros::from_millis(11_500);
-            // In an outage the one that leads may have ended: then one that would follow it does.
-            let leader = world.leader().or(led).unwrap_or(0);
-            led = Some((leader + 1) % 3);
-            let away = Micros::from_millis([300, 4_000, 9_000][ends % 3]);
+            // During an outage there may be no leader: then a possible successor crashes.
+            let leader = world.leader().or(last_successor).unwrap_or(0);
+            last_successor = Some((leader + 1) % 3);
+            let away = Micros::from_millis([300, 4_000, 9_000][crashes % 3]);
             world.crash_for(leader, away);
-            ends += 1;
+            crashes += 1;
             inside += usize::from(world.under(Spell::StoreDown));
             for (i, id) in running(&world).iter().step_by(3).enumerate() {
                 ask_to_withdraw(&mut world, (leader + 1 + i % 2) % 3, id);
@@ -37,10 +37,10 @@
         }
         let leaders = leaders_since(&world, before);
         assert!(
-            ends >= 10 && leaders >= if seed % 2 == 1 { 7 } else { 10 },
+            crashes >= 10 && leaders >= if seed % 2 == 1 { 7 } else { 10 },
             "seed {seed}: {leaders} leaders"
         );
-        assert!(seed % 2 == 0 || inside >= 2, "seed {seed}: {inside} ends inside the outage");
+        assert!(seed % 2 == 0 || inside >= 2, "seed {seed}: {inside} crashes during the outage");
         world.runs_for = S..3 * S;
         go(&mut world, Micros::from_secs(60));
         world.all_over(500, &format!("seed {seed}"));
@@ -48,17 +48,18 @@
 }
 
 /// The revision in which a job's end was recorded.
-fn recorded(world: &World, id: &str) -> Option<u64> {
+fn end_revision(world: &World, id: &str) -> Option<u64> {
     let key = records::final_state_key(id);
     world.store.log.iter().find(|(_, k, _)| *k == key).map(|(revision, ..)| *revision)
 }
 
 /// The revision of the newest view.
-fn viewed(world: &World) -> u64 {
+fn view_revision(world: &World) -> u64 {
     world.store.keys.get(records::VIEW_KEY).map_or(0, |(_, stamp, _)| *stamp)
 }
 
-/// The others take a controller for ended that goes on and does not know. The revision of that.
+/// Deletes a controller's registration and records its eviction, as its peers do; the controller itself keeps running and
+/// has not read of it. Returns the revision of the eviction.
 fn evict(world: &mut World, node: usize) -> u64 {
     let member = world.settings[node].member.clone();
     let key = records::registration_key(&member);
@@ -69,16 +70,17 @@
     world.store.revision
 }
 
-/// Grants with a new view are late, so that there is time between an eviction and the grant that follows it.
-fn late_views(t: &Transaction) -> Option<Fate> {
+/// Delays transactions that write a new view, so that time passes_to_new between an eviction and the grant that follows it.
+fn delay_views(t: &Transaction) -> Option<Fate> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::VIEW_KEY));
     written.then_some(Fate::Late(Micros::from_millis(700)))
 }
 
-/// One controller's work changes hands, and its jobs are withdrawn: before its eviction, between that and the grant, or
-/// between the grant and the first order under it (0 to 2), by way of the old owner, the new one or a third (0 to 2). How
-/// many withdrawals met that, and how many tasks still ran then.
-fn handed_over(seed: u64, phase: usize, via: usize) -> (usize, usize) {
+/// Withdraws the jobs of a controller that is evicted and whose work another takes over. `phase` is the moment of the
+/// withdrawals: 0 before the eviction, 1 between the eviction and the grant, 2 between the grant and the first order under
+/// it. `via` is the controller that gets them: 0 the old owner, 1 the new one, 2 the third. Returns how many withdrawals
+/// fell into that phase, and how many of the tasks were still there.
+fn withdraw_during_handover(seed: u64, phase: usize, via: usize) -> (usize, usize) {
     let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
     let leader = world.leader().unwrap();
     let old = (leader + 1) % 3;
@@ -86,13 +88,17 @@
     let by = [old, new, 3 - old - new][via];
     let members: Vec<String> = (0..3).map(|n| format!("n-{n}")).collect();
     let rest: Vec<&str> = (0..3).filter(|n| *n != old).map(|n| members[n].as_str()).collect();
-    let passes =
+    let passes_to_new =
         |n: &u32| rendezvous(&format!("j-{n:06}"), rest.iter().copied()) == Some(members[new].as_str());
-    let numbers: Vec<u32> = owned_by(old).filter(passes).take(8).collect();
+    let numbers: Vec<u32> = owned_by(old).filter(passes_to_new).take(8).collect();
     let ids: Vec<String> = numbers.iter().map(|n| of_team(&mut world, *n, "blue", 5)).collect();
-    let all = |w: &World| ids.iter().map(|id| there(w, id)).sum::<usize>();
-    assert!(until(&mut world, Micros::from_secs(60), |w| all(w) == 40), "seed {seed}: {}", all(&world));
-    // Others wait for what becomes free.
+    let present = |w: &World| ids.iter().map(|id| there(w, id)).sum::<usize>();
+    assert!(
+        until(&mut world, Micros::from_secs(60), |w| present(w) == 40),
+        "seed {seed}: {}",
+        present(&world)
+    );
+    // More jobs wait for what becomes free.
     for owner in 0..3 {
         let n = owned_by(owner).nth(30).unwrap();
         of_team(&mut world, n, "blue", 20);
@@ -100,42 +106,45 @@
     go(&mut world, Micros::from_secs(2));
     let c = world.controllers[old].as_ref().unwrap();
     let held: Vec<String> = c.machines.iter().filter(|m| c.owns(m.1)).map(|m| m.0.clone()).collect();
-    // It does not read of its end for a while, and its machines are out of reach for as long or longer.
+    // The old owner does not read of its eviction for a while, and many of its machines are unreachable meanwhile.
     world.befalls(Spell::WatchHangs(old), world.now + Micros::from_secs(4));
     for (i, name) in held.iter().enumerate() {
         let until = world.now + Micros::from_secs(if phase == 2 { 3 } else { [0, 8, 12][i % 3] });
         let w = world.workers.get_mut(name).unwrap();
         if (i + seed as usize).is_multiple_of(2) { w.cut_until = until } else { w.hung_until = until }
     }
-    let (view, life) = (viewed(&world), world.lives[old]);
+    let (view, incarnation) = (view_revision(&world), world.lives[old]);
     let mut evicted = 0;
     if phase > 0 {
-        world.fate_of = (phase == 1).then_some(late_views);
+        world.fate_of = (phase == 1).then_some(delay_views);
         evicted = evict(&mut world, old);
     }
     if phase == 2 {
-        assert!(until(&mut world, Micros::from_secs(5), |w| viewed(w) > view), "seed {seed}: no new view");
+        assert!(
+            until(&mut world, Micros::from_secs(5), |w| view_revision(w) > view),
+            "seed {seed}: no new view"
+        );
     }
-    let unaware =
-        world.lives[old] == life && world.controllers[old].as_ref().is_some_and(Controller::entitled);
-    let left = all(&world);
+    let unaware_of_eviction =
+        world.lives[old] == incarnation && world.controllers[old].as_ref().is_some_and(Controller::entitled);
+    let left = present(&world);
     ids.iter().for_each(|id| ask_to_withdraw(&mut world, by, id));
     if phase == 0 {
         go(&mut world, Micros::from_millis(35));
         evicted = evict(&mut world, old);
     }
-    assert!(until(&mut world, Micros::from_secs(8), |w| viewed(w) > view), "seed {seed}: no new view");
-    let granted = viewed(&world);
+    assert!(until(&mut world, Micros::from_secs(8), |w| view_revision(w) > view), "seed {seed}: no new view");
+    let granted = view_revision(&world);
     if phase == 2 {
         go(&mut world, Micros::from_millis(300));
     }
-    // The tokens of the new grant that no machine has seen: nothing has been ordered under it.
+    // Whether no machine has seen its token of the new grant, so that nothing has been ordered under it.
     let c = world.controllers[leader].as_ref().unwrap();
     let unseen =
         held.iter().all(|name| c.machines.get(name).is_none_or(|m| world.workers[name].token < m.row.token));
-    let in_time = |id: &&String| match (phase, via, recorded(&world, id)) {
-        // What it is asked for by then it cannot record, and does not know that.
-        (1 | 2, 0, at) => unaware && at.is_none_or(|at| at > evicted),
+    let in_time = |id: &&String| match (phase, via, end_revision(&world, id)) {
+        // The old owner cannot record these withdrawals, and does not know that it has been evicted.
+        (1 | 2, 0, at) => unaware_of_eviction && at.is_none_or(|at| at > evicted),
         (0, _, Some(at)) => at < evicted,
         (1, _, Some(at)) => at > evicted && at < granted,
         (_, _, Some(at)) => at > granted && unseen,
@@ -154,27 +163,29 @@
     (met, left)
 }
 
-/// Guards withdrawals in the seconds in which one controller's work changes hands, at its limit: what its tasks still run
-/// counts, nothing of them is started by anybody, and they are gone in time.
+/// Guards withdrawals during the seconds in which another controller takes over, with the team at its limit: the withdrawn
+/// jobs' tasks count for as long as they run, no controller starts any of them, and they stop in time.
 #[test]
-fn withdrawals_while_work_changes_hands_hold_whoever_takes_them() {
+fn withdrawals_during_a_takeover_hold_at_every_controller() {
     let mut met = [[(0, 0); 3]; 3];
     for (phase, of_phase) in met.iter_mut().enumerate() {
         for (via, count) in of_phase.iter_mut().enumerate() {
             for seed in 100..102 {
-                let (withdrawn, left) = handed_over(seed + 10 * phase as u64 + 3 * via as u64, phase, via);
+                let (withdrawn, left) =
+                    withdraw_during_handover(seed + 10 * phase as u64 + 3 * via as u64, phase, via);
                 *count = (count.0 + withdrawn, count.1 + left);
             }
         }
     }
-    eprintln!("withdrawals met and tasks left, by phase and by whom: {met:?}");
+    eprintln!("withdrawals in time and tasks left, by phase and by controller: {met:?}");
     assert!(met.iter().flatten().all(|(withdrawn, left)| *withdrawn >= 4 && *left >= 40), "{met:?}");
 }
 
-/// Guards withdrawals against an outage that begins while they are carried out: the store is slow, refuses the leader
-/// alone at that very moment, and a second later answers nobody for longer than a withdrawal may take.
+/// Guards withdrawals against an outage that begins while they are carried out: the store refuses the leader alone when
+/// they are requested, in half of the runs it is slow as well, and a second later it is down for longer than a withdrawal
+/// may take.
 #[test]
-fn withdrawals_at_the_moment_of_a_refusal_hold_through_an_outage_a_second_later() {
+fn withdrawals_hold_through_a_refusal_and_an_outage_a_second_later() {
     let (mut before, mut after, mut left) = (0, 0, 0);
     for seed in 120..130 {
         let (mut world, _) = at_their_limits(seed);
@@ -193,12 +204,12 @@
             ask_to_withdraw(&mut world, (leader + i % 3) % 3, id);
         }
         go(&mut world, Micros::from_secs(1));
-        let done: Vec<&String> = ids.iter().filter(|id| recorded(&world, id).is_some()).collect();
-        before += done.len();
-        left += done.iter().map(|id| there(&world, id)).sum::<usize>();
+        let recorded: Vec<&String> = ids.iter().filter(|id| end_revision(&world, id).is_some()).collect();
+        before += recorded.len();
+        left += recorded.iter().map(|id| there(&world, id)).sum::<usize>();
         let away = Micros(world.rng.random_range(36 * S..70 * S));
         world.befalls(Spell::StoreDown, world.now + away);
-        let open = ids.len() - done.len();
+        let open = ids.len() - recorded.len();
         go(&mut world, away + Micros::from_secs(30));
         after += open;
         for id in &ids {
--- a/src/coordination/simulation/meetings_looks.rs
+++ b/src/coordination/simulation/meetings_looks.rs
@@ -1,11 +1,12 @@
-//! Users who look everywhere, repeat and call off within milliseconds of what they hear, while something else goes wrong.
+//! Users who send requests to every controller, repeat requests and withdraw jobs within milliseconds of an answer, under
+//! further faults.
 
 use super::troubles::run_random;
 use super::*;
 use crate::coordination::knowledge::Liveness;
 
-/// Plays runs in which users look everywhere, under further trouble; what they met together.
-fn looked(seeds: std::ops::Range<u64>, profile: FaultProfile) -> Met {
+/// Runs seeds in which users send bursts of requests to every controller, under further faults. Returns the total coverage.
+fn run_with_queries(seeds: std::ops::Range<u64>, profile: FaultProfile) -> Met {
     let mut met = Met::default();
     let count = (seeds.end - seeds.start) * super::troubles::soak_factor();
     for seed in seeds.start..seeds.start + count {
@@ -21,7 +22,7 @@
     met
 }
 
-/// A small cluster with one array that is accepted and runs.
+/// A small cluster with one array that is accepted and runs, and the array's id.
 fn with_one_job(seed: u64) -> (World, String) {
     let mut world = World::new(seed, FaultProfile::default());
     (0..4).for_each(|_| drop(world.add_machine("c16", "east", false)));
@@ -33,36 +34,40 @@
     (world, id)
 }
 
-/// Guards answers that a slow store gives late against being told after a newer one has been heard.
+/// Guards against an answer that is delayed by a slow store and sent to a user after a newer one.
 #[test]
-fn users_who_look_everywhere_hear_nothing_older_from_a_slow_store() {
-    looked(30_000..30_004, FaultProfile { store_slow: 0.05, ..Default::default() });
+fn answers_never_go_back_in_time_with_a_slow_store() {
+    run_with_queries(30_000..30_004, FaultProfile { store_slow: 0.05, ..Default::default() });
 }
 
-/// Guards acceptances, withdrawals and ends of which only the answer is lost: whoever asks next is told of them.
+/// Guards acceptances, withdrawals and ends of jobs that were committed although the store's answer was lost: the next
+/// query must show them.
 #[test]
-fn users_who_look_everywhere_hear_of_what_was_carried_out_without_an_answer() {
-    let met = looked(30_100..30_104, FaultProfile { answers_lost: 0.3, ..Default::default() });
+fn answers_include_commits_whose_replies_were_lost() {
+    let met = run_with_queries(30_100..30_104, FaultProfile { answers_lost: 0.3, ..Default::default() });
     assert!(met.answers_lost > 100, "{met:?}");
 }
 
-/// The same with transactions that are carried out seconds later.
+/// Guards against outdated answers while transactions are committed seconds late.
 #[test]
-fn users_who_look_everywhere_hear_nothing_older_while_writes_are_late() {
-    let met = looked(30_200..30_204, FaultProfile { late_writes: 0.2, ..Default::default() });
+fn answers_never_go_back_in_time_with_late_writes() {
+    let met = run_with_queries(30_200..30_204, FaultProfile { late_writes: 0.2, ..Default::default() });
     assert!(met.late_commits > 30, "{met:?}");
 }
 
-/// Guards users who look everywhere while one controller after the other leads and ends.
+/// Guards against outdated answers while one leader after the other crashes.
 #[test]
-fn users_who_look_everywhere_hear_nothing_older_from_the_next_leader() {
-    looked(30_300..30_304, FaultProfile { leader_crashes: true, crash: 0.02, ..Default::default() });
+fn answers_never_go_back_in_time_across_leader_crashes() {
+    run_with_queries(
+        30_300..30_304,
+        FaultProfile { leader_crashes: true, crash: 0.02, ..Default::default() },
+    );
 }
 
-/// Guards users who look everywhere against controllers that others do not reach, or that the store refuses.
+/// Guards against outdated answers from controllers that are cut off from their peers or that the store refuses.
 #[test]
-fn users_who_look_everywhere_hear_nothing_older_from_a_controller_apart() {
-    looked(
+fn answers_never_go_back_in_time_at_an_isolated_controller() {
+    run_with_queries(
         30_400..30_404,
         FaultProfile {
             isolated: 0.02,
@@ -73,21 +78,21 @@
     );
 }
 
-/// Guards a user with two requests at once, a question and a withdrawal, under a slow store: the withdrawal was carried
-/// out and its answer delayed, another controller found the record of the end and told nobody, and a third one's
-/// check, read before that, said that the job was live.
+/// Guards a user with two requests at once, a query and a withdrawal, under a slow store. The withdrawal was committed and
+/// its answer delayed; another controller found the final state in the store and did not announce it; and a third one
+/// answered from an earlier read that the job was live.
 #[test]
-fn an_end_found_in_the_records_is_told_like_one_recorded() {
+fn a_final_state_found_in_the_store_is_announced_to_peers() {
     run_random(
         262_009,
         FaultProfile { store_slow: 0.02, refusal_then_outage: 0.01, withdrawn: 0.3, ..Default::default() },
     );
     let (mut world, id) = with_one_job(7);
-    // The first answer is lost, and two controllers follow nothing while the third finds the record.
+    // The commit's reply is lost, and no controller's watch brings the record before another withdrawal finds it.
     world.fate_of = Some(|t| {
-        let ends =
+        let writes_final_state =
             |w: &Write| matches!(w, Write::Put { key, .. } if key.starts_with(records::FINAL_STATES_PREFIX));
-        t.writes.iter().any(ends).then_some(Fate::AnswerLost)
+        t.writes.iter().any(writes_final_state).then_some(Fate::AnswerLost)
     });
     (0..3).for_each(|n| world.befalls(Spell::WatchHangs(n), world.now + Micros::from_secs(1)));
     world.jobs.get_mut(&id).unwrap().wants_withdrawal = true;
@@ -98,15 +103,18 @@
     world.ask(1, id.clone(), Look::Withdraws);
     world.run(world.now + Micros::from_millis(400));
     let known = |n: usize| world.controllers[n].as_ref().unwrap().final_states.get(&id).is_some();
-    assert!((0..3).all(known), "what one has found the others do not know");
+    assert!((0..3).all(known), "not all controllers know the final state that one has found");
     world.run(world.now + Micros::from_secs(2));
-    assert!(world.jobs[&id].told_final.is_some(), "all know, and its user has not been told");
+    assert!(
+        world.jobs[&id].told_final.is_some(),
+        "all controllers know the final state, but the user has not been told"
+    );
 }
 
-/// Guards accepted jobs against a controller that has not heard of them and whose list of machine types is partial, or
-/// has changed: it refused the repeated submission for ever.
+/// Guards accepted jobs against a controller that does not know of them yet and whose list of machine types is incomplete
+/// or has changed: it rejected the repeated submission for ever.
 #[test]
-fn a_repeated_submission_is_not_refused_for_the_machine_types_known_here() {
+fn a_repeated_submission_is_not_rejected_for_the_locally_known_machine_types() {
     for seed in 0..3 {
         let mut world = World::new(seed, FaultProfile::default());
         (0..4).for_each(|n| drop(world.add_machine("c16", ["east", "west"][n % 2], false)));
@@ -120,31 +128,36 @@
         world.run(world.now + Micros::from_secs(1));
         assert!(world.jobs[&id].told_accepted);
         let c = world.controllers[node].as_mut().unwrap();
-        assert!(!c.jobs.contains_key(&id), "seed {seed}: it knows the job");
+        assert!(!c.jobs.contains_key(&id), "seed {seed}: the controller knows the job");
         c.machine_types.values_mut().for_each(|t| t.cpus = 0.5);
-        let never = JobSpec { id: "j-000500".into(), ..spec };
-        world.jobs.insert(never.id.clone(), Wish { spec: Some(never), ..Default::default() });
+        let never_accepted = JobSpec { id: "j-000500".into(), ..spec };
+        world
+            .jobs
+            .insert(never_accepted.id.clone(), Wish { spec: Some(never_accepted), ..Default::default() });
         let before = world.jobs[&id].answered;
         for job in [id.clone(), "j-000500".into()] {
             (0..3).for_each(|_| world.ask(node, job.clone(), Look::Submits));
         }
         world.run(world.now + Micros::from_secs(1));
-        assert!(world.jobs[&id].answered > before, "seed {seed}: its user was told nothing");
-        assert!(world.jobs["j-000500"].refused, "seed {seed}: one that was never accepted is not refused");
+        assert!(world.jobs[&id].answered > before, "seed {seed}: the user got no answer");
+        assert!(
+            world.jobs["j-000500"].refused,
+            "seed {seed}: a job that was never accepted was not rejected"
+        );
     }
 }
 
-/// Guards a user against "queued" for a job that the store showed to be live and that has left the records since.
+/// Guards against the answer "queued" for a job that was live when it was looked up in the store and has ended since.
 #[test]
-fn a_job_that_has_left_the_records_since_it_was_looked_up_is_not_called_live() {
+fn a_job_that_ended_after_its_lookup_is_not_reported_live() {
     let (mut world, id) = with_one_job(9);
     let c = world.controllers[0].as_mut().unwrap();
     let (now, stamp) = (c.now, c.jobs[&id].accepted_revision);
     assert_eq!(c.liveness(&id, now, Some(stamp)), Liveness::Live);
     c.retire(&id);
     assert_eq!(c.liveness(&id, now, Some(stamp)), Liveness::Ended);
-    // Its acceptance has not been followed yet.
+    // The watch has not brought its acceptance yet.
     assert_eq!(c.liveness(&id, now, Some(c.applied_revision + 1)), Liveness::Live);
-    let old = Micros(now.0 - 501 * MS);
-    assert_eq!(c.liveness(&id, old, Some(stamp)), Liveness::Uncertain);
+    let outdated = Micros(now.0 - 501 * MS);
+    assert_eq!(c.liveness(&id, outdated, Some(stamp)), Liveness::Uncertain);
 }
