--- a/src/coordination/simulation/at_limits.rs
+++ b/src/coordination/simulation/at_limits.rs
@@ -1,5 +1,5 @@
-//! Random runs in which every team has more work, of all shapes, than either of its limits allows, under any two kinds of
-//! fault and with controllers that stall between a decision and its sending.
+//! Random runs in which every team has more work, of all shapes, than either of its limits allows, under any two kinds
+//! of fault and with controllers that stall between a decision and its sending.
 
 use super::meetings_limits::{ask_to_withdraw, go, running, with_more_than_limits_allow};
 use super::pairs::{combined_profile, fault_pairs};
@@ -9,7 +9,8 @@
 const FIRST_SEED: u64 = 2_000_000;
 /// The rate of stalls before sending.
 const STALLS_PER_SECOND: f64 = 0.02;
-/// The time in which all remaining work completes in calm. A team runs it on three accelerators at a time, so it is long.
+/// The time in which all remaining work completes in calm. A team runs it on three accelerators at a time, so it is
+/// long.
 const DRAIN_TIME_S: u64 = 1_500;
 /// The number of rounds in a run, each of up to four seconds.
 const ROUNDS: u32 = 40;
@@ -80,8 +81,8 @@
     });
 }
 
-/// Guards both limits of every team under any two kinds of fault and stalls; with `MARBLEWALK_SOAK`, in that many times as
-/// many runs.
+/// Guards both limits of every team under any two kinds of fault and stalls; with `MARBLEWALK_SOAK`, in that many times
+/// as many runs.
 #[test]
 fn teams_at_both_limits_stay_within_them_under_any_two_kinds_of_fault() {
     run_seeds(FIRST_SEED, 12 * super::troubles::soak_factor());
--- a/src/coordination/simulation/limits.rs
+++ b/src/coordination/simulation/limits.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Guards every team's limits of processors and accelerators while controllers crash, machines hang and are cut off, and
-/// jobs are withdrawn. Each limit must bind at some time.
+/// Guards every team's limits of processors and accelerators while controllers crash, machines hang and are cut off,
+/// and jobs are withdrawn. Each limit must bind at some time.
 #[test]
 fn teams_stay_within_their_limits_under_crashes_and_machine_faults() {
     let profile = FaultProfile {
--- a/src/coordination/simulation/meetings.rs
+++ b/src/coordination/simulation/meetings.rs
@@ -34,10 +34,10 @@
 }
 
 /// Guards against a controller that acts on stale knowledge after an outage, and against withdrawals that are confirmed
-/// too early. The store refuses the leader alone, another controller confirms withdrawals, and then the store is down for
-/// all, for longer than a withdrawal may take. When it is back, all leases have their full term again, so the old leader
-/// could renew its own before it had read any change: it answered its workers and started tasks of jobs that had been
-/// withdrawn a minute before.
+/// too early. The store refuses the leader alone, another controller confirms withdrawals, and then the store is down
+/// for all, for longer than a withdrawal may take. When it is back, all leases have their full term again, so the old
+/// leader could renew its own before it had read any change: it answered its workers and started tasks of jobs that had
+/// been withdrawn a minute before.
 #[test]
 fn a_leader_refused_before_an_outage_does_not_act_on_stale_knowledge_after_it() {
     let mut longest = Micros::ZERO;
@@ -130,9 +130,9 @@
     assert_eq!(world.lives[node], incarnation);
 }
 
-/// Guards against tasks of withdrawn jobs that survive a refusal followed by an outage, in four variants: two controllers
-/// are refused; the leader is refused twice; the leader crashes during the outage and is back at once; the store is back
-/// for a second only, so that some leases have their full term again and others do not.
+/// Guards against tasks of withdrawn jobs that survive a refusal followed by an outage, in four variants: two
+/// controllers are refused; the leader is refused twice; the leader crashes during the outage and is back at once; the
+/// store is back for a second only, so that some leases have their full term again and others do not.
 #[test]
 fn no_task_of_a_withdrawn_job_survives_a_refusal_followed_by_an_outage() {
     for variant in 0..4 {
@@ -241,8 +241,8 @@
             world.crash_for(next, Micros::from_millis(500));
             world.run(world.now + Micros::from_millis(900));
             for n in 0..3 {
-                let away = if n == leader { Micros::from_millis(200) } else { Micros::from_secs(4) };
-                world.crash_for(n, away);
+                let downtime = if n == leader { Micros::from_millis(200) } else { Micros::from_secs(4) };
+                world.crash_for(n, downtime);
             }
             world.run(world.now + Micros::from_secs(6));
         }
@@ -250,8 +250,8 @@
     }
 }
 
-/// Guards against outdated answers while the store is slow: an answer that was read before a withdrawal and sent after it
-/// told a user that the job was running.
+/// Guards against outdated answers while the store is slow: an answer that was read before a withdrawal and sent after
+/// it told a user that the job was running.
 #[test]
 fn answers_read_before_a_withdrawal_are_not_sent_after_it() {
     for seed in 100..108 {
@@ -267,9 +267,9 @@
     }
 }
 
-/// Guards withdrawals against a leader that reaches neither the store nor its peers, but its workers and users. Its jobs
-/// are withdrawn through the others: it must become inactive before another controller acts in its place, and in time
-/// for every withdrawal.
+/// Guards withdrawals against a leader that reaches neither the store nor its peers, but its workers and users. Its
+/// jobs are withdrawn through the others: it must become inactive before another controller acts in its place, and in
+/// time for every withdrawal.
 #[test]
 fn a_leader_that_reaches_only_its_workers_delays_no_withdrawal() {
     let mut late = 0;
@@ -319,7 +319,8 @@
 }
 
 /// Guards long tasks on machines that are disconnected, or do not receive anything, when the leader that holds them
-/// crashes: the tasks must not start anywhere else, they count against limits, and those of withdrawn jobs stop in time.
+/// crashes: the tasks must not start anywhere else, they count against limits, and those of withdrawn jobs stop in
+/// time.
 #[test]
 fn long_tasks_on_unreachable_machines_survive_a_leader_crash_and_run_nowhere_else() {
     let mut unreachable = 0;
--- a/src/coordination/simulation/meetings_apart.rs
+++ b/src/coordination/simulation/meetings_apart.rs
@@ -1,4 +1,4 @@
-//! Messages that overtake each other while machines are moved_at between controllers.
+//! Messages that overtake each other while machines are moved between controllers.
 
 use super::takeovers::array;
 use super::*;
@@ -62,8 +62,8 @@
 }
 
 /// Guards against taking a start for not executed because the direct call that carried it was rejected: the answer to a
-/// report in between had ordered it too. The holder dropped the start when it read that the machine had another holder by
-/// then, and started the task elsewhere.
+/// report in between had ordered it too. The holder dropped the start when it read that the machine had another holder
+/// by then, and started the task elsewhere.
 #[test]
 fn a_rejected_direct_start_that_was_also_in_an_answer_counts_as_executed() {
     let mut met = 0;
--- a/src/coordination/simulation/meetings_handover.rs
+++ b/src/coordination/simulation/meetings_handover.rs
@@ -24,8 +24,8 @@
             // During an outage there may be no leader: then a possible successor crashes.
             let leader = world.leader().or(last_successor).unwrap_or(0);
             last_successor = Some((leader + 1) % 3);
-            let away = Micros::from_millis([300, 4_000, 9_000][crashes % 3]);
-            world.crash_for(leader, away);
+            let downtime = Micros::from_millis([300, 4_000, 9_000][crashes % 3]);
+            world.crash_for(leader, downtime);
             crashes += 1;
             inside += usize::from(world.under(Spell::StoreDown));
             for (i, id) in running(&world).iter().step_by(3).enumerate() {
@@ -58,8 +58,8 @@
     world.store.keys.get(records::VIEW_KEY).map_or(0, |(_, stamp, _)| *stamp)
 }
 
-/// Deletes a controller's registration and records its eviction, as its peers do; the controller itself keeps running and
-/// has not read of it. Returns the revision of the eviction.
+/// Deletes a controller's registration and records its eviction, as its peers do; the controller itself keeps running
+/// and has not read of it. Returns the revision of the eviction.
 fn evict(world: &mut World, node: usize) -> u64 {
     let member = world.settings[node].member.clone();
     let key = records::registration_key(&member);
@@ -70,16 +70,17 @@
     world.store.revision
 }
 
-/// Delays transactions that write a new view, so that time passes_to_new between an eviction and the grant that follows it.
+/// Delays transactions that write a new view, so that time passes_to_new between an eviction and the grant that follows
+/// it.
 fn delay_views(t: &Transaction) -> Option<Fate> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::VIEW_KEY));
     written.then_some(Fate::Late(Micros::from_millis(700)))
 }
 
 /// Withdraws the jobs of a controller that is evicted and whose work another takes over. `phase` is the moment of the
-/// withdrawals: 0 before the eviction, 1 between the eviction and the grant, 2 between the grant and the first order under
-/// it. `via` is the controller that gets them: 0 the old owner, 1 the new one, 2 the third. Returns how many withdrawals
-/// fell into that phase, and how many of the tasks were still there.
+/// withdrawals: 0 before the eviction, 1 between the eviction and the grant, 2 between the grant and the first order
+/// under it. `via` is the controller that gets them: 0 the old owner, 1 the new one, 2 the third. Returns how many
+/// withdrawals fell into that phase, and how many of the tasks were still there.
 fn withdraw_during_handover(seed: u64, phase: usize, via: usize) -> (usize, usize) {
     let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
     let leader = world.leader().unwrap();
@@ -155,7 +156,7 @@
     for id in &ids {
         assert!(
             world.jobs[id].told_final.is_some(),
-            "seed {seed}: {id} is not over\n{}",
+            "seed {seed}: {id} has not ended\n{}",
             world.describe_job(id)
         );
     }
@@ -163,8 +164,8 @@
     (met, left)
 }
 
-/// Guards withdrawals during the seconds in which another controller takes over, with the team at its limit: the withdrawn
-/// jobs' tasks count for as long as they run, no controller starts any of them, and they stop in time.
+/// Guards withdrawals during the seconds in which another controller takes over, with the team at its limit: the
+/// withdrawn jobs' tasks count for as long as they run, no controller starts any of them, and they stop in time.
 #[test]
 fn withdrawals_during_a_takeover_hold_at_every_controller() {
     let mut met = [[(0, 0); 3]; 3];
@@ -182,8 +183,8 @@
 }
 
 /// Guards withdrawals against an outage that begins while they are carried out: the store refuses the leader alone when
-/// they are requested, in half of the runs it is slow as well, and a second later it is down for longer than a withdrawal
-/// may take.
+/// they are requested, in half of the runs it is slow as well, and a second later it is down for longer than a
+/// withdrawal may take.
 #[test]
 fn withdrawals_hold_through_a_refusal_and_an_outage_a_second_later() {
     let (mut before, mut after, mut left) = (0, 0, 0);
@@ -207,15 +208,15 @@
         let recorded: Vec<&String> = ids.iter().filter(|id| end_revision(&world, id).is_some()).collect();
         before += recorded.len();
         left += recorded.iter().map(|id| there(&world, id)).sum::<usize>();
-        let away = Micros(world.rng.random_range(36 * S..70 * S));
-        world.befalls(Spell::StoreDown, world.now + away);
+        let outage = Micros(world.rng.random_range(36 * S..70 * S));
+        world.befalls(Spell::StoreDown, world.now + outage);
         let open = ids.len() - recorded.len();
-        go(&mut world, away + Micros::from_secs(30));
+        go(&mut world, outage + Micros::from_secs(30));
         after += open;
         for id in &ids {
             assert!(
                 world.jobs[id].told_final.is_some(),
-                "seed {seed}: {id} is not over\n{}",
+                "seed {seed}: {id} has not ended\n{}",
                 world.describe_job(id)
             );
         }
--- a/src/coordination/simulation/meetings_jobs.rs
+++ b/src/coordination/simulation/meetings_jobs.rs
@@ -1,5 +1,5 @@
-//! Scripted combinations of events in jobs' lives and faults of transactions; each test asserts that its combination took
-//! place (`docs/meetings.md`).
+//! Scripted combinations of events in jobs' lives and faults of transactions; each test asserts that its combination
+//! took place (`docs/meetings.md`).
 
 use super::takeovers::array;
 use super::*;
@@ -96,8 +96,8 @@
 const ONE_TASK: JobStream =
     JobStream { minutes: 4, per_s: 4, max_tasks: 1, first_task_short: false, machines: 14 };
 
-/// Submits a stream of jobs, a quarter of which are withdrawn at random moments. Returns the maximum of each count in each
-/// minute.
+/// Submits a stream of jobs, a quarter of which are withdrawn at random moments. Returns the maximum of each count in
+/// each minute.
 fn run_job_stream(world: &mut World, of: JobStream) -> Vec<RetainedCounts> {
     for n in 0..of.machines {
         world.add_machine("c16", if n % 2 == 0 { "east" } else { "west" }, false);
@@ -180,8 +180,8 @@
     "rental records",
 ];
 
-/// Guards against memory and records that many small jobs leave behind: four jobs a second, a quarter of them withdrawn,
-/// must leave only their final states.
+/// Guards against memory and records that many small jobs leave behind: four jobs a second, a quarter of them
+/// withdrawn, must leave only their final states.
 #[test]
 fn a_stream_of_one_task_jobs_leaves_only_final_states() {
     for seed in 2_000..2_002 {
@@ -189,9 +189,9 @@
     }
 }
 
-/// Guards against completion records that outlive their jobs: the leader deleted three a second, however many jobs ended,
-/// and the rest accumulated among the records that every controller watches. Also guards against machine statuses and
-/// notes of machines that are no longer recorded, which a controller retained until it stopped.
+/// Guards against completion records that outlive their jobs: the leader deleted three a second, however many jobs
+/// ended, and the rest accumulated among the records that every controller watches. Also guards against machine
+/// statuses and notes of machines that are no longer recorded, which a controller retained until it stopped.
 #[test]
 fn small_jobs_leave_no_completion_records_and_no_state_of_removed_machines() {
     let of = JobStream { max_tasks: 4, first_task_short: true, minutes: 3, ..ONE_TASK };
@@ -265,7 +265,7 @@
     world
 }
 
-/// Sends a burst of requests to every controller about every job, as under `World::looks`.
+/// Sends a burst of requests about every job to all controllers.
 fn send_request_bursts(world: &mut World) {
     let ids: Vec<String> = world.jobs.keys().cloned().collect();
     for id in ids {
@@ -275,8 +275,9 @@
     world.run(world.now + Micros::from_secs(6));
 }
 
-/// Guards against two final states of a job whose last task ends while it is withdrawn, queried and resubmitted: exactly
-/// one of done and withdrawn is recorded, once, and every controller answers with it from then on, also after a restart.
+/// Guards against two final states of a job whose last task ends while it is withdrawn, queried and resubmitted:
+/// exactly one of done and withdrawn is recorded, once, and every controller answers with it from then on, also after a
+/// restart.
 #[test]
 fn a_job_withdrawn_as_its_last_task_ends_has_one_final_state_at_all_controllers() {
     let (mut withdrawn, mut done, mut repeated) = (0, 0, 0);
@@ -430,8 +431,8 @@
     world
 }
 
-/// Guards each kind of transaction against a commit whose reply is lost: the sender takes it for failed while all others
-/// have read it, and neither may break a rule by acting on that.
+/// Guards each kind of transaction against a commit whose reply is lost: the sender takes it for failed while all
+/// others have read it, and neither may break a rule by acting on that.
 #[test]
 fn transactions_whose_replies_are_lost_break_no_rule() {
     let mut met = Vec::new();
--- a/src/coordination/simulation/meetings_looks.rs
+++ b/src/coordination/simulation/meetings_looks.rs
@@ -1,11 +1,12 @@
-//! Users who send requests to every controller, repeat requests and withdraw jobs within milliseconds of an answer, under
-//! further faults.
+//! Users who send requests to every controller, repeat requests and withdraw jobs within milliseconds of an answer,
+//! under further faults.
 
 use super::troubles::run_random;
 use super::*;
 use crate::coordination::knowledge::Liveness;
 
-/// Runs seeds in which users send bursts of requests to every controller, under further faults. Returns the total coverage.
+/// Runs seeds in which users send bursts of requests to every controller, under further faults. Returns the total
+/// coverage.
 fn run_with_queries(seeds: std::ops::Range<u64>, profile: FaultProfile) -> Met {
     let mut met = Met::default();
     let count = (seeds.end - seeds.start) * super::troubles::soak_factor();
@@ -78,9 +79,9 @@
     );
 }
 
-/// Guards a user with two requests at once, a query and a withdrawal, under a slow store. The withdrawal was committed and
-/// its answer delayed; another controller found the final state in the store and did not announce it; and a third one
-/// answered from an earlier read that the job was live.
+/// Guards a user with two requests at once, a query and a withdrawal, under a slow store. The withdrawal was committed
+/// and its answer delayed; another controller found the final state in the store and did not announce it; and a third
+/// one answered from an earlier read that the job was live.
 #[test]
 fn a_final_state_found_in_the_store_is_announced_to_peers() {
     run_random(
@@ -111,8 +112,8 @@
     );
 }
 
-/// Guards accepted jobs against a controller that does not know of them yet and whose list of machine types is incomplete
-/// or has changed: it rejected the repeated submission for ever.
+/// Guards accepted jobs against a controller that does not know of them yet and whose list of machine types is
+/// incomplete or has changed: it rejected the repeated submission for ever.
 #[test]
 fn a_repeated_submission_is_not_rejected_for_the_locally_known_machine_types() {
     for seed in 0..3 {
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -201,7 +201,7 @@
     }
 }
 
-/// Pairs of troubles, beside those of `no_job_is_neglected_in_calm_after_two_troubles`, in which a job was neglected: 12 of
+/// Pairs of troubles, beside those of `no_job_is_neglected_in_calm_after_two_kinds_of_fault`, in which a job was neglected: 12 of
 /// 1,190 runs with the judge on, seven of them here. In each the job's reason was `not_admitted`. The last three were found
 /// once these were mended: a plain job kept off accelerators' machines (655000), a gang that was no fault (634001), and a job
 /// with a volume and `reason="no_machine"` for 74 s beside its owner's idle machine, which was held for a job of a higher
--- a/src/coordination/simulation/pairs.rs
+++ b/src/coordination/simulation/pairs.rs
@@ -52,8 +52,8 @@
     ]
 }
 
-/// All pairs of faults, as positions in `all_faults`. First come the pairs of the 23 oldest kinds, whose seeds were fixed
-/// when there were no others; then those of each later kind with all kinds before it.
+/// All pairs of faults, as positions in `all_faults`. First come the pairs of the 23 oldest kinds, whose seeds were
+/// fixed when there were no others; then those of each later kind with all kinds before it.
 pub(super) fn fault_pairs() -> Vec<(usize, usize)> {
     let first = 23;
     let mut pairs: Vec<_> = (0..first).flat_map(|i| (i + 1..first).map(move |j| (i, j))).collect();
@@ -103,8 +103,8 @@
     super::troubles::run_random(seed, profile);
 }
 
-/// Guards against a fault that is injected but has no effect, so that its tests would check nothing. Each kind is injected
-/// alone.
+/// Guards against a fault that is injected but has no effect, so that its tests would check nothing. Each kind is
+/// injected alone.
 #[test]
 fn every_kind_of_fault_takes_effect() {
     for (n, (name, enable)) in all_faults().into_iter().enumerate() {
@@ -119,8 +119,8 @@
     }
 }
 
-/// Guards every rule against all kinds of fault combined, by turns with fast and slow messages, with fast and slow boots
-/// of machines, and with a leader that stays and one that crashes every 12 s.
+/// Guards every rule against all kinds of fault combined, by turns with fast and slow messages, with fast and slow
+/// boots of machines, and with a leader that stays and one that crashes every 12 s.
 #[test]
 fn all_faults_combined_break_no_rule() {
     let profile = FaultProfile {
@@ -170,8 +170,8 @@
     super::troubles::run_each(runs);
 }
 
-/// Guards against a false alarm of the check for forgotten jobs: the store was down for 70 s after the last submission, and
-/// the check reported a job about which no controller could have answered.
+/// Guards against a false alarm of the check for forgotten jobs: the store was down for 70 s after the last submission,
+/// and the check reported a job about which no controller could have answered.
 #[test]
 fn a_long_outage_at_the_end_of_a_run_is_not_taken_for_a_forgotten_job() {
     let profile = FaultProfile {
@@ -183,9 +183,9 @@
     super::troubles::run_random(249_015, profile);
 }
 
-/// Guards against a job that waits for 90 s in a calm period although a machine has room for it and its team is under its
-/// limit. The pairs and seeds are ones in which a job did: gangs and arrays of a team near its limits, under various
-/// faults.
+/// Guards against a job that waits for 90 s in a calm period although a machine has room for it and its team is under
+/// its limit. The pairs and seeds are ones in which a job did: gangs and arrays of a team near its limits, under
+/// various faults.
 #[test]
 fn no_job_is_neglected_in_calm_after_two_kinds_of_fault() {
     let runs = [128_001, 132_000, 171_000, 388_000, 431_000].map(|seed: u64| {
--- a/src/coordination/simulation/troubles.rs
+++ b/src/coordination/simulation/troubles.rs
@@ -25,7 +25,8 @@
     pub(super) cloud_outage: f64,
     /// Two controllers are partitioned from each other.
     pub(super) peers_partitioned: f64,
-    /// Probability per message: it is lost; and that a lost report or transaction arrives up to a minute later after all.
+    /// Probability per message: it is lost; and that a lost report or transaction arrives up to a minute later after
+    /// all.
     pub(super) lost: f64,
     pub(super) late: f64,
     /// A controller's process is paused while its clock runs on.
@@ -91,59 +92,59 @@
 
     /// Draws the faults that begin within the next `seconds`, at most one per kind.
     pub(super) fn inject_faults(&mut self, seconds: f64) {
-        let t = self.trouble;
-        let s = |p: f64| p * seconds;
-        if self.odds(s(t.crash)) {
+        let profile = self.trouble;
+        let probability = |rate: f64| rate * seconds;
+        if self.odds(probability(profile.crash)) {
             let n = self.rng.random_range(0..self.settings.len());
             let was_up = self.controllers[n].is_some();
             self.crash(n);
             was_up.then(|| self.meets("crash"));
         }
-        if self.odds(s(t.crash_all)) && self.meets("crash_all") {
+        if self.odds(probability(profile.crash_all)) && self.meets("crash_all") {
             (0..self.settings.len()).for_each(|n| self.crash(n));
         }
-        if self.odds(s(t.store_outage)) {
+        if self.odds(probability(profile.store_outage)) {
             let length = Micros(self.rng.random_range(S..20 * S));
             self.befalls(Spell::StoreDown, self.now + length);
         }
-        if self.odds(s(t.store_refuses_one)) {
+        if self.odds(probability(profile.store_refuses_one)) {
             let length = Micros(self.rng.random_range(5 * S..35 * S));
             let n = self.rng.random_range(0..self.settings.len());
             self.befalls(Spell::StoreRefuses(n), self.now + length);
         }
-        if self.odds(s(t.store_slow)) {
+        if self.odds(probability(profile.store_slow)) {
             let length = Micros(self.rng.random_range(5 * S..40 * S));
             self.befalls(Spell::StoreSlow, self.now + length);
         }
-        if self.odds(s(t.refusal_then_outage))
+        if self.odds(probability(profile.refusal_then_outage))
             && let Some(leader) = self.leader()
         {
             let refused = Micros(self.rng.random_range(S..15 * S));
-            let away = Micros(self.rng.random_range(20 * S..70 * S));
+            let outage = Micros(self.rng.random_range(20 * S..70 * S));
             self.meets("refusal_then_outage");
             self.befalls(Spell::StoreRefuses(leader), self.now + refused);
             let from = Micros(self.rng.random_range(0..refused.0));
-            self.will_befall(self.now + from, Spell::StoreDown, away);
+            self.will_befall(self.now + from, Spell::StoreDown, outage);
         }
-        if self.odds(s(t.process_pause)) {
+        if self.odds(probability(profile.process_pause)) {
             let length = Micros(self.rng.random_range(S..40 * S));
             let n = self.rng.random_range(0..self.settings.len());
             self.befalls(Spell::StandsStill(n), self.now + length);
         }
-        if self.odds(s(t.isolated)) {
+        if self.odds(probability(profile.isolated)) {
             let length = Micros(self.rng.random_range(S..45 * S));
             let n = self.rng.random_range(0..self.settings.len());
             self.befalls(Spell::Isolated(n), self.now + length);
         }
-        if self.odds(s(t.cloud_outage)) {
+        if self.odds(probability(profile.cloud_outage)) {
             self.cloud_down = self.now + Micros(self.rng.random_range(S..30 * S));
         }
-        if self.odds(s(t.peers_partitioned)) {
+        if self.odds(probability(profile.peers_partitioned)) {
             let a = self.rng.random_range(0..self.settings.len());
             let until = self.now + Micros(self.rng.random_range(S..30 * S));
             self.befalls(Spell::Apart(a, (a + 1) % self.settings.len()), until);
         }
-        if t.leader_crashes
+        if profile.leader_crashes
             && self.now >= self.next_end
             && self.now < self.calm_after
             && let Some(leader) = self.leader()
@@ -152,23 +153,23 @@
             self.crash(leader);
             self.meets("leader_crashes");
         }
-        if self.odds(s(t.withdraw_running)) {
+        if self.odds(probability(profile.withdraw_running)) {
             let count = self.rng.random_range(2..8);
             let hang = if self.rng.random_bool(0.5) { self.rng.random_range(S..40 * S) } else { 0 };
             if self.withdraw_now(count, Micros(hang)) > 0 {
                 self.meets("withdraw_running");
             }
         }
-        if self.odds(s(t.invalid_requests)) {
+        if self.odds(probability(profile.invalid_requests)) {
             self.ask_oddly();
         }
         let lease = self.lease().0;
-        if self.odds(s(t.zone_cut)) {
+        if self.odds(probability(profile.zone_cut)) {
             let length = Micros(self.rng.random_range(lease + S..lease * 3));
             let zone = ["east", "west"][self.rng.random_range(0..2)];
             self.befalls(Spell::ZoneCut(zone), self.now + length);
         }
-        if self.odds(s(t.all_controllers_down)) && self.meets("all_controllers_down") {
+        if self.odds(probability(profile.all_controllers_down)) && self.meets("all_controllers_down") {
             let length = Micros(self.rng.random_range(lease + S..lease * 3));
             self.all_away(length);
         }
@@ -179,14 +180,17 @@
         }
         let name = names[self.rng.random_range(0..names.len())].clone();
         let (now, length) = (self.now, Micros(self.rng.random_range(S..50 * S)));
-        let (not_receiving, reboots, blocked_reports) =
-            (self.odds(s(t.not_receiving)), self.odds(s(t.reboots)), self.odds(s(t.blocked_reports)));
+        let (not_receiving, reboots, blocked_reports) = (
+            self.odds(probability(profile.not_receiving)),
+            self.odds(probability(profile.reboots)),
+            self.odds(probability(profile.blocked_reports)),
+        );
         let (dies, cut, hangs, faulty, preempted) = (
-            self.odds(s(t.machine_dies)),
-            self.odds(s(t.machine_cut)),
-            self.odds(s(t.machine_hangs)),
-            self.odds(s(t.faulty)),
-            self.odds(s(t.spot_preempted)),
+            self.odds(probability(profile.machine_dies)),
+            self.odds(probability(profile.machine_cut)),
+            self.odds(probability(profile.machine_hangs)),
+            self.odds(probability(profile.faulty)),
+            self.odds(probability(profile.spot_preempted)),
         );
         let Some(w) = self.workers.get_mut(&name) else { return };
         let preempted = preempted && w.spot;
@@ -246,7 +250,8 @@
                 c.phase,
                 c.unresolved_machines
             );
-            text += &format!("  view {:?} nodes {:?} leading {}\n", c.view, c.registrations, c.leading());
+            text +=
+                &format!("  view {:?} registrations {:?} leading {}\n", c.view, c.registrations, c.leading());
             for (name, m) in &c.machines {
                 let tasks: Vec<_> = m.tasks.iter().map(|(i, t)| (i.text(), t.state, t.attempt)).collect();
                 text += &format!("  {name} {:?} up {} resolved {} {tasks:?}\n", m.row, m.up, m.resolved);
@@ -286,11 +291,11 @@
     let mut endless = Vec::new();
     for n in 0..40u32 {
         let spec = world.random_job(n);
-        let mistaken = profile.broken_jobs > 0.0 && world.rng.random_bool(profile.broken_jobs);
-        if mistaken {
+        let broken = profile.broken_jobs > 0.0 && world.rng.random_bool(profile.broken_jobs);
+        if broken {
             world.mistaken.insert(spec.id.clone());
         }
-        if mistaken || spec.shape == Shape::Service {
+        if broken || spec.shape == Shape::Service {
             endless.push(spec.id.clone());
         }
         world.submit(spec);
@@ -318,7 +323,7 @@
     for (id, wish) in &world.jobs {
         assert!(
             wish.refused || wish.told_final.is_some(),
-            "seed {seed}: {id} is not over: {:?}, done {:?}\n{}",
+            "seed {seed}: {id} has not ended: {:?}, done {:?}\n{}",
             wish.spec,
             wish.tasks_done,
             world.describe_job(id)
@@ -340,14 +345,14 @@
     std::env::var("RUST_TEST_THREADS").ok().and_then(|n| n.parse().ok()).unwrap_or_else(processors).max(1)
 }
 
-/// Runs the given seeds, and in a soak the `soak_factor` times as many that follow them.
+/// Runs the given seeds; in a soak, `soak_factor` times as many from the same start.
 pub(super) fn run_seeds(seeds: std::ops::Range<u64>, profile: FaultProfile) {
     let count = (seeds.end - seeds.start) * soak_factor();
     run_each((seeds.start..seeds.start + count).map(|seed| (String::new(), seed, profile)).collect());
 }
 
-/// Runs each of (name, seed, profile), one after the other. In a soak the runs share all processors, and the failed ones
-/// are listed at the end.
+/// Runs each of (name, seed, profile), one after the other. In a soak the runs share all processors, and the failed
+/// ones are listed at the end.
 pub(super) fn run_each(runs: Vec<(String, u64, FaultProfile)>) {
     run_each_with(runs, |seed, profile| drop(run_random(seed, profile)));
 }
@@ -470,8 +475,8 @@
     run_seeds(800..808, profile);
 }
 
-/// Guards against relying on a machine whose reports arrive but which receives nothing: its tasks end with its sessions,
-/// and its jobs continue on other machines, also when their controllers crash.
+/// Guards against relying on a machine whose reports arrive but which receives nothing: its tasks end with its
+/// sessions, and its jobs continue on other machines, also when their controllers crash.
 #[test]
 fn machines_that_receive_nothing_block_no_job() {
     let profile = FaultProfile {
@@ -484,9 +489,9 @@
     run_seeds(900..908, profile);
 }
 
-/// Guards against a controller that keeps ordering its workers when others may already act for it: it is cut off from the
-/// store and the other controllers, its process is paused meanwhile, or it crashes and is back within a fraction of a
-/// second.
+/// Guards against a controller that keeps ordering its workers when others may already act for it: it is cut off from
+/// the store and the other controllers, its process is paused meanwhile, or it crashes and is back within a fraction of
+/// a second.
 #[test]
 fn a_controller_that_reaches_only_its_workers_becomes_inactive_in_time() {
     let profile = FaultProfile { isolated: 0.03, process_pause: 0.02, crash: 0.02, ..Default::default() };
