--- a/src/coordination/simulation.rs
+++ b/src/coordination/simulation.rs
@@ -61,7 +61,7 @@
 use network::PendingRequest;
 use spells::{CALL_TIMEOUT, CommitFault, TimedFault};
 use store::Store;
-use troubles::Trouble;
+use troubles::FaultProfile;
 use users::{AnsweredRequest, UserJob};
 use workers::{Worker, WorkerTask};
 
@@ -250,7 +250,7 @@
     cloud_capacity: usize,
     workers: BTreeMap<String, Worker>,
     jobs: BTreeMap<String, UserJob>,
-    fault_profile: Trouble,
+    fault_profile: FaultProfile,
     tasks_started: u32,
     /// From then on no random faults are injected.
     fault_free_from: Micros,
@@ -311,11 +311,11 @@
 }
 
 impl World {
-    fn new(seed: u64, fault_profile: Trouble) -> World {
+    fn new(seed: u64, fault_profile: FaultProfile) -> World {
         World::with_size(seed, fault_profile, ClusterSize { controllers: 3, machines: 14 })
     }
 
-    fn with_size(seed: u64, fault_profile: Trouble, size: ClusterSize) -> World {
+    fn with_size(seed: u64, fault_profile: FaultProfile, size: ClusterSize) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut base: Settings = toml::from_str(crate::settings::tests::SAMPLE).unwrap();
         base.params.teams[0].gpus_max = 4.0;
@@ -418,7 +418,7 @@
             checks_answer_times: true,
             neglect_monitor: NeglectMonitor::default(),
         };
-        world.bring(fault_profile);
+        world.set_fault_profile(fault_profile);
         for n in 0..size.controllers {
             world.schedule_at(Micros::from_millis(10 * n as u64), SimEvent::Start(n));
         }
@@ -495,7 +495,7 @@
             | SimEvent::DuplicateReport { node: n, .. }
                 if self.paused_until(n) > self.now =>
             {
-                self.record_fault("stands_still");
+                self.record_fault("process_pause");
                 let until = self.paused_until(n);
                 self.schedule_at(until, event);
             }
@@ -507,7 +507,7 @@
             SimEvent::Tick(n) => {
                 if self.controllers[n].is_some() {
                     if n == 0 || self.controllers[0].is_none() {
-                        self.make_trouble(0.1);
+                        self.inject_faults(0.1);
                     }
                     self.deliver_event(n, Event::Tick);
                     if self.sequence.is_multiple_of(4) {
@@ -521,7 +521,7 @@
                 if let Event::Submit(_, spec) = &event
                     && self.jobs.get(&spec.id).is_some_and(|user_job| user_job.known_accepted)
                 {
-                    self.record_fault("repeats");
+                    self.record_fault("repeated_requests");
                 }
                 self.count_unsolicited_confirmation(node, &event);
                 if self.incarnations[node] == incarnation
@@ -552,7 +552,7 @@
                     self.coverage.duplicate_completed_tasks += u32::from(t.cause == Some(Cause::Done));
                 }
                 self.next_request += 1;
-                self.record_fault("late_reports");
+                self.record_fault("duplicate_reports");
                 self.deliver_event(node, Event::Report(self.next_request - 1, report));
             }
             SimEvent::LateCommit { node, sent_at, transaction } => {
--- a/src/coordination/simulation/asking.rs
+++ b/src/coordination/simulation/asking.rs
@@ -7,7 +7,8 @@
 /// Returns the longest time, in seconds, for which no request about some job was answered, and the number of requests
 /// that the store received meanwhile.
 fn longest_unanswered_after_restart(seed: u64, jobs: u32) -> (f64, u64) {
-    let mut world = World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 24 });
+    let mut world =
+        World::with_size(seed, FaultProfile::default(), ClusterSize { controllers: 3, machines: 24 });
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
     }
--- a/src/coordination/simulation/contradictions.rs
+++ b/src/coordination/simulation/contradictions.rs
@@ -17,7 +17,7 @@
     let mut detected = 0;
     for seed in 700..710 {
         let (mut world, n, name, id) = starting(seed);
-        world.fault_profile.held_up = 0.0;
+        world.fault_profile.delayed_orders = 0.0;
         world.task_run_time = 20 * S..30 * S;
         let until = world.now + Micros::from_secs(5);
         while !world.workers[&name].tasks.contains_key(&id) && world.now < until {
@@ -53,7 +53,7 @@
 fn a_cancelled_start_that_a_new_holder_still_lists_is_no_contradiction() {
     let (mut questioned, mut cancelled) = (0, 0);
     for seed in 720..740 {
-        let mut world = super::meetings::full(seed, 12);
+        let mut world = super::meetings::saturated_cluster(seed, 12);
         let (n, name, id) = planned(&mut world);
         let new_holder = other_than(&world, n);
         // The other controller knows of the planned start, and the start has not been sent.
--- a/src/coordination/simulation/deafness.rs
+++ b/src/coordination/simulation/deafness.rs
@@ -12,7 +12,7 @@
 fn machines_that_do_not_receive_get_no_work_and_are_returned_or_reinstated() {
     for seed in 0..4 {
         let mut world =
-            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 16 });
+            World::with_size(seed, FaultProfile::default(), ClusterSize { controllers: 3, machines: 16 });
         let names: Vec<String> = (0..12).map(|_| world.add_machine("c16", "east", false)).collect();
         for n in 0..9 {
             let spec = array(&mut world, n, 250);
@@ -69,7 +69,7 @@
         world.fault_free_from = world.now;
         world.run(world.now + Micros::from_secs(400));
         for (id, wish) in &world.jobs {
-            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
 }
--- a/src/coordination/simulation/evictions.rs
+++ b/src/coordination/simulation/evictions.rs
@@ -10,7 +10,7 @@
 /// concluded that the others had crashed, and evicted each other as fast as they rejoined.
 #[test]
 fn controllers_are_evicted_after_a_crash_but_not_for_refused_connections() {
-    let mut world = World::new(10, Trouble::default());
+    let mut world = World::new(10, FaultProfile::default());
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
     }
@@ -39,7 +39,7 @@
 /// matter has expired.
 #[test]
 fn a_takeover_does_not_wait_long_for_dead_machines() {
-    let mut world = World::new(11, Trouble::default());
+    let mut world = World::new(11, FaultProfile::default());
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
     }
@@ -64,7 +64,7 @@
     assert!(
         world.controllers.iter().flatten().all(|c| !c.takeover_in_progress),
         "{}",
-        world.describe("j-000000")
+        world.describe_job("j-000000")
     );
 }
 
@@ -77,7 +77,7 @@
 fn a_paused_controller_is_replaced_before_its_lease_expires_and_evicts_no_other() {
     let mut taken_over_in_time = 0;
     for seed in 0..6 {
-        let mut world = World::new(30 + seed, Trouble::default());
+        let mut world = World::new(30 + seed, FaultProfile::default());
         for _ in 0..18 {
             world.add_machine("c16", "east", false);
         }
@@ -118,7 +118,7 @@
 /// final state, and answered that there was no such job.
 #[test]
 fn an_evicted_controller_does_not_report_accepted_jobs_as_unknown() {
-    let mut world = World::new(50, Trouble::default());
+    let mut world = World::new(50, FaultProfile::default());
     let job = JobSpec { shape: Shape::Array, ..world.random_job(1) };
     let id = job.id.clone();
     world.submit(JobSpec { tasks: 1_000, team: "green".into(), ..job });
--- a/src/coordination/simulation/fleets.rs
+++ b/src/coordination/simulation/fleets.rs
@@ -6,7 +6,8 @@
 /// granted, the value exceeded the size limit, and no grant could be written any more.
 #[test]
 fn all_machines_are_granted_when_block_records_are_full() {
-    let mut world = World::with_size(9, Trouble::default(), ClusterSize { controllers: 3, machines: 320 });
+    let mut world =
+        World::with_size(9, FaultProfile::default(), ClusterSize { controllers: 3, machines: 320 });
     for _ in 0..320 {
         world.add_machine("c16", "east", false);
     }
@@ -27,7 +28,7 @@
 /// second time, and the tasks of a job with such a record would be stopped as unknown.
 #[test]
 fn unreadable_records_prevent_starts_and_stops() {
-    let mut world = World::new(77, Trouble::default());
+    let mut world = World::new(77, FaultProfile::default());
     for n in 0..6 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
         world.submit(JobSpec { tasks: 60, team: "green".into(), ..job });
@@ -67,7 +68,7 @@
     write(&mut world, &Value::clone);
     pause(&mut world, 400);
     for (id, wish) in &world.jobs {
-        assert!(wish.known_final.is_some(), "{id} is not over\n{}", world.describe(id));
+        assert!(wish.known_final.is_some(), "{id} is not over\n{}", world.describe_job(id));
     }
 }
 
@@ -78,7 +79,7 @@
 /// passes of a controller are bounded and do not grow with the number of events.
 #[test]
 fn a_large_cluster_keeps_the_rules_with_bounded_placement_work() {
-    let trouble = Trouble { crash: 0.01, machine_dies: 0.05, machine_cut: 0.1, ..Default::default() };
+    let trouble = FaultProfile { crash: 0.01, machine_dies: 0.05, machine_cut: 0.1, ..Default::default() };
     let mut world = World::with_size(20, trouble, ClusterSize { controllers: 7, machines: 400 });
     for n in 0..200 {
         world.add_machine("c16", ["east", "west"][n % 2], false);
@@ -103,7 +104,7 @@
     world.run(Micros::from_secs(260));
     for (id, wish) in &world.jobs {
         let message = format!("{id} is not over: {:?}", wish.spec);
-        assert!(wish.known_final.is_some(), "{message}\n{}", world.describe(id));
+        assert!(wish.known_final.is_some(), "{message}\n{}", world.describe_job(id));
     }
     for (n, c) in world.controllers.iter().enumerate() {
         let Some(c) = c else { continue };
@@ -117,7 +118,8 @@
 /// crashed.
 #[test]
 fn a_single_controller_finishes_all_jobs_also_after_a_crash() {
-    let mut world = World::with_size(12, Trouble::default(), ClusterSize { controllers: 1, machines: 6 });
+    let mut world =
+        World::with_size(12, FaultProfile::default(), ClusterSize { controllers: 1, machines: 6 });
     world.run(Micros::from_secs(5));
     for n in 0..4 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
@@ -126,7 +128,7 @@
     world.run(Micros::from_secs(30));
     world.crash(0);
     world.run(Micros::from_secs(200));
-    assert!(world.jobs.values().all(|j| j.known_final.is_some()), "{}", world.describe("j-000000"));
+    assert!(world.jobs.values().all(|j| j.known_final.is_some()), "{}", world.describe_job("j-000000"));
 }
 
 /// Guards against a task running twice because of outdated knowledge.
@@ -136,7 +138,7 @@
 /// before the outage, which the former owner could not know.
 #[test]
 fn no_worker_lease_is_taken_for_expired_on_outdated_knowledge() {
-    let mut world = World::new(13, Trouble::default());
+    let mut world = World::new(13, FaultProfile::default());
     for n in 0..4 {
         let job = JobSpec { shape: Shape::Array, zone: None, gpus: 0.0, ..world.random_job(n) };
         world.submit(JobSpec { tasks: 400, team: "green".into(), ..job });
--- a/src/coordination/simulation/idle.rs
+++ b/src/coordination/simulation/idle.rs
@@ -290,7 +290,7 @@
              with enough capacity in all samples: {free:?}; the team's jobs (owner, volume, placed, unfinished, need, \
              wait reason): {volumes:?}\n{}",
             self.now,
-            self.describe(id)
+            self.describe_job(id)
         )
     }
 
@@ -324,7 +324,7 @@
 /// Runs the neglect check for two minutes on a waiting job and one machine, without controllers or faults, and returns
 /// how often the job had waited for long. `before_sample` may change the state before each sample.
 fn count_long_waits(spec: JobSpec, before_sample: fn(&mut World, &str, u64)) -> u32 {
-    let mut world = World::new(5, Trouble { judges_neglect: true, ..Default::default() });
+    let mut world = World::new(5, FaultProfile { checks_neglect: true, ..Default::default() });
     world.queue.clear();
     world.fault_free_from = Micros::ZERO;
     let name = world.add_machine("g8", "east", false);
@@ -343,7 +343,7 @@
 
 /// A job whose tasks need four processors each and fit on any on-demand machine.
 fn waiting_job(shape: Shape, tasks: u32, team: &str) -> JobSpec {
-    let mut world = World::new(6, Trouble::default());
+    let mut world = World::new(6, FaultProfile::default());
     let job = JobSpec {
         shape,
         tasks,
--- a/src/coordination/simulation/looks.rs
+++ b/src/coordination/simulation/looks.rs
@@ -3,7 +3,7 @@
 //! When users first learn of a new state of their job, they query all controllers at once, repeat their requests and
 //! withdraw some of the jobs. They also send requests about jobs that were never submitted.
 
-use super::troubles::play;
+use super::troubles::run_random;
 use super::*;
 
 /// What a user requests of a controller.
@@ -24,7 +24,7 @@
             return;
         }
         self.coverage.request_bursts += 1;
-        self.record_fault("looks");
+        self.record_fault("request_bursts");
         let withdraw_live = self.rng.random_bool(0.2);
         let repeat = self.rng.random_bool(0.5);
         let Some(user_job) = self.jobs.get_mut(id) else { return };
@@ -86,7 +86,7 @@
 
 /// A world with one job that has ended with the given state, as its user knows.
 fn world_with_ended_job(state: FinalState) -> (World, String) {
-    let mut world = World::new(1, Trouble::default());
+    let mut world = World::new(1, FaultProfile::default());
     let job = JobSpec { shape: Shape::Array, tasks: 1, gpus: 0.0, zone: None, ..world.random_job(1) };
     let id = job.id.clone();
     world.submit(JobSpec { team: "green".into(), ..job });
@@ -187,7 +187,7 @@
 fn request_bursts_get_no_answers_older_than_what_the_user_knows() {
     let mut coverage = Coverage::default();
     for seed in 0..4 {
-        let world = play(20_000 + seed, Trouble { looks: 0.7, ..Default::default() });
+        let world = run_random(20_000 + seed, FaultProfile { request_bursts: 0.7, ..Default::default() });
         coverage.request_bursts += world.coverage.request_bursts;
         coverage.unknown_job_denials += world.coverage.unknown_job_denials;
         coverage.repeated_final_states += world.coverage.repeated_final_states;
--- a/src/coordination/simulation/measure.rs
+++ b/src/coordination/simulation/measure.rs
@@ -29,7 +29,7 @@
 
 /// Measures a takeover on a loaded cluster: one machine in a hundred dies, and a second later controllers crash.
 fn takeover(machines: usize, controllers: usize, scenario: CrashScenario) -> TakeoverCost {
-    let mut world = World::with_size(9, Trouble::default(), ClusterSize { controllers, machines });
+    let mut world = World::with_size(9, FaultProfile::default(), ClusterSize { controllers, machines });
     // Limits as in a deployment of this size.
     for settings in &mut world.settings {
         settings.params.state.rps = 300.0;
--- a/src/coordination/simulation/mistakes.rs
+++ b/src/coordination/simulation/mistakes.rs
@@ -12,7 +12,7 @@
 fn broken_jobs_quarantine_no_healthy_machine_and_delay_no_other_job() {
     for seed in 0..6 {
         let mut world =
-            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 26 });
+            World::with_size(seed, FaultProfile::default(), ClusterSize { controllers: 3, machines: 26 });
         let machines: Vec<String> = (0..24)
             .map(|n| world.add_machine(if n < 18 { "c16" } else { "g8" }, ["east", "west"][n % 2], false))
             .collect();
@@ -58,7 +58,7 @@
             assert!(
                 wish.rejected || wish.known_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
-                world.describe(id)
+                world.describe_job(id)
             );
         }
         // During ten more minutes retries become rare, and afterwards users can still withdraw the broken jobs.
@@ -75,7 +75,7 @@
             assert!(
                 world.jobs[id].known_final.is_some(),
                 "seed {seed}: {id} is not over\n{}",
-                world.describe(id)
+                world.describe_job(id)
             );
         }
     }
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -62,7 +62,7 @@
         let low = JobParams { priority: Priority::Low, cpus: 3.0, ..high(1, 1, Shape::Array, 10) };
         let low = submit_job(&mut world, "red", low);
         let begun = |w: &World| w.jobs[&low].last_task_start > Micros::ZERO;
-        assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe(&low));
+        assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe_job(&low));
         assert!(world.running_usage()[0].0 <= 24_000);
     }
 }
@@ -99,7 +99,7 @@
             nth += 1;
             go(&mut world, Micros::from_millis(400));
         }
-        assert_eq!(there(&world, &gang), 4, "seed {seed}: {}", world.describe(&gang));
+        assert_eq!(there(&world, &gang), 4, "seed {seed}: {}", world.describe_job(&gang));
     }
 }
 
@@ -183,7 +183,7 @@
 fn a_plain_job_takes_an_idle_accelerator_machine_where_there_is_no_other() {
     for seed in 3_040..3_043 {
         let mut world =
-            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 3 });
+            World::with_size(seed, FaultProfile::default(), ClusterSize { controllers: 3, machines: 3 });
         world.tuning.idle_return_s = 900.0;
         for _ in 0..3 {
             world.add_machine("g8", "east", false);
@@ -213,7 +213,7 @@
         };
         let plain = submit_job(&mut world, "green", plain);
         let begun = |w: &World| w.jobs[&plain].last_task_start > Micros::ZERO;
-        assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe(&plain));
+        assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe_job(&plain));
     }
 }
 
@@ -227,7 +227,7 @@
 #[test]
 fn pairs_of_faults_that_led_to_neglected_jobs_pass() {
     let seeds = [400_000, 143_000, 191_000, 653_000, 206_000, 598_001, 670_000, 655_000, 634_001, 148_002];
-    super::pairs::play_seeds(&seeds);
+    super::pairs::run_pair_seeds(&seeds);
 }
 
 /// Guards against a bound on the number of jobs that are backfilled at a time.
@@ -327,7 +327,7 @@
         let all_begun = |w: &World| others.iter().all(|id| w.jobs[id].last_task_start > Micros::ZERO);
         let in_time = until(&mut world, MAX_WAIT, all_begun);
         let begun = others.iter().filter(|id| world.jobs[*id].last_task_start > Micros::ZERO).count();
-        assert!(in_time, "seed {seed}: {begun} of 8 begun; {}", world.describe(&first));
+        assert!(in_time, "seed {seed}: {begun} of 8 begun; {}", world.describe_job(&first));
         assert!(world.running_usage()[0].0 <= 24_000);
     }
 }
@@ -341,7 +341,7 @@
 fn idle_machines_of_a_gang_are_not_returned_while_the_others_boot() {
     for seed in 3_070..3_073 {
         let mut world =
-            World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines: 60 });
+            World::with_size(seed, FaultProfile::default(), ClusterSize { controllers: 3, machines: 60 });
         world.run(Micros::from_secs(12));
         let gang = JobParams {
             owner: 1,
@@ -354,6 +354,6 @@
         };
         let gang = submit_job(&mut world, "green", gang);
         let begun = |w: &World| there(w, &gang) == 24;
-        assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe(&gang));
+        assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe_job(&gang));
     }
 }
--- a/src/coordination/simulation/network.rs
+++ b/src/coordination/simulation/network.rs
@@ -109,7 +109,7 @@
             // Messages between two controllers share a connection and keep their order.
             let mut delay = Micros(2 * MS) + self.random_link_delay();
             if partitioned {
-                self.record_fault("peers_apart");
+                self.record_fault("peers_partitioned");
                 let Some(arrives_at) = self.held_message_arrival(from, other) else { continue };
                 delay = arrives_at.since(self.now);
                 self.coverage.late_peer_messages += u32::from(delay > Micros::from_secs(5));
--- a/src/coordination/simulation/odd.rs
+++ b/src/coordination/simulation/odd.rs
@@ -10,7 +10,7 @@
     /// A user sends an invalid request to one controller or to all of them.
     pub(super) fn send_invalid_request(&mut self) {
         let node = self.rng.random_range(0..self.settings.len());
-        self.record_fault("odd");
+        self.record_fault("invalid_requests");
         match self.rng.random_range(0..5) {
             0 => {
                 let unfinished = |w: &UserJob| w.known_accepted && w.known_final.is_none();
--- a/src/coordination/simulation/outages.rs
+++ b/src/coordination/simulation/outages.rs
@@ -6,7 +6,7 @@
 /// after it, so that users' requests would be rejected for as long again.
 #[test]
 fn a_store_outage_causes_no_retry_storm() {
-    let mut world = World::new(31, Trouble::default());
+    let mut world = World::new(31, FaultProfile::default());
     for _ in 0..12 {
         world.add_machine("c16", "east", false);
     }
@@ -39,7 +39,7 @@
     assert!(before < 40, "all jobs had ended before the outage");
     world.run(world.now + Micros::from_secs(200));
     for (id, wish) in &world.jobs {
-        assert!(wish.known_final.is_some(), "{id} is not over\n{}", world.describe(id));
+        assert!(wish.known_final.is_some(), "{id} is not over\n{}", world.describe_job(id));
     }
 }
 
@@ -47,7 +47,7 @@
 ///
 /// The timings are those of a deployment: report interval, worker lease, and cancel deadline.
 fn tasks_lost_in_outage(seed: u64, seconds: u64, (report_s, lease_s, cancel_s): (f64, f64, f64)) -> usize {
-    let mut world = World::new(seed, Trouble::default());
+    let mut world = World::new(seed, FaultProfile::default());
     for s in &mut world.settings {
         let w = &mut s.params.workers;
         (w.report_s, w.lease_s, w.cancel_s) = (report_s, lease_s, cancel_s);
@@ -102,7 +102,7 @@
 fn a_paused_controller_does_not_act_on_outdated_knowledge() {
     for seed in 0..6 {
         let mut world =
-            World::new(seed, Trouble { machine_hangs: 0.1, machine_cut: 0.05, ..Default::default() });
+            World::new(seed, FaultProfile { machine_hangs: 0.1, machine_cut: 0.05, ..Default::default() });
         for _ in 0..18 {
             world.add_machine("c16", "east", false);
         }
@@ -121,14 +121,14 @@
             }
             world.run(world.now + Micros::from_secs(length + 8));
         }
-        world.fault_profile = Trouble::default();
+        world.fault_profile = FaultProfile::default();
         for wish in world.jobs.values_mut() {
             wish.wants_withdrawal |= wish.spec.as_ref().is_some_and(|s| s.shape == Shape::Service);
         }
         world.run(world.now + Micros::from_secs(400));
         for (id, wish) in &world.jobs {
             let over = wish.rejected || wish.known_final.is_some();
-            assert!(over, "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(over, "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
 }
--- a/src/coordination/simulation/overload.rs
+++ b/src/coordination/simulation/overload.rs
@@ -20,7 +20,7 @@
 
 /// Three controllers and machines of one type in both zones.
 fn cluster(seed: u64, machines: usize) -> World {
-    let mut world = World::with_size(seed, Trouble::default(), ClusterSize { controllers: 3, machines });
+    let mut world = World::with_size(seed, FaultProfile::default(), ClusterSize { controllers: 3, machines });
     for n in 0..machines {
         world.add_machine("c16", if n % 2 == 0 { "east" } else { "west" }, false);
     }
@@ -76,7 +76,7 @@
         );
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
 }
@@ -165,7 +165,7 @@
         }
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
             let quiet = wish.spec.as_ref().is_some_and(|s| s.class == "quiet");
             let max_deferrals = if quiet { 6 } else { 12 };
             assert!(
--- a/src/coordination/simulation/returns.rs
+++ b/src/coordination/simulation/returns.rs
@@ -5,7 +5,7 @@
 use crate::coordination::Phase;
 
 /// Three controllers, 24 machines and work for all of them.
-fn busy_cluster(seed: u64, trouble: Trouble, tasks: u32) -> World {
+fn busy_cluster(seed: u64, trouble: FaultProfile, tasks: u32) -> World {
     let mut world = World::new(seed, trouble);
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
@@ -30,7 +30,7 @@
 #[test]
 fn a_quick_restart_waits_for_no_machine_that_other_controllers_know() {
     for seed in 0..8 {
-        let mut world = busy_cluster(seed, Trouble::default(), 300);
+        let mut world = busy_cluster(seed, FaultProfile::default(), 300);
         let busy_machines = |c: &Controller| {
             let own = c.machines.iter().filter(|(_, m)| c.owns(m) && !m.idle());
             own.map(|(name, _)| name.clone()).collect::<Vec<_>>()
@@ -75,7 +75,7 @@
         }),
     ];
     let trouble =
-        Trouble { machine_dies: 0.02, machine_cut: 0.05, machine_hangs: 0.02, ..Default::default() };
+        FaultProfile { machine_dies: 0.02, machine_cut: 0.05, machine_hangs: 0.02, ..Default::default() };
     for (i, (name, reached)) in steps.into_iter().enumerate() {
         let mut crashes = 0;
         for seed in 0..3 {
@@ -112,7 +112,7 @@
 /// a fraction of a second, while machines fail and are partitioned.
 #[test]
 fn repeated_crashes_for_a_minute_lose_no_job_and_tasks_still_start() {
-    let trouble = Trouble { machine_dies: 0.03, machine_cut: 0.05, ..Default::default() };
+    let trouble = FaultProfile { machine_dies: 0.03, machine_cut: 0.05, ..Default::default() };
     for seed in 0..4 {
         let mut world = busy_cluster(80 + seed, trouble, 600);
         let before = world.tasks_started;
@@ -135,7 +135,7 @@
 #[test]
 fn no_job_waits_for_unlisted_machines_after_all_controllers_restart() {
     for seed in 0..4 {
-        let mut world = busy_cluster(120 + seed, Trouble::default(), 300);
+        let mut world = busy_cluster(120 + seed, FaultProfile::default(), 300);
         let used = world.workers.iter().filter(|(_, w)| !w.tasks.is_empty()).map(|(name, _)| name.clone());
         let taken: Vec<String> = used.take(4).collect();
         (0..3).for_each(|n| world.crash_for(n, Micros::from_millis(200)));
@@ -158,7 +158,7 @@
 /// The owner has no record of such a job, so it counts the largest amount of resources that its tasks may use.
 #[test]
 fn tasks_of_jobs_over_before_a_restart_count_against_the_team_limit() {
-    let mut world = busy_cluster(140, Trouble::default(), 300);
+    let mut world = busy_cluster(140, FaultProfile::default(), 300);
     let c = world.controllers[0].as_mut().unwrap();
     let before = c.usage_by_team();
     let (name, free) =
--- a/src/coordination/simulation/rules.rs
+++ b/src/coordination/simulation/rules.rs
@@ -89,7 +89,7 @@
             assert!(
                 unanswered_for <= limit,
                 "forgotten: no request about {id} was answered for {unanswered_for:?}\n{}",
-                self.describe(id)
+                self.describe_job(id)
             );
         }
     }
@@ -101,7 +101,7 @@
         self.run(self.now + Micros::from_secs(seconds));
         for (id, user_job) in &self.jobs {
             let is_over = user_job.rejected || user_job.known_final.is_some();
-            assert!(is_over, "{context}: {id} is not over\n{}", self.describe(id));
+            assert!(is_over, "{context}: {id} is not over\n{}", self.describe_job(id));
         }
     }
 
--- a/src/coordination/simulation/services.rs
+++ b/src/coordination/simulation/services.rs
@@ -44,7 +44,7 @@
 /// `standing` accelerator machines in both zones, and an objective under which services must start quickly.
 fn cluster_for_services(
     seed: u64,
-    trouble: Trouble,
+    trouble: FaultProfile,
     machines: usize,
     standing: usize,
     guaranteed: f64,
@@ -61,14 +61,14 @@
 /// as their jobs require, and those of a withdrawn service are gone.
 #[test]
 fn lost_replicas_are_replaced_after_all_kinds_of_faults() {
-    let trouble = Trouble {
+    let trouble = FaultProfile {
         crash: 0.02,
         crash_all: 0.004,
         machine_dies: 0.04,
         machine_cut: 0.02,
-        spot_taken: 0.2,
+        spot_preempted: 0.2,
         store_outage: 0.01,
-        peers_apart: 0.02,
+        peers_partitioned: 0.02,
         ..Default::default()
     };
     for seed in 900..906 {
@@ -93,7 +93,12 @@
         for n in (0..10).filter(|n| *n != 3) {
             let id = format!("j-{n:06}");
             let tasks = [2, 8, 12][n % 3];
-            assert_eq!(running_replicas(&world, &id), tasks, "seed {seed}: {id}\n{}", world.describe(&id));
+            assert_eq!(
+                running_replicas(&world, &id),
+                tasks,
+                "seed {seed}: {id}\n{}",
+                world.describe_job(&id)
+            );
         }
         assert_eq!(running_replicas(&world, "j-000003"), 0, "seed {seed}: a withdrawn service still runs");
         assert!(world.jobs["j-000003"].known_final.is_some());
@@ -104,7 +109,7 @@
 /// them.
 #[test]
 fn an_urgent_service_preempts_array_tasks_at_once() {
-    let mut world = cluster_for_services(30, Trouble::default(), 6, 6, 24.0);
+    let mut world = cluster_for_services(30, FaultProfile::default(), 6, 6, 24.0);
     for n in 0..3 {
         let job = JobSpec { shape: Shape::Array, gpus: 1.0, cpus: 2.0, zone: None, ..world.random_job(n) };
         world.submit(JobSpec { tasks: 400, priority: Priority::Low, team: "green".into(), ..job });
@@ -119,14 +124,14 @@
     world.submit(service);
     let end = world.now + Micros::from_secs(8);
     world.run(end);
-    assert_eq!(running_replicas(&world, "j-000007"), 4, "{}", world.describe("j-000007"));
+    assert_eq!(running_replicas(&world, "j-000007"), 4, "{}", world.describe_job("j-000007"));
 }
 
 /// Guards against replicas not being replaced until their dead machine's lease has expired, and against returning the
 /// machines of a whole zone that is only unreachable for their owners.
 #[test]
 fn replicas_of_a_dead_machine_are_replaced_long_before_its_lease_expires() {
-    let mut world = cluster_for_services(31, Trouble::default(), 40, 30, 96.0);
+    let mut world = cluster_for_services(31, FaultProfile::default(), 40, 30, 96.0);
     world.run(Micros::from_secs(3));
     for n in 0..8 {
         let service = service_job(&mut world, n, 8);
@@ -144,7 +149,12 @@
     world.workers.get_mut(&failed).unwrap().partitioned_until = Micros::MAX;
     world.run(Micros::from_secs(54));
     assert!(!world.workers.contains_key(&failed), "the dead machine was not returned");
-    assert_eq!(all(&world), 64, "not replaced 14 s after its machine died: {}", world.describe("j-000000"));
+    assert_eq!(
+        all(&world),
+        64,
+        "not replaced 14 s after its machine died: {}",
+        world.describe_job("j-000000")
+    );
     let before: Vec<String> = used(&world);
     for w in world.workers.values_mut().filter(|w| w.zone == "east") {
         w.partitioned_until = Micros::from_secs(64);
@@ -158,7 +168,7 @@
 /// part that teams use.
 #[test]
 fn capacity_is_kept_only_for_the_used_part_of_guarantees() {
-    let mut world = cluster_for_services(32, Trouble::default(), 200, 6, 4_000.0);
+    let mut world = cluster_for_services(32, FaultProfile::default(), 200, 6, 4_000.0);
     world.run(Micros::from_secs(3));
     for n in 0..2 {
         let service = service_job(&mut world, n, 8);
--- a/src/coordination/simulation/spells.rs
+++ b/src/coordination/simulation/spells.rs
@@ -153,7 +153,7 @@
     /// Called when the last task of a job completes; may withdraw the job at that moment.
     pub(super) fn job_tasks_completed(&mut self, id: String) {
         let p = self.withdraw_at_end_probability;
-        if self.chance(p) && self.record_fault("at_end") {
+        if self.chance(p) && self.record_fault("withdraw_at_end") {
             self.withdraw_job(id, 5 * MS);
         }
     }
@@ -172,7 +172,7 @@
         for report in std::mem::take(&mut self.retained_reports) {
             for node in 0..self.settings.len() {
                 self.coverage.retained_reports_delivered += 1;
-                self.record_fault("kept_reports");
+                self.record_fault("retained_reports");
                 self.schedule_within(0, 2 * S, SimEvent::DuplicateReport { node, report: report.clone() });
             }
         }
--- a/src/coordination/simulation/takeovers.rs
+++ b/src/coordination/simulation/takeovers.rs
@@ -32,7 +32,7 @@
 /// from all controllers, and the other one takes its jobs over. `skip_confirmations` skips the wait for confirmations
 /// of starts.
 fn crash_with_unannounced_starts(seed: u64, skip_confirmations: bool) -> World {
-    let mut world = World::new(seed, Trouble::default());
+    let mut world = World::new(seed, FaultProfile::default());
     world.skip_confirmations = skip_confirmations;
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
@@ -85,7 +85,7 @@
 fn a_joining_controller_waits_for_no_machine_that_other_controllers_know() {
     let mut without_wait = 0;
     for seed in 0..6 {
-        let mut world = World::new(seed, Trouble::default());
+        let mut world = World::new(seed, FaultProfile::default());
         for _ in 0..24 {
             world.add_machine("c16", "east", false);
         }
@@ -113,7 +113,7 @@
         without_wait += usize::from(!c.takeover_in_progress && unresolved > 0);
         world.run(world.now + Micros::from_secs(500));
         for (id, wish) in &world.jobs {
-            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
     assert!(without_wait > 0, "in no run a takeover completed without waiting");
@@ -125,7 +125,7 @@
 fn a_takeover_waits_for_no_machine_whose_tasks_are_known() {
     let mut without_wait = 0;
     for seed in 0..6 {
-        let mut world = World::new(seed, Trouble::default());
+        let mut world = World::new(seed, FaultProfile::default());
         for _ in 0..24 {
             world.add_machine("c16", "east", false);
         }
@@ -163,7 +163,7 @@
         without_wait += fully_known;
         world.run(world.now + Micros::from_secs(300));
         for (id, wish) in &world.jobs {
-            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
+            assert!(wish.known_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe_job(id));
         }
     }
     assert!(without_wait > 0, "in no run a takeover completed without waiting");
--- a/src/coordination/simulation/users.rs
+++ b/src/coordination/simulation/users.rs
@@ -62,7 +62,7 @@
         let nodes: Vec<usize> = nodes.collect();
         let node = nodes[self.rng.random_range(0..nodes.len())];
         if self.controllers[node].is_some() && !self.is_message_lost() {
-            let repeats = self.fault_profile.repeats;
+            let repeats = self.fault_profile.repeated_requests;
             let repeat = accepted && self.chance(repeats);
             let user_request = if submits && (!accepted || repeat && !withdraw) {
                 UserRequest::Submit
--- a/src/coordination/simulation/withdrawals.rs
+++ b/src/coordination/simulation/withdrawals.rs
@@ -5,7 +5,7 @@
 /// A job whose withdrawal was confirmed `confirmed_ago` before now, with one task running on the returned machine. The
 /// start of the task was ordered `ordered_after` after the confirmation.
 fn withdrawn_job_with_running_task(confirmed_ago: Micros, ordered_after: Micros) -> (World, String, TaskId) {
-    let mut world = World::new(4, Trouble::default());
+    let mut world = World::new(4, FaultProfile::default());
     let name = world.add_machine("c16", "east", false);
     let job = JobSpec { shape: Shape::Array, tasks: 1, cpus: 1.0, gpus: 0.0, ..world.random_job(1) };
     let job = JobSpec { zone: None, spot: true, team: "green".into(), ..job };
--- a/src/coordination/simulation/workers.rs
+++ b/src/coordination/simulation/workers.rs
@@ -144,7 +144,7 @@
                 }
                 TaskState::Waiting => (t.state, t.cause) = (TaskState::Ended, Some(Cause::Alone)),
                 TaskState::Running if w.faulty || self.broken_jobs.contains(&id.job) => {
-                    let fault = if w.faulty { "faulty" } else { "mistaken" };
+                    let fault = if w.faulty { "faulty" } else { "broken_jobs" };
                     *self.coverage.faults.entry(fault).or_default() += 1;
                     (t.state, t.cause) = (TaskState::Ended, Some(Cause::Error))
                 }
@@ -192,10 +192,13 @@
             let (session, tally) = (w.session, w.tally);
             let late = self.fault_profile.late;
             // A report that cannot be sent leaves no copies.
-            let (copies, retention) =
-                if reports_blocked { (0.0, 0.0) } else { (self.fault_profile.copies, self.report_retention) };
+            let (copies, retention) = if reports_blocked {
+                (0.0, 0.0)
+            } else {
+                (self.fault_profile.duplicate_reports, self.report_retention)
+            };
             let partitioned = partitioned && self.record_fault("machine_cut")
-                || reports_blocked && self.record_fault("mute")
+                || reports_blocked && self.record_fault("blocked_reports")
                 || self.are_zones_partitioned(self.controller_zones[node], &zone)
                     && self.record_fault("zone_cut");
             if self.chance(retention) {
@@ -308,9 +311,9 @@
                 || w.not_receiving_until > now
                 || self.are_zones_partitioned(self.controller_zones[node], &w.zone)
         });
-        let p = self.fault_profile.held_up;
+        let p = self.fault_profile.delayed_orders;
         if !blocked && self.chance(p) {
-            self.record_fault("held_up");
+            self.record_fault("delayed_orders");
             let machine = machine.to_owned();
             self.schedule_within(S, 8 * S, SimEvent::LateOrders { machine, orders, sent_at });
             return DirectReply::Unclear;
@@ -384,7 +387,7 @@
             || w.not_receiving_until > now
         {
             if w.not_receiving_until > now {
-                self.record_fault("deaf");
+                self.record_fault("not_receiving");
             }
             return;
         }
