--- a/src/coordination/simulation/at_limits.rs
+++ b/src/coordination/simulation/at_limits.rs
@@ -1,7 +1,7 @@
 //! Random runs in which every team has more work than either of its limits allows, of all shapes, under any two troubles
 //! and, beside them, controllers that stall between a decision and its sending.
 
-use super::meetings_limits::{ask_to_withdraw, go, running, with_more_than_limits_allow};
+use super::meetings_limits::{cluster_with_work_beyond_limits, request_withdrawal, run_for, running_jobs};
 use super::pairs::{both, pairs};
 use super::*;
 
@@ -38,8 +38,8 @@
 
 /// Plays one run; it ends in calm, when all that was accepted and not withdrawn must be over.
 fn play(seed: u64, trouble: Trouble) -> World {
-    let (mut world, mut n) = with_more_than_limits_allow(seed);
-    go(&mut world, Micros::from_secs(25));
+    let (mut world, mut n) = cluster_with_work_beyond_limits(seed);
+    run_for(&mut world, Micros::from_secs(25));
     world.bring(trouble);
     world.runs_for = 5 * S..40 * S;
     let mut endless = Vec::new();
@@ -50,15 +50,15 @@
             endless.push(spec.id.clone());
         }
         world.submit(spec);
-        let jobs = running(&world);
+        let jobs = running_jobs(&world);
         if !jobs.is_empty() && world.rng.random_bool(0.4) {
             let id = jobs[world.rng.random_range(0..jobs.len())].clone();
             let by = world.rng.random_range(0..world.settings.len());
-            ask_to_withdraw(&mut world, by, &id);
+            request_withdrawal(&mut world, by, &id);
         }
         let length = Micros(world.rng.random_range(500 * MS..4 * S));
         stall(&mut world, length.as_secs_f64());
-        go(&mut world, length);
+        run_for(&mut world, length);
     }
     world.calm_after = world.now;
     world.runs_for = S..5 * S;
--- a/src/coordination/simulation/contradictions.rs
+++ b/src/coordination/simulation/contradictions.rs
@@ -1,8 +1,8 @@
 //! Conclusions that a task is not on a machine, against what the machines and their holders say afterwards. Guards against
 //! the near misses of the known failure `ran_twice` staying unseen.
 
-use super::meetings_starts::starting;
-use super::second_starts::{grant_to, other_than, planned};
+use super::meetings_starts::start_in_flight;
+use super::second_starts::{another_controller, grant_to, wait_for_planned_start};
 use super::*;
 use crate::coordination::removal::RemovalGround;
 
@@ -16,7 +16,7 @@
 fn a_start_taken_for_never_sent_is_noticed_when_its_machine_shows_it() {
     let mut seen = 0;
     for seed in 700..710 {
-        let (mut world, n, name, id) = starting(seed);
+        let (mut world, n, name, id) = start_in_flight(seed);
         world.trouble.held_up = 0.0;
         world.runs_for = 20 * S..30 * S;
         let until = world.now + Micros::from_secs(5);
@@ -54,8 +54,8 @@
     let (mut questioned, mut lost) = (0, 0);
     for seed in 720..740 {
         let mut world = super::meetings::full(seed, 12);
-        let (n, name, id) = planned(&mut world);
-        let to = other_than(&world, n);
+        let (n, name, id) = wait_for_planned_start(&mut world);
+        let to = another_controller(&world, n);
         // The others know of the plan, and it has not been sent.
         let known = |world: &World| {
             let c = world.controllers[to].as_ref().unwrap();
--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_lives.rs
@@ -1,13 +1,16 @@
 //! Replies that were meant for a controller's former process and reach the one that has taken its place.
 
-use super::meetings_limits::{ask_to_withdraw, finish, go, of_team, owned_by, roomy, there, until};
+use super::meetings_limits::{
+    cluster_with_spare_room, finish_all_jobs, job_numbers_of, present_task_count, request_withdrawal,
+    run_for, run_until, submit_array,
+};
 use super::*;
 use crate::coordination::replica::rendezvous;
 
 /// Numbers of jobs that the first of these controllers owns, and the second once the first has gone.
-pub(super) fn passing_on(from: usize, to: usize) -> impl Iterator<Item = u32> {
+pub(super) fn job_numbers_passing(from: usize, to: usize) -> impl Iterator<Item = u32> {
     let third = format!("n-{}", 3 - from - to);
-    owned_by(from).filter(move |n| {
+    job_numbers_of(from).filter(move |n| {
         let left = [format!("n-{to}"), third.clone()];
         rendezvous(&format!("j-{n:06}"), left.iter().map(String::as_str)) == Some(left[0].as_str())
     })
@@ -16,18 +19,18 @@
 /// A member stands still while a controller announces a start to it, ends and is back within a fraction of a second: its
 /// confirmation of what the former process had announced comes to the new one. Returns the leader, the controller that
 /// is back and the member.
-fn confirmation_for_a_former_process(world: &mut World) -> (usize, usize, usize) {
+fn deliver_confirmation_for_former_process(world: &mut World) -> (usize, usize, usize) {
     // Statuses are numbered in a process, and the former one has sent many more than the new one.
-    go(world, Micros::from_secs(60));
+    run_for(world, Micros::from_secs(60));
     let leader = world.leader().unwrap();
     let (back, slow) = ((leader + 1) % 3, (leader + 2) % 3);
     world.passed_over = Some(slow);
     world.befalls(Spell::StandsStill(slow), world.now + Micros::from_millis(2_500));
-    let announced = owned_by(back).next().unwrap();
-    of_team(world, announced, "green", 2);
-    go(world, Micros::from_secs(1));
+    let announced = job_numbers_of(back).next().unwrap();
+    submit_array(world, announced, "green", 2);
+    run_for(world, Micros::from_secs(1));
     world.crash_for(back, Micros::from_millis(200));
-    go(world, Micros::from_secs(10));
+    run_for(world, Micros::from_secs(10));
     (leader, back, slow)
 }
 
@@ -37,48 +40,51 @@
 fn a_confirmation_meant_for_a_former_process_lets_nothing_start() {
     let mut untold = 0;
     for seed in 300..312 {
-        let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
-        let (leader, back, slow) = confirmation_for_a_former_process(&mut world);
+        let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+        let (leader, back, slow) = deliver_confirmation_for_former_process(&mut world);
         assert!(world.met.unasked_confirmations > 0, "seed {seed}: no confirmation came to a new process");
         // The new process cannot reach the member any more, nor the store to record that it goes on without it.
         world.befalls(Spell::Apart(back, slow), world.now + Micros::from_secs(60));
-        go(&mut world, Micros::from_secs(3));
-        let mut passing = passing_on(back, slow);
-        let first = of_team(&mut world, passing.next().unwrap(), "blue", 20);
+        run_for(&mut world, Micros::from_secs(3));
+        let mut passing = job_numbers_passing(back, slow);
+        let first = submit_array(&mut world, passing.next().unwrap(), "blue", 20);
         let knows = |w: &World| w.controllers[back].as_ref().is_some_and(|c| c.jobs.contains_key(&first));
-        assert!(until(&mut world, Micros::from_secs(3), knows), "seed {seed}");
+        assert!(run_until(&mut world, Micros::from_secs(3), knows), "seed {seed}");
         world.befalls(Spell::StoreRefuses(back), world.now + Micros::from_secs(30));
-        go(&mut world, Micros::from_secs(4));
-        untold += there(&world, &first);
+        run_for(&mut world, Micros::from_secs(4));
+        untold += present_task_count(&world, &first);
         // It ends, nobody reaches its machines with these tasks, and their job is withdrawn.
         let cut = world.now + Micros::from_secs(30);
         let on = |w: &Worker| w.tasks.keys().any(|t| t.job == first);
         world.workers.values_mut().filter(|w| on(w)).for_each(|w| w.cut_until = cut);
         world.crash_for(back, Micros::from_secs(40));
-        ask_to_withdraw(&mut world, leader, &first);
-        of_team(&mut world, passing.next().unwrap(), "blue", 40);
-        go(&mut world, Micros::from_secs(14));
+        request_withdrawal(&mut world, leader, &first);
+        submit_array(&mut world, passing.next().unwrap(), "blue", 40);
+        run_for(&mut world, Micros::from_secs(14));
         world.passed_over = None;
-        finish(&mut world, seed);
+        finish_all_jobs(&mut world, seed);
     }
     assert_eq!(untold, 0, "tasks began of which a member had not been told");
 }
 
 /// A controller is back within a fraction of a second and has not accounted for the machines of others yet.
-fn taking_over_again(seed: u64) -> (World, usize, usize) {
-    let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+fn restarted_during_takeover(seed: u64) -> (World, usize, usize) {
+    let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
     let leader = world.leader().unwrap();
     let back = (leader + 1) % 3;
-    let works = owned_by(back).next().unwrap();
-    let job = of_team(&mut world, works, "blue", 30);
-    assert!(until(&mut world, Micros::from_secs(30), |w| there(w, &job) == 30), "seed {seed}");
+    let works = job_numbers_of(back).next().unwrap();
+    let job = submit_array(&mut world, works, "blue", 30);
+    assert!(
+        run_until(&mut world, Micros::from_secs(30), |w| present_task_count(w, &job) == 30),
+        "seed {seed}"
+    );
     world.crash_for(back, Micros::from_millis(200));
     let open = |w: &World| {
         w.controllers[back]
             .as_ref()
             .is_some_and(|c| c.takeover_in_progress && c.unresolved_machine_count() > 0)
     };
-    assert!(until(&mut world, Micros::from_secs(10), open), "seed {seed}: nothing is taken over");
+    assert!(run_until(&mut world, Micros::from_secs(10), open), "seed {seed}: nothing is taken over");
     (world, leader, back)
 }
 
@@ -87,7 +93,7 @@
 #[test]
 fn testimony_given_to_a_former_process_accounts_for_nothing() {
     for seed in 320..324 {
-        let (mut world, leader, back) = taking_over_again(seed);
+        let (mut world, leader, back) = restarted_during_takeover(seed);
         let witness = world.controllers[leader].as_ref().unwrap().incarnation();
         let asker = world.controllers[back].as_ref().unwrap();
         let open = asker.unresolved_machine_count();
@@ -109,7 +115,7 @@
 }
 
 /// New views are late, so that a controller that has joined again still reads its former registration's grants.
-fn late_views(t: &Transaction) -> Option<Fate> {
+fn delay_views(t: &Transaction) -> Option<Fate> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::VIEW_KEY));
     written.then_some(Fate::Late(Micros::from_secs(3)))
 }
@@ -119,18 +125,18 @@
 #[test]
 fn a_reply_to_a_former_registrations_order_proves_nothing() {
     for seed in 330..334 {
-        let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+        let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
         let leader = world.leader().unwrap();
         let rejoins = (leader + 1) % 3;
         let former = world.controllers[rejoins].as_ref().unwrap().incarnation();
-        world.fate_of = Some(late_views);
+        world.fate_of = Some(delay_views);
         let removed = vec![Write::delete(records::registration_key(&former.0))];
         world.store.commit(Transaction { conditions: Vec::new(), writes: removed });
         let again = |w: &World| {
             let c = w.controllers[rejoins].as_ref().unwrap();
             c.phase == crate::coordination::Phase::Active && c.incarnation().1 > former.1
         };
-        assert!(until(&mut world, Micros::from_secs(5), again), "seed {seed}: has not joined again");
+        assert!(run_until(&mut world, Micros::from_secs(5), again), "seed {seed}: has not joined again");
         let c = world.controllers[rejoins].as_ref().unwrap();
         let held =
             c.machines.iter().find(|(_, m)| (&m.row.owner, m.row.registration) == (&former.0, former.1));
--- a/src/coordination/simulation/late_statuses.rs
+++ b/src/coordination/simulation/late_statuses.rs
@@ -4,7 +4,7 @@
 //! held after the first messages of the next one.
 
 use super::meetings::full;
-use super::start_orders::whole_status;
+use super::start_orders::request_full_status;
 use super::takeovers::array;
 use super::*;
 use crate::coordination::model::Machine;
@@ -21,7 +21,12 @@
 }
 
 /// Tasks that run on the holder's machines as the receiver knows, and of which an earlier status says nothing.
-fn begun_since(world: &World, holder: usize, receiver: usize, earlier: &Status) -> Vec<(String, TaskId)> {
+fn tasks_started_since(
+    world: &World,
+    holder: usize,
+    receiver: usize,
+    earlier: &Status,
+) -> Vec<(String, TaskId)> {
     let holder = world.controllers[holder].as_ref().unwrap();
     let receiver = world.controllers[receiver].as_ref().unwrap();
     let mut begun = Vec::new();
@@ -49,9 +54,9 @@
         let mut world = full(seed, 12);
         world.runs_for = 3 * S..9 * S;
         let (holder, receiver) = holder_and_receiver(&world);
-        let earlier = whole_status(&mut world, holder, receiver);
+        let earlier = request_full_status(&mut world, holder, receiver);
         world.run(world.now + Micros::from_millis(late));
-        let begun = begun_since(&world, holder, receiver, &earlier);
+        let begun = tasks_started_since(&world, holder, receiver, &earlier);
         let from = world.settings[holder].member.clone();
         world.tell(receiver, Event::Peer(from, PeerMessage::Status(earlier)));
         let controller = world.controllers[receiver].as_ref().unwrap();
@@ -74,8 +79,8 @@
 
 /// The recorder answers the asker's request for everything, and the asker takes that in. The other controller has confirmed
 /// the status before. How many ends the recorder knows of that the other doesn't.
-fn told_to_one(world: &mut World, recorder: usize, asker: usize, other: usize) -> usize {
-    let status = whole_status(world, recorder, asker);
+fn send_full_status_to_one(world: &mut World, recorder: usize, asker: usize, other: usize) -> usize {
+    let status = request_full_status(world, recorder, asker);
     let from = world.settings[recorder].member.clone();
     for by in [asker, other] {
         let stamp = world.controllers[by].as_ref().unwrap().incarnation().1;
@@ -112,7 +117,7 @@
                 if controller.unsettled_end_count() == 0 || !has_confirmed(&world, other, 0, sequence) {
                     continue;
                 }
-                let unknown = told_to_one(&mut world, 0, asker, other);
+                let unknown = send_full_status_to_one(&mut world, 0, asker, other);
                 let unsettled = world.controllers[0].as_ref().unwrap().unsettled_end_count();
                 assert!(
                     unknown <= unsettled,
--- a/src/coordination/simulation/meetings_handover.rs
+++ b/src/coordination/simulation/meetings_handover.rs
@@ -11,7 +11,7 @@
 #[test]
 fn ten_leaders_within_two_minutes_break_no_rule() {
     for seed in 80..86 {
-        let (mut world, mut n) = at_their_limits(seed);
+        let (mut world, mut n) = cluster_at_limits(seed);
         let start = world.now;
         let outage = start + Micros::from_secs(30);
         if seed % 2 == 1 {
@@ -28,21 +28,21 @@
             world.crash_for(leader, away);
             ends += 1;
             inside += usize::from(world.under(Spell::StoreDown));
-            for (i, id) in running(&world).iter().step_by(3).enumerate() {
-                ask_to_withdraw(&mut world, (leader + 1 + i % 2) % 3, id);
+            for (i, id) in running_jobs(&world).iter().step_by(3).enumerate() {
+                request_withdrawal(&mut world, (leader + 1 + i % 2) % 3, id);
             }
-            more_work(&mut world, &mut n, 1);
+            submit_more_work(&mut world, &mut n, 1);
             let rest = next.since(world.now);
-            go(&mut world, rest);
+            run_for(&mut world, rest);
         }
-        let leaders = leaders_since(&world, before);
+        let leaders = leader_count_since(&world, before);
         assert!(
             ends >= 10 && leaders >= if seed % 2 == 1 { 7 } else { 10 },
             "seed {seed}: {leaders} leaders"
         );
         assert!(seed % 2 == 0 || inside >= 2, "seed {seed}: {inside} ends inside the outage");
         world.runs_for = S..3 * S;
-        go(&mut world, Micros::from_secs(60));
+        run_for(&mut world, Micros::from_secs(60));
         world.all_over(500, &format!("seed {seed}"));
     }
 }
@@ -79,7 +79,7 @@
 /// between the grant and the first order under it (0 to 2), by way of the old owner, the new one or a third (0 to 2). How
 /// many withdrawals met that, and how many tasks still ran then.
 fn handed_over(seed: u64, phase: usize, via: usize) -> (usize, usize) {
-    let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+    let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
     let leader = world.leader().unwrap();
     let old = (leader + 1) % 3;
     let new = (old + 1 + seed as usize % 2) % 3;
@@ -88,16 +88,16 @@
     let rest: Vec<&str> = (0..3).filter(|n| *n != old).map(|n| members[n].as_str()).collect();
     let passes =
         |n: &u32| rendezvous(&format!("j-{n:06}"), rest.iter().copied()) == Some(members[new].as_str());
-    let numbers: Vec<u32> = owned_by(old).filter(passes).take(8).collect();
-    let ids: Vec<String> = numbers.iter().map(|n| of_team(&mut world, *n, "blue", 5)).collect();
-    let all = |w: &World| ids.iter().map(|id| there(w, id)).sum::<usize>();
-    assert!(until(&mut world, Micros::from_secs(60), |w| all(w) == 40), "seed {seed}: {}", all(&world));
+    let numbers: Vec<u32> = job_numbers_of(old).filter(passes).take(8).collect();
+    let ids: Vec<String> = numbers.iter().map(|n| submit_array(&mut world, *n, "blue", 5)).collect();
+    let all = |w: &World| ids.iter().map(|id| present_task_count(w, id)).sum::<usize>();
+    assert!(run_until(&mut world, Micros::from_secs(60), |w| all(w) == 40), "seed {seed}: {}", all(&world));
     // Others wait for what becomes free.
     for owner in 0..3 {
-        let n = owned_by(owner).nth(30).unwrap();
-        of_team(&mut world, n, "blue", 20);
+        let n = job_numbers_of(owner).nth(30).unwrap();
+        submit_array(&mut world, n, "blue", 20);
     }
-    go(&mut world, Micros::from_secs(2));
+    run_for(&mut world, Micros::from_secs(2));
     let c = world.controllers[old].as_ref().unwrap();
     let held: Vec<String> = c.machines.iter().filter(|m| c.owns(m.1)).map(|m| m.0.clone()).collect();
     // It does not read of its end for a while, and its machines are out of reach for as long or longer.
@@ -114,20 +114,23 @@
         evicted = evict(&mut world, old);
     }
     if phase == 2 {
-        assert!(until(&mut world, Micros::from_secs(5), |w| viewed(w) > view), "seed {seed}: no new view");
+        assert!(
+            run_until(&mut world, Micros::from_secs(5), |w| viewed(w) > view),
+            "seed {seed}: no new view"
+        );
     }
     let unaware =
         world.lives[old] == life && world.controllers[old].as_ref().is_some_and(Controller::entitled);
     let left = all(&world);
-    ids.iter().for_each(|id| ask_to_withdraw(&mut world, by, id));
+    ids.iter().for_each(|id| request_withdrawal(&mut world, by, id));
     if phase == 0 {
-        go(&mut world, Micros::from_millis(35));
+        run_for(&mut world, Micros::from_millis(35));
         evicted = evict(&mut world, old);
     }
-    assert!(until(&mut world, Micros::from_secs(8), |w| viewed(w) > view), "seed {seed}: no new view");
+    assert!(run_until(&mut world, Micros::from_secs(8), |w| viewed(w) > view), "seed {seed}: no new view");
     let granted = viewed(&world);
     if phase == 2 {
-        go(&mut world, Micros::from_millis(300));
+        run_for(&mut world, Micros::from_millis(300));
     }
     // The tokens of the new grant that no machine has seen: nothing has been ordered under it.
     let c = world.controllers[leader].as_ref().unwrap();
@@ -142,11 +145,11 @@
         _ => false,
     };
     let met = ids.iter().filter(in_time).count();
-    go(&mut world, Micros::from_secs(40));
+    run_for(&mut world, Micros::from_secs(40));
     for id in &ids {
         assert!(world.jobs[id].told_final.is_some(), "seed {seed}: {id} is not over\n{}", world.describe(id));
     }
-    finish(&mut world, seed);
+    finish_all_jobs(&mut world, seed);
     (met, left)
 }
 
@@ -173,29 +176,29 @@
 fn withdrawals_at_the_moment_of_a_refusal_hold_through_an_outage_a_second_later() {
     let (mut before, mut after, mut left) = (0, 0, 0);
     for seed in 120..130 {
-        let (mut world, _) = at_their_limits(seed);
+        let (mut world, _) = cluster_at_limits(seed);
         let leader = world.leader().unwrap();
         if seed % 2 == 0 {
             world.befalls(Spell::StoreSlow, world.now + Micros::from_secs(12));
-            go(&mut world, Micros::from_secs(8));
+            run_for(&mut world, Micros::from_secs(8));
         }
-        let ids = running(&world);
+        let ids = running_jobs(&world);
         let refused = Micros::from_secs([2, 6, 15][seed as usize % 3]);
         world.befalls(Spell::StoreRefuses(leader), world.now + refused);
         if seed % 3 == 0 {
             (0..3).for_each(|n| world.befalls(Spell::Apart(leader, n), world.now + Micros::from_secs(60)));
         }
         for (i, id) in ids.iter().enumerate() {
-            ask_to_withdraw(&mut world, (leader + i % 3) % 3, id);
+            request_withdrawal(&mut world, (leader + i % 3) % 3, id);
         }
-        go(&mut world, Micros::from_secs(1));
+        run_for(&mut world, Micros::from_secs(1));
         let done: Vec<&String> = ids.iter().filter(|id| recorded(&world, id).is_some()).collect();
         before += done.len();
-        left += done.iter().map(|id| there(&world, id)).sum::<usize>();
+        left += done.iter().map(|id| present_task_count(&world, id)).sum::<usize>();
         let away = Micros(world.rng.random_range(36 * S..70 * S));
         world.befalls(Spell::StoreDown, world.now + away);
         let open = ids.len() - done.len();
-        go(&mut world, away + Micros::from_secs(30));
+        run_for(&mut world, away + Micros::from_secs(30));
         after += open;
         for id in &ids {
             assert!(
@@ -205,7 +208,7 @@
             );
         }
         world.runs_for = S..3 * S;
-        go(&mut world, Micros::from_secs(60));
+        run_for(&mut world, Micros::from_secs(60));
         world.all_over(500, &format!("seed {seed}"));
     }
     eprintln!(
--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -8,7 +8,7 @@
 use crate::coordination::replica::rendezvous;
 
 /// Gives the teams these limits of processors and accelerators, 0 for none.
-fn limit(world: &mut World, teams: &[(&str, f64, f64)]) {
+fn set_limits(world: &mut World, teams: &[(&str, f64, f64)]) {
     for s in &mut world.settings {
         let team = |(name, cpus_max, gpus_max): &(&str, f64, f64)| crate::settings::Team {
             name: (*name).to_owned(),
@@ -22,39 +22,45 @@
 }
 
 /// What each team's tasks take by now, by its name: processors and accelerators.
-fn used(world: &World) -> BTreeMap<String, (u64, u64)> {
+fn usage_by_team(world: &World) -> BTreeMap<String, (u64, u64)> {
     let teams = world.settings[0].params.teams.iter().map(|t| t.name.clone());
     teams.zip(world.taken()).collect()
 }
 
-pub(super) fn go(world: &mut World, length: Micros) {
+pub(super) fn run_for(world: &mut World, length: Micros) {
     world.run(world.now + length);
 }
 
 /// Runs until something holds; false if it does not within that time.
-pub(super) fn until(world: &mut World, length: Micros, holds: impl Fn(&World) -> bool) -> bool {
+pub(super) fn run_until(world: &mut World, length: Micros, holds: impl Fn(&World) -> bool) -> bool {
     let end = world.now + length;
     while !holds(world) {
         if world.now >= end {
             return false;
         }
-        go(world, Micros::from_millis(20));
+        run_for(world, Micros::from_millis(20));
     }
     true
 }
 
 /// Numbers of jobs that this controller owns when all three are there.
-pub(super) fn owned_by(member: usize) -> impl Iterator<Item = u32> {
+pub(super) fn job_numbers_of(member: usize) -> impl Iterator<Item = u32> {
     let members = ["n-0", "n-1", "n-2"];
     (200..).filter(move |n| rendezvous(&format!("j-{n:06}"), members.into_iter()) == Some(members[member]))
 }
 
 /// An array of a team, its tasks of one processor each.
-pub(super) fn of_team(world: &mut World, n: u32, team: &str, tasks: u32) -> String {
-    of_rank(world, n, team, tasks, Priority::Normal)
+pub(super) fn submit_array(world: &mut World, n: u32, team: &str, tasks: u32) -> String {
+    submit_array_with_priority(world, n, team, tasks, Priority::Normal)
 }
 
-fn of_rank(world: &mut World, n: u32, team: &str, tasks: u32, priority: Priority) -> String {
+fn submit_array_with_priority(
+    world: &mut World,
+    n: u32,
+    team: &str,
+    tasks: u32,
+    priority: Priority,
+) -> String {
     let spec = array(world, n, tasks);
     let id = spec.id.clone();
     world.submit(JobSpec { team: team.to_owned(), priority, spot: false, ..spec });
@@ -62,13 +68,13 @@
 }
 
 /// How many tasks of a job are there.
-pub(super) fn there(world: &World, id: &str) -> usize {
+pub(super) fn present_task_count(world: &World, id: &str) -> usize {
     let tasks = world.workers.values().filter(|w| !w.dead).flat_map(|w| &w.tasks);
     tasks.filter(|(t, r)| t.job == id && r.is_here()).count()
 }
 
 /// A job's tasks below this number end within the next half second.
-pub(super) fn end_some(world: &mut World, id: &str, below: u32) {
+pub(super) fn end_tasks_below(world: &mut World, id: &str, below: u32) {
     let now = world.now;
     for w in world.workers.values_mut() {
         let some = w.tasks.iter_mut().filter(|(t, _)| t.job == id && t.index < below);
@@ -77,9 +83,9 @@
 }
 
 /// Machines that have room for more than all limits together, and are kept while they are idle.
-pub(super) fn roomy(seed: u64, teams: &[(&str, f64, f64)]) -> World {
+pub(super) fn cluster_with_spare_room(seed: u64, teams: &[(&str, f64, f64)]) -> World {
     let mut world = World::new(seed, Trouble::default());
-    limit(&mut world, teams);
+    set_limits(&mut world, teams);
     (world.runs_for, world.tuning.idle_return_s) = (300 * S..400 * S, 900.0);
     for _ in 0..14 {
         world.add_machine("c16", "east", false);
@@ -90,7 +96,7 @@
 
 /// Another life of a controller that does not lead, and with it a new view in which no team counts: all that runs is
 /// known everywhere, and within the limits.
-fn new_view(world: &mut World) {
+fn replace_view(world: &mut World) {
     let free = |w: &World| {
         let all = w.controllers.iter().flatten();
         let free = |c: &Controller| {
@@ -102,8 +108,8 @@
     for _ in 0..4 {
         let leader = world.leader().unwrap();
         world.crash_for(if leader == 1 { 2 } else { 1 }, Micros::from_millis(300));
-        go(world, Micros::from_secs(1));
-        if until(world, Micros::from_secs(12), free) {
+        run_for(world, Micros::from_secs(1));
+        if run_until(world, Micros::from_secs(12), free) {
             return;
         }
     }
@@ -117,7 +123,7 @@
 }
 
 /// From the record chosen on all are carried out late, by so much that what was true then no longer is.
-fn late_allotments(t: &Transaction) -> Option<Fate> {
+fn delay_quota_records(t: &Transaction) -> Option<Fate> {
     let written = t.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key == records::QUOTA_KEY));
     let from = LATE.get().filter(|_| written)?;
     CAME.set(CAME.get() + 1);
@@ -125,7 +131,7 @@
 }
 
 /// Records of allotments that the store holds by now.
-fn allotted(world: &World) -> usize {
+fn quota_record_count(world: &World) -> usize {
     world.store.log.iter().filter(|(_, key, _)| key == records::QUOTA_KEY).count()
 }
 
@@ -135,51 +141,54 @@
 fn allotments_carried_out_late_meet_nobody_who_went_beyond_them() {
     let mut late = 0;
     for seed in 0..12 {
-        let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
-        let mut ids: Vec<_> = (0..3).map(owned_by).collect();
+        let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+        let mut ids: Vec<_> = (0..3).map(job_numbers_of).collect();
         let mut next = |owner: usize| ids[owner].next().unwrap();
-        let first = of_team(&mut world, next(1), "blue", 30);
-        let all = until(&mut world, Micros::from_secs(60), |w| there(w, &first) == 30);
-        assert!(all, "seed {seed}: {}", there(&world, &first));
-        new_view(&mut world);
+        let first = submit_array(&mut world, next(1), "blue", 30);
+        let all = run_until(&mut world, Micros::from_secs(60), |w| present_task_count(w, &first) == 30);
+        assert!(all, "seed {seed}: {}", present_task_count(&world, &first));
+        replace_view(&mut world);
         LATE.set(Some(1 + seed as u32 % 2));
         CAME.set(0);
-        world.fate_of = Some(late_allotments);
-        of_team(&mut world, next(0), "blue", 15);
+        world.fate_of = Some(delay_quota_records);
+        submit_array(&mut world, next(0), "blue", 15);
         assert!(
-            until(&mut world, Micros::from_secs(12), |_| CAME.get() >= LATE.get().unwrap()),
+            run_until(&mut world, Micros::from_secs(12), |_| CAME.get() >= LATE.get().unwrap()),
             "seed {seed}"
         );
-        let (before, sent) = (allotted(&world), world.now);
+        let (before, sent) = (quota_record_count(&world), world.now);
         // Most of its tasks end, which is recorded, and then the rest: what the team asks for is within the limit.
-        end_some(&mut world, &first, 28);
-        go(&mut world, Micros::from_secs(4));
-        end_some(&mut world, &first, 30);
+        end_tasks_below(&mut world, &first, 28);
+        run_for(&mut world, Micros::from_secs(4));
+        end_tasks_below(&mut world, &first, 30);
         let over = |w: &World| w.controllers.iter().flatten().all(|c| !c.jobs.contains_key(&first));
-        assert!(until(&mut world, Micros::from_secs(4), over), "seed {seed}: {first} is not over");
-        of_team(&mut world, next(0), "blue", 20);
+        assert!(run_until(&mut world, Micros::from_secs(4), over), "seed {seed}: {first} is not over");
+        submit_array(&mut world, next(0), "blue", 20);
         let wait = (sent + Micros::from_secs(14)).since(world.now);
-        go(&mut world, wait);
-        late += usize::from(allotted(&world) == before);
-        let last = of_rank(&mut world, next(1), "blue", 30, Priority::High);
-        let done = |w: &World| allotted(w) > before;
-        assert!(until(&mut world, Micros::from_secs(5), done), "seed {seed}: nothing was carried out late");
+        run_for(&mut world, wait);
+        late += usize::from(quota_record_count(&world) == before);
+        let last = submit_array_with_priority(&mut world, next(1), "blue", 30, Priority::High);
+        let done = |w: &World| quota_record_count(w) > before;
+        assert!(
+            run_until(&mut world, Micros::from_secs(5), done),
+            "seed {seed}: nothing was carried out late"
+        );
         LATE.set(None);
-        go(&mut world, Micros::from_secs(5));
-        go(&mut world, Micros::from_secs(7));
-        finish(&mut world, seed);
+        run_for(&mut world, Micros::from_secs(5));
+        run_for(&mut world, Micros::from_secs(7));
+        finish_all_jobs(&mut world, seed);
         assert!(world.jobs[&last].told_final.is_some(), "seed {seed}");
     }
     assert!(late >= 10, "only in {late} runs was the record late enough");
 }
 
 /// Lets all tasks end soon, and all jobs with them.
-pub(super) fn finish(world: &mut World, seed: u64) {
+pub(super) fn finish_all_jobs(world: &mut World, seed: u64) {
     (world.runs_for, world.fate_of) = (S..2 * S, None);
     for id in world.jobs.keys().cloned().collect::<Vec<_>>() {
-        end_some(world, &id, u32::MAX);
+        end_tasks_below(world, &id, u32::MAX);
     }
-    go(world, Micros::from_secs(20));
+    run_for(world, Micros::from_secs(20));
     world.all_over(300, &format!("seed {seed}"));
 }
 
@@ -189,43 +198,49 @@
 fn a_second_team_at_its_limit_leaves_the_firsts_parts_as_they_are() {
     let mut met = 0;
     for seed in 20..28 {
-        let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 100.0, 0.0)]);
-        let mut ids: Vec<_> = (0..3).map(owned_by).collect();
+        let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 100.0, 0.0)]);
+        let mut ids: Vec<_> = (0..3).map(job_numbers_of).collect();
         let mut next = |owner: usize| ids[owner].next().unwrap();
-        let kept = of_team(&mut world, next(1), "blue", 10);
-        let passing = of_team(&mut world, next(1), "blue", 20);
-        let all = |w: &World| there(w, &kept) + there(w, &passing) == 30;
-        assert!(until(&mut world, Micros::from_secs(60), all), "seed {seed}");
-        new_view(&mut world);
+        let kept = submit_array(&mut world, next(1), "blue", 10);
+        let passing = submit_array(&mut world, next(1), "blue", 20);
+        let all = |w: &World| present_task_count(w, &kept) + present_task_count(w, &passing) == 30;
+        assert!(run_until(&mut world, Micros::from_secs(60), all), "seed {seed}");
+        replace_view(&mut world);
         // Beyond the limit, so that it is divided; then within it again, but divided for the rest of the view.
-        let beyond = of_team(&mut world, next(0), "blue", 20);
-        assert!(until(&mut world, Micros::from_secs(60), |w| there(w, &beyond) == 10), "seed {seed}");
+        let beyond = submit_array(&mut world, next(0), "blue", 20);
+        assert!(
+            run_until(&mut world, Micros::from_secs(60), |w| present_task_count(w, &beyond) == 10),
+            "seed {seed}"
+        );
         world.jobs.get_mut(&beyond).unwrap().wants_withdrawal = true;
-        go(&mut world, Micros::from_secs(6));
-        end_some(&mut world, &passing, u32::MAX);
-        go(&mut world, Micros::from_secs(15));
+        run_for(&mut world, Micros::from_secs(6));
+        end_tasks_below(&mut world, &passing, u32::MAX);
+        run_for(&mut world, Micros::from_secs(15));
         LATE.set(Some(1));
         CAME.set(0);
-        world.fate_of = Some(late_allotments);
-        of_rank(&mut world, next(0), "blue", 30, Priority::High);
-        of_team(&mut world, next(2), "green", 120);
+        world.fate_of = Some(delay_quota_records);
+        submit_array_with_priority(&mut world, next(0), "blue", 30, Priority::High);
+        submit_array(&mut world, next(2), "green", 120);
         assert!(
-            until(&mut world, Micros::from_secs(12), |_| CAME.get() > 0),
+            run_until(&mut world, Micros::from_secs(12), |_| CAME.get() > 0),
             "seed {seed}: nothing was divided"
         );
-        let (before, uses) = (allotted(&world), there(&world, &kept));
+        let (before, uses) = (quota_record_count(&world), present_task_count(&world, &kept));
         let c = world.controllers[1].as_ref().unwrap();
         let row = c.quota_record.0.rows.iter().find(|r| r.team == "blue" && r.member == "n-1");
         met += usize::from(row.is_some_and(|r| r.cpu > 1_000 * uses as u64));
-        of_team(&mut world, next(1), "blue", 20);
-        go(&mut world, Micros::from_secs(4));
-        assert_eq!(allotted(&world), before, "seed {seed}: the record was not late");
-        let done = |w: &World| allotted(w) > before;
-        assert!(until(&mut world, Micros::from_secs(14), done), "seed {seed}: nothing was carried out late");
+        submit_array(&mut world, next(1), "blue", 20);
+        run_for(&mut world, Micros::from_secs(4));
+        assert_eq!(quota_record_count(&world), before, "seed {seed}: the record was not late");
+        let done = |w: &World| quota_record_count(w) > before;
+        assert!(
+            run_until(&mut world, Micros::from_secs(14), done),
+            "seed {seed}: nothing was carried out late"
+        );
         LATE.set(None);
-        go(&mut world, Micros::from_secs(10));
+        run_for(&mut world, Micros::from_secs(10));
         assert!(world.controllers[1].as_ref().unwrap().quota_record.0.rows.iter().any(|r| r.team == "green"));
-        finish(&mut world, seed);
+        finish_all_jobs(&mut world, seed);
     }
     assert!(met >= 6, "only in {met} runs might a controller use more than it did");
 }
@@ -236,35 +251,38 @@
 fn what_withdrawn_jobs_still_run_counts_also_with_an_owner_that_knows_nothing_of_them() {
     let mut out_of_reach = 0;
     for seed in 40..46 {
-        let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+        let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
         let leader = world.leader().unwrap();
         let owner = (leader + 1) % 3;
-        let mut ids: Vec<_> = (0..3).map(owned_by).collect();
-        let first = of_team(&mut world, ids[owner].next().unwrap(), "blue", 40);
-        assert!(until(&mut world, Micros::from_secs(60), |w| there(w, &first) == 40), "seed {seed}");
-        go(&mut world, Micros::from_secs(3));
+        let mut ids: Vec<_> = (0..3).map(job_numbers_of).collect();
+        let first = submit_array(&mut world, ids[owner].next().unwrap(), "blue", 40);
+        assert!(
+            run_until(&mut world, Micros::from_secs(60), |w| present_task_count(w, &first) == 40),
+            "seed {seed}"
+        );
+        run_for(&mut world, Micros::from_secs(3));
         let cut = world.now + Micros::from_secs(25);
         for (i, w) in world.workers.values_mut().filter(|w| !w.tasks.is_empty()).enumerate() {
             if (i + seed as usize).is_multiple_of(2) { w.cut_until = cut } else { w.hung_until = cut }
         }
-        ask_to_withdraw(&mut world, leader, &first);
+        request_withdrawal(&mut world, leader, &first);
         let told = |w: &World| w.jobs[&first].told_final.is_some();
-        assert!(until(&mut world, Micros::from_secs(10), told), "seed {seed}: not withdrawn");
+        assert!(run_until(&mut world, Micros::from_secs(10), told), "seed {seed}: not withdrawn");
         world.crash_for(owner, Micros::from_millis(300));
-        go(&mut world, Micros::from_millis(1_500));
+        run_for(&mut world, Micros::from_millis(1_500));
         for member in [leader, owner, (leader + 2) % 3] {
-            of_team(&mut world, ids[member].next().unwrap(), "blue", 40);
+            submit_array(&mut world, ids[member].next().unwrap(), "blue", 40);
         }
-        go(&mut world, Micros::from_secs(3));
-        out_of_reach += there(&world, &first);
-        go(&mut world, Micros::from_secs(30));
-        finish(&mut world, seed);
+        run_for(&mut world, Micros::from_secs(3));
+        out_of_reach += present_task_count(&world, &first);
+        run_for(&mut world, Micros::from_secs(30));
+        finish_all_jobs(&mut world, seed);
     }
     assert!(out_of_reach > 40, "only {out_of_reach} tasks of withdrawn jobs were out of reach");
 }
 
 /// A user asks this controller to withdraw a job, within milliseconds; if that does not do, others later.
-pub(super) fn ask_to_withdraw(world: &mut World, node: usize, id: &str) {
+pub(super) fn request_withdrawal(world: &mut World, node: usize, id: &str) {
     world.jobs.get_mut(id).unwrap().wants_withdrawal = true;
     world.ask(node, id.to_owned(), Look::Withdraws);
 }
@@ -273,22 +291,22 @@
 
 /// A cluster in which each team has just been given more work of both kinds than its limits let it have at once, and how
 /// many jobs these are.
-pub(super) fn with_more_than_limits_allow(seed: u64) -> (World, u32) {
+pub(super) fn cluster_with_work_beyond_limits(seed: u64) -> (World, u32) {
     let mut world = World::new(seed, Trouble::default());
-    limit(&mut world, &TEAMS);
+    set_limits(&mut world, &TEAMS);
     world.runs_for = 25 * S..60 * S;
     for n in 0..16 {
         world.add_machine(["c16", "g8"][n % 2], ["east", "west"][n / 2 % 2], false);
     }
     world.run(Micros::from_secs(6));
     let mut n = 0;
-    more_work(&mut world, &mut n, 8);
+    submit_more_work(&mut world, &mut n, 8);
     (world, n)
 }
 
 /// The same, once the limits are used up.
-pub(super) fn at_their_limits(seed: u64) -> (World, u32) {
-    let (mut world, n) = with_more_than_limits_allow(seed);
+pub(super) fn cluster_at_limits(seed: u64) -> (World, u32) {
+    let (mut world, n) = cluster_with_work_beyond_limits(seed);
     let full = |w: &World| {
         let at = |((_, cpus, gpus), (cpu, gpu)): (&(&str, f64, f64), &(u64, u64))| {
             *cpu as f64 >= (cpus - 1.0) * 1e3 && *gpu as f64 >= gpus * 5e2
@@ -296,7 +314,7 @@
         TEAMS.iter().zip(&w.met.peaks).all(at)
     };
     assert!(
-        until(&mut world, Micros::from_secs(120), full),
+        run_until(&mut world, Micros::from_secs(120), full),
         "seed {seed}: {:?} of {TEAMS:?}",
         world.met.peaks
     );
@@ -304,7 +322,7 @@
 }
 
 /// As many arrays again, for each team some with accelerators and some without.
-pub(super) fn more_work(world: &mut World, n: &mut u32, count: u32) {
+pub(super) fn submit_more_work(world: &mut World, n: &mut u32, count: u32) {
     for _ in 0..count {
         for (team, ..) in TEAMS {
             for (gpus, tasks) in [(1.0, 6), (0.0, 9)] {
@@ -319,13 +337,14 @@
 }
 
 /// Jobs with tasks that run and that nobody has asked to withdraw.
-pub(super) fn running(world: &World) -> Vec<String> {
-    let on = |id: &String, w: &Wish| !w.wants_withdrawal && w.told_accepted && there(world, id) > 0;
+pub(super) fn running_jobs(world: &World) -> Vec<String> {
+    let on =
+        |id: &String, w: &Wish| !w.wants_withdrawal && w.told_accepted && present_task_count(world, id) > 0;
     world.jobs.iter().filter(|(id, w)| on(id, w)).map(|(id, _)| id.clone()).collect()
 }
 
 /// Tasks of jobs whose withdrawal has been confirmed, on machines that are cut off or hang.
-fn left_out_of_reach(world: &World) -> usize {
+fn unreachable_withdrawn_tasks(world: &World) -> usize {
     let unreachable = |w: &&Worker| !w.dead && (w.cut_until > world.now || w.hung_until > world.now);
     let withdrawn =
         |id: &TaskId| world.jobs[&id.job].told_final.is_some_and(|(f, _)| f == FinalState::Withdrawn);
@@ -340,10 +359,10 @@
     let (mut left, mut used_again, mut changes) = (0, 0, 0);
     let mut peaks = vec![(0, 0); TEAMS.len()];
     for seed in 60..68 {
-        let (mut world, mut n) = at_their_limits(seed);
+        let (mut world, mut n) = cluster_at_limits(seed);
         for round in 0..3 {
             let leader = world.leader().unwrap_or(0);
-            let jobs = running(&world);
+            let jobs = running_jobs(&world);
             let chosen: Vec<String> = jobs.iter().skip(round % 2).step_by(2).cloned().collect();
             let mut hosts: Vec<String> = world
                 .workers
@@ -364,27 +383,27 @@
             }
             for (i, id) in chosen.iter().enumerate() {
                 let by = if seed % 3 == 0 { (leader + 1 + i % 2) % 3 } else { i % 3 };
-                ask_to_withdraw(&mut world, by, id);
+                request_withdrawal(&mut world, by, id);
             }
-            more_work(&mut world, &mut n, 1);
-            go(&mut world, Micros::from_millis([0, 30, 400][seed as usize % 3]));
+            submit_more_work(&mut world, &mut n, 1);
+            run_for(&mut world, Micros::from_millis([0, 30, 400][seed as usize % 3]));
             world.crash_for(leader, away);
-            let next = |w: &World| leaders_since(w, before) > 0;
-            assert!(until(&mut world, Micros::from_secs(25), next), "seed {seed}: no leader");
+            let next = |w: &World| leader_count_since(w, before) > 0;
+            assert!(run_until(&mut world, Micros::from_secs(25), next), "seed {seed}: no leader");
             changes += 1;
-            left += left_out_of_reach(&world);
+            left += unreachable_withdrawn_tasks(&world);
             let end = world.now + Micros::from_secs(20);
             while world.now < end {
-                go(&mut world, Micros::from_millis(500));
-                let used = used(&world);
+                run_for(&mut world, Micros::from_millis(500));
+                let used = usage_by_team(&world);
                 let full = TEAMS.iter().filter(|(team, cpus, _)| {
                     used.get(*team).is_some_and(|u| u.0 as f64 >= (cpus - 1.0) * 1e3)
                 });
-                used_again += if left_out_of_reach(&world) > 0 { full.count() } else { 0 };
+                used_again += if unreachable_withdrawn_tasks(&world) > 0 { full.count() } else { 0 };
             }
         }
         world.runs_for = S..3 * S;
-        go(&mut world, Micros::from_secs(60));
+        run_for(&mut world, Micros::from_secs(60));
         world.all_over(400, &format!("seed {seed}"));
         for (all, one) in peaks.iter_mut().zip(&world.met.peaks) {
             *all = (all.0.max(one.0), all.1.max(one.1));
@@ -402,7 +421,7 @@
 }
 
 /// How many leaders have begun since this revision.
-pub(super) fn leaders_since(world: &World, revision: u64) -> usize {
+pub(super) fn leader_count_since(world: &World, revision: u64) -> usize {
     let begun = |(r, key, value): &&(u64, String, Option<Value>)| {
         *r > revision && key == records::LEADER_KEY && value.is_some()
     };
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -11,7 +11,7 @@
 
 /// Writes to blocks and rentals lag: a third is carried out at once and its answer lost, a third 3 to 12 s late. A repeat
 /// that builds on the same fares the same.
-fn lagging(t: &Transaction) -> Option<Fate> {
+fn delay_block_writes(t: &Transaction) -> Option<Fate> {
     let keys = t.writes.iter().map(|w| match w {
         Write::Put { key, .. } | Write::Delete { key } => key,
     });
@@ -31,7 +31,7 @@
 }
 
 /// All machines that blocks name, as the store has them.
-fn recorded(world: &World) -> Vec<String> {
+fn machines_in_blocks(world: &World) -> Vec<String> {
     let blocks = world.store.keys.iter().filter(|(key, _)| key.starts_with(records::BLOCKS_PREFIX));
     let names = blocks.flat_map(|(_, (value, ..))| {
         let mut block = Block::default();
@@ -52,7 +52,7 @@
         world.boots = 200 * MS..2 * S;
         world.settings.iter_mut().for_each(|s| s.params.cloud.list_lag_s = 4.0);
         match seed % 2 {
-            0 => world.fate_of = Some(lagging),
+            0 => world.fate_of = Some(delay_block_writes),
             _ => (world.trouble.late_writes, world.trouble.answers_lost) = (0.2, 0.3),
         }
         world.run(Micros::from_secs(4));
@@ -66,7 +66,7 @@
             // At work though not listed, or listed as starting as long again; up and in no block; rented while the record stands.
             let young = |w: &&Worker| world.now.since(w.rented) <= Micros::from_secs(6);
             let early = world.workers.values().filter(|w| young(w) && !w.tasks.is_empty()).count();
-            let known: BTreeSet<String> = recorded(&world).into_iter().collect();
+            let known: BTreeSet<String> = machines_in_blocks(&world).into_iter().collect();
             let strange = world.workers.iter().filter(|(n, w)| w.tally > 0 && !known.contains(*n)).count();
             let open = |name: &&String| world.store.keys.contains_key(&records::rental_key(name));
             let open = world.charters.keys().filter(open).count();
@@ -155,12 +155,12 @@
     assert_ne!(blocks(&first), blocks(&again), "both went to the same block");
     assert!(matches!(world.store.commit(again), StoreReply::Committed { .. }));
     assert!(matches!(world.store.commit(first), StoreReply::Conflict { .. }), "it is in two blocks");
-    let here = recorded(&world).into_iter().filter(|name| name == "m-900001").count();
+    let here = machines_in_blocks(&world).into_iter().filter(|name| name == "m-900001").count();
     assert_eq!(here, 1);
 }
 
 /// Machines are off and on again.
-fn reboot(world: &mut World, which: impl Fn(usize) -> bool) {
+fn reboot_machines(world: &mut World, which: impl Fn(usize) -> bool) {
     let now = world.now;
     for (_, w) in world.workers.values_mut().enumerate().filter(|(n, _)| which(*n)) {
         w.reboot(now);
@@ -177,7 +177,7 @@
         world.keeps_reports = 0.4;
         for round in 0..3 {
             world.run(world.now + Micros::from_secs(6));
-            reboot(&mut world, |n| n % 3 == round);
+            reboot_machines(&mut world, |n| n % 3 == round);
             world.run(world.now + Micros::from_secs(6));
             let leader = world.leader().unwrap();
             world.crash_for(leader, Micros::from_millis([300, 25_000][(seed as usize + round) % 2]));
@@ -226,7 +226,7 @@
 }
 
 /// Attempts of tasks on machines that their holders have not resolved: by controller, machine and its token.
-fn suspected(world: &World) -> BTreeMap<(usize, String, u64, TaskId), u64> {
+fn unresolved_attempts(world: &World) -> BTreeMap<(usize, String, u64, TaskId), u64> {
     let mut all = BTreeMap::new();
     for (n, c) in world.controllers.iter().enumerate().filter_map(|(n, c)| Some((n, c.as_ref()?))) {
         for (name, m) in c.machines.iter().filter(|(_, m)| c.owns(m) && !m.resolved) {
@@ -256,13 +256,13 @@
         let mut held = send(&mut world);
         if form == 2 {
             // What ran there runs again by then, as another attempt, there or elsewhere.
-            reboot(&mut world, |_| true);
+            reboot_machines(&mut world, |_| true);
             world.run(world.now + Micros::from_secs(12));
         }
         let leader = world.leader().unwrap();
         world.crash_for(leader, Micros::from_millis([300, 40_000][seed as usize % 2]));
         if form == 1 {
-            reboot(&mut world, |n| n % 2 == 0);
+            reboot_machines(&mut world, |n| n % 2 == 0);
         } else if form == 3 {
             held = send(&mut world);
         }
@@ -286,10 +286,10 @@
         }
         // Until a machine is resolved, an older report takes back nothing that came later.
         let until = world.now + Micros::from_secs(12);
-        let mut before = suspected(&world);
+        let mut before = unresolved_attempts(&world);
         while world.now < until {
             world.run(world.now + Micros::from_millis(20));
-            let now = suspected(&world);
+            let now = unresolved_attempts(&world);
             for (on, attempt) in &before {
                 let went_back = now.get(on).is_some_and(|a| a < attempt);
                 assert!(
--- a/src/coordination/simulation/meetings_room.rs
+++ b/src/coordination/simulation/meetings_room.rs
@@ -4,11 +4,11 @@
 use super::*;
 
 /// How many of the jobs named are not over.
-fn open(world: &World, ids: &[String]) -> usize {
+fn unfinished_count(world: &World, ids: &[String]) -> usize {
     ids.iter().filter(|id| world.jobs[*id].told_final.is_none()).count()
 }
 
-fn submit(world: &mut World, spec: JobSpec) -> String {
+fn submit_job(world: &mut World, spec: JobSpec) -> String {
     let id = spec.id.clone();
     world.submit(spec);
     id
@@ -33,7 +33,7 @@
             let spec = JobSpec { cpus: 4.0, priority: Priority::High, one_zone: n % 4 > 0, ..spec };
             let zone = (n % 4 == 0).then(|| "west".to_owned());
             let shape = if n % 8 == 1 { Shape::Gang } else { Shape::Array };
-            bound.push(submit(&mut world, JobSpec { zone, shape, spread: false, ..spec }));
+            bound.push(submit_job(&mut world, JobSpec { zone, shape, spread: false, ..spec }));
         }
         world.run(world.now + Micros::from_secs(30));
         // The other zone has machines from now on, and the first one loses some; nobody rents any.
@@ -51,14 +51,14 @@
         let free: Vec<String> = (100..108)
             .map(|n| {
                 let spec = array(&mut world, n, 6);
-                submit(&mut world, JobSpec { priority: Priority::Low, ..spec })
+                submit_job(&mut world, JobSpec { priority: Priority::Low, ..spec })
             })
             .collect();
-        while open(&world, &free) > 0 && world.now < from + Micros::from_secs(75) {
+        while unfinished_count(&world, &free) > 0 && world.now < from + Micros::from_secs(75) {
             world.run(world.now + Micros::from_secs(1));
         }
-        let (took, left) = (world.now.since(from).as_secs_f64(), open(&world, &free));
-        let waits = open(&world, &bound);
+        let (took, left) = (world.now.since(from).as_secs_f64(), unfinished_count(&world, &free));
+        let waits = unfinished_count(&world, &bound);
         eprintln!("seed {seed}: {left} left after {took} s, while {waits} bound jobs wait");
         assert_eq!(left, 0, "seed {seed}: held up by jobs that are bound elsewhere");
         waited += waits;
@@ -80,7 +80,7 @@
 }
 
 /// More work than room, of which so many machines are all that there is, over slow links.
-fn more_than_room(seed: u64, ranks: &[Priority]) -> (World, Stops) {
+fn run_beyond_capacity(seed: u64, ranks: &[Priority]) -> (World, Stops) {
     let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 10 });
     world.links = 20 * MS..400 * MS;
     for s in &mut world.settings {
@@ -115,7 +115,7 @@
             let team = "green".to_owned();
             let class = class.to_owned();
             let spec = JobSpec { shape, class, tasks, cpus: 2.0, gpus, zone, one_zone, spread, team, ..spec };
-            let id = submit(&mut world, JobSpec { priority: rank, ..spec });
+            let id = submit_job(&mut world, JobSpec { priority: rank, ..spec });
             if hurried {
                 services.push(id);
             }
@@ -156,10 +156,10 @@
 fn more_work_than_room_over_slow_links_stops_only_what_is_of_lower_rank() {
     let mut stopped = 0;
     for seed in 2_400..2_404 {
-        let (world, stops) = more_than_room(seed, &[Priority::Normal]);
+        let (world, stops) = run_beyond_capacity(seed, &[Priority::Normal]);
         assert_eq!(stops.of_live, 0, "seed {seed}: stopped for work of its own rank");
         assert_eq!((world.met.done_again, world.met.lost_by_lease), (0, 0), "seed {seed}: lost");
-        let (world, stops) = more_than_room(seed, &[Priority::Low, Priority::High, Priority::Normal]);
+        let (world, stops) = run_beyond_capacity(seed, &[Priority::Low, Priority::High, Priority::Normal]);
         eprintln!("seed {seed}: {} stops, {} of live jobs", stops.all, stops.of_live);
         assert_eq!(stops.without_reason, [], "seed {seed}: stopped for nothing");
         assert_eq!((world.met.done_again, world.met.lost_by_lease), (0, 0), "seed {seed}: lost");
--- a/src/coordination/simulation/meetings_starts.rs
+++ b/src/coordination/simulation/meetings_starts.rs
@@ -24,7 +24,7 @@
 }
 
 /// A controller, one of its machines, and a task whose start is on its way straight to the machine.
-pub(super) fn starting(seed: u64) -> (World, usize, String, TaskId) {
+pub(super) fn start_in_flight(seed: u64) -> (World, usize, String, TaskId) {
     let mut world = full(seed, 12);
     world.trouble.held_up = 1.0;
     let until = world.now + Micros::from_secs(20);
@@ -46,7 +46,12 @@
 }
 
 /// The machine's next report comes, with this said of a task; the orders that answer it.
-pub(super) fn orders(world: &mut World, n: usize, name: &str, with: Option<ReportedTask>) -> Vec<Order> {
+pub(super) fn report_for_orders(
+    world: &mut World,
+    n: usize,
+    name: &str,
+    with: Option<ReportedTask>,
+) -> Vec<Order> {
     let (now, clock) = (world.now, world.clock(n));
     let w = world.workers.get_mut(name).unwrap();
     w.tally += 1;
@@ -65,26 +70,29 @@
 #[test]
 fn a_task_is_not_forgotten_while_its_start_is_on_its_way() {
     for seed in 390..394 {
-        let (mut world, n, name, id) = starting(seed);
+        let (mut world, n, name, id) = start_in_flight(seed);
         let attempt = world.controllers[n].as_ref().unwrap().machines[&name].tasks[&id].attempt;
         let failed =
             ReportedTask { task: id.text(), attempt, state: TaskState::Ended, cause: Some(Cause::Error) };
         let forgets = |orders: Vec<Order>| {
             orders.iter().any(|o| matches!(o, Order::Forget { task, .. } if *task == id.text()))
         };
-        assert!(!forgets(orders(&mut world, n, &name, Some(failed.clone()))), "seed {seed}");
+        assert!(!forgets(report_for_orders(&mut world, n, &name, Some(failed.clone()))), "seed {seed}");
         // Nobody knows whether it arrived: until a fresh token rules that out, the task stays.
         let (clock, token) =
             (world.clock(n), world.controllers[n].as_ref().unwrap().machines[&name].row.token);
         let unclear = Event::WorkerReply { machine: name.clone(), token, reply: DirectReply::Unclear };
         world.controllers[n].as_mut().unwrap().handle(clock, unclear);
-        assert!(!forgets(orders(&mut world, n, &name, Some(failed.clone()))), "seed {seed}: unclear");
+        assert!(
+            !forgets(report_for_orders(&mut world, n, &name, Some(failed.clone()))),
+            "seed {seed}: unclear"
+        );
         let until = world.now + Micros::from_secs(10);
         let renewed = |w: &World| w.controllers[n].as_ref().unwrap().machines[&name].row.token > token;
         while !renewed(&world) && world.now < until {
             world.run(world.now + Micros::from_millis(20));
         }
-        assert!(forgets(orders(&mut world, n, &name, Some(failed))), "seed {seed}: kept for ever");
+        assert!(forgets(report_for_orders(&mut world, n, &name, Some(failed))), "seed {seed}: kept for ever");
     }
 }
 
@@ -94,8 +102,8 @@
 #[test]
 fn a_start_that_an_answer_took_along_is_not_taken_back() {
     for seed in 394..398 {
-        let (mut world, n, name, id) = starting(seed);
-        let starts = orders(&mut world, n, &name, None);
+        let (mut world, n, name, id) = start_in_flight(seed);
+        let starts = report_for_orders(&mut world, n, &name, None);
         let here = |o: &Order| matches!(o, Order::Start { task, .. } if *task == id.text());
         assert!(starts.iter().any(here), "seed {seed}: the answer did not take it along");
         let clock = world.clock(n);
@@ -105,7 +113,7 @@
         c.drop_planned_starts(&name, |_| true);
         assert!(c.machines[&name].tasks.contains_key(&id), "seed {seed}: taken back though it was sent");
         // The next report was sent when that answer had come or been given up.
-        orders(&mut world, n, &name, None);
+        report_for_orders(&mut world, n, &name, None);
         let c = world.controllers[n].as_ref().unwrap();
         let known = c.machines[&name].tasks.get(&id);
         assert!(
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -1,7 +1,9 @@
 //! Jobs that waited in calm though a machine had room for them and their team was under its limit, in the smallest worlds
 //! that show it. `docs/incidents/2026-12-03-neglect-in-calm.md` has the traces.
 
-use super::meetings_limits::{go, owned_by, roomy, there, until};
+use super::meetings_limits::{
+    cluster_with_spare_room, job_numbers_of, present_task_count, run_for, run_until,
+};
 use super::takeovers::array;
 use super::*;
 
@@ -21,7 +23,7 @@
 }
 
 fn submit(world: &mut World, team: &str, wanted: Wanted) -> String {
-    let n = owned_by(wanted.owner).nth(wanted.nth).unwrap();
+    let n = job_numbers_of(wanted.owner).nth(wanted.nth).unwrap();
     let spec = array(world, n, wanted.tasks);
     let Wanted { shape, priority, cpus, gpus, .. } = wanted;
     let spec = JobSpec { team: team.into(), shape, priority, cpus, gpus, spot: false, ..spec };
@@ -39,7 +41,7 @@
 #[test]
 fn what_the_volumes_leave_of_a_limit_goes_to_a_job_that_fits() {
     for seed in 3_000..3_003 {
-        let mut world = roomy(seed, &RED);
+        let mut world = cluster_with_spare_room(seed, &RED);
         world.runs_for = 8 * S..12 * S;
         let high = |owner, nth, shape, tasks| Wanted {
             owner,
@@ -51,12 +53,12 @@
             gpus: 0.0,
         };
         submit(&mut world, "red", high(1, 0, Shape::Array, 100));
-        go(&mut world, Micros::from_secs(5));
+        run_for(&mut world, Micros::from_secs(5));
         submit(&mut world, "red", high(2, 0, Shape::Gang, 4));
         let low = Wanted { priority: Priority::Low, cpus: 3.0, ..high(1, 1, Shape::Array, 10) };
         let low = submit(&mut world, "red", low);
         let begun = |w: &World| w.jobs[&low].begun > Micros::ZERO;
-        assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&low));
+        assert!(run_until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&low));
         assert!(world.taken()[0].0 <= 24_000);
     }
 }
@@ -68,7 +70,7 @@
 #[test]
 fn a_gang_as_large_as_its_teams_limit_begins_beside_small_jobs_that_fit_into_the_rest() {
     for seed in 3_010..3_013 {
-        let mut world = roomy(seed, &RED);
+        let mut world = cluster_with_spare_room(seed, &RED);
         world.runs_for = 8 * S..12 * S;
         let low = |owner, nth| Wanted {
             owner,
@@ -82,17 +84,17 @@
         for nth in 0..8 {
             submit(&mut world, "red", low(nth % 3, nth));
         }
-        go(&mut world, Micros::from_secs(4));
+        run_for(&mut world, Micros::from_secs(4));
         let gang = Wanted { shape: Shape::Gang, tasks: 4, cpus: 6.0, ..low(0, 300) };
         let gang = submit(&mut world, "red", gang);
         let end = world.now + Micros::from_secs(240);
         let mut nth = 8;
-        while world.now < end && there(&world, &gang) < 4 {
+        while world.now < end && present_task_count(&world, &gang) < 4 {
             submit(&mut world, "red", low(nth % 3, nth));
             nth += 1;
-            go(&mut world, Micros::from_millis(400));
+            run_for(&mut world, Micros::from_millis(400));
         }
-        assert_eq!(there(&world, &gang), 4, "seed {seed}: {}", world.describe(&gang));
+        assert_eq!(present_task_count(&world, &gang), 4, "seed {seed}: {}", world.describe(&gang));
     }
 }
 
@@ -101,11 +103,11 @@
 /// ran on the processors that it was promised; what was promised to it was kept from a job of three.
 #[test]
 fn the_volumes_of_plain_and_accelerated_jobs_together_keep_to_the_teams_processors() {
-    let mut world = roomy(3_020, &[("red", 24.0, 8.0), ("green", 0.0, 0.0)]);
+    let mut world = cluster_with_spare_room(3_020, &[("red", 24.0, 8.0), ("green", 0.0, 0.0)]);
     for _ in 0..4 {
         world.add_machine("g8", "east", false);
     }
-    go(&mut world, Micros::from_secs(18));
+    run_for(&mut world, Micros::from_secs(18));
     let job = |owner, gpus| Wanted {
         owner,
         nth: 0,
@@ -117,7 +119,7 @@
     };
     submit(&mut world, "red", job(1, 0.0));
     submit(&mut world, "red", job(2, 1.0));
-    go(&mut world, Micros::from_secs(15));
+    run_for(&mut world, Micros::from_secs(15));
     let leader = world.controllers[world.leader().unwrap()].as_ref().unwrap();
     let (volumes, _) = leader.plan_volumes();
     let promised: u64 =
@@ -138,7 +140,7 @@
 /// for their limit. Here the records are 12 s late, and of tasks of about 4 s 0.17 of the limit was in use.
 #[test]
 fn tasks_that_have_ended_and_are_not_recorded_yet_hold_nothing_of_a_limit() {
-    let mut world = roomy(3_030, &RED);
+    let mut world = cluster_with_spare_room(3_030, &RED);
     world.runs_for = 3 * S..5 * S;
     let job = |owner| Wanted {
         owner,
@@ -151,11 +153,11 @@
     };
     submit(&mut world, "red", job(1));
     submit(&mut world, "red", job(2));
-    go(&mut world, Micros::from_secs(20));
+    run_for(&mut world, Micros::from_secs(20));
     world.fate_of = Some(late_progress);
     let (mut used, samples) = (0, 300);
     for _ in 0..samples {
-        go(&mut world, Micros::from_millis(200));
+        run_for(&mut world, Micros::from_millis(200));
         used += world.taken()[0].0;
     }
     let part = used as f64 / samples as f64 / 24_000.0;
@@ -185,7 +187,7 @@
         };
         // Its team's limit allows one task at a time.
         submit(&mut world, "red", accelerated);
-        go(&mut world, Micros::from_secs(8));
+        run_for(&mut world, Micros::from_secs(8));
         let plain = Wanted {
             owner: 2,
             nth: 0,
@@ -197,7 +199,7 @@
         };
         let plain = submit(&mut world, "green", plain);
         let begun = |w: &World| w.jobs[&plain].begun > Micros::ZERO;
-        assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&plain));
+        assert!(run_until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&plain));
     }
 }
 
@@ -217,7 +219,7 @@
 /// processor wait for their team's limit, which is lifted, beside 14 machines with room for more than all.
 #[test]
 fn all_waiting_jobs_that_fit_are_backfilled_however_many_there_are() {
-    let mut world = roomy(3_050, &[("red", 1.0, 0.0), ("green", 0.0, 0.0)]);
+    let mut world = cluster_with_spare_room(3_050, &[("red", 1.0, 0.0), ("green", 0.0, 0.0)]);
     for nth in 0..100 {
         let (shape, priority) = (Shape::Array, Priority::Normal);
         submit(
@@ -226,7 +228,7 @@
             Wanted { owner: nth % 3, nth, shape, priority, tasks: 1, cpus: 1.0, gpus: 0.0 },
         );
     }
-    go(&mut world, Micros::from_secs(60));
+    run_for(&mut world, Micros::from_secs(60));
     let leader = world.leader().unwrap();
     let leader = world.controllers[leader].as_mut().unwrap();
     leader.settings.params.teams.iter_mut().for_each(|team| team.cpus_max = 0.0);
@@ -240,7 +242,7 @@
 /// backfilled, no gang was, though its own team's limit and the machines had room for it (`crowded` for 70 s of calm).
 #[test]
 fn a_gang_that_fits_is_backfilled_however_many_jobs_of_another_team_are() {
-    let mut world = roomy(3_080, &[("red", 1.0, 0.0), ("green", 8.0, 0.0)]);
+    let mut world = cluster_with_spare_room(3_080, &[("red", 1.0, 0.0), ("green", 8.0, 0.0)]);
     let job = |nth, shape, tasks, cpus| Wanted {
         owner: nth % 3,
         nth,
@@ -255,9 +257,9 @@
     for nth in 0..100 {
         submit(&mut world, "red", job(nth, Shape::Array, 1, 1.0));
     }
-    go(&mut world, Micros::from_secs(20));
+    run_for(&mut world, Micros::from_secs(20));
     let gang = submit(&mut world, "green", job(201, Shape::Gang, 4, 2.0));
-    go(&mut world, Micros::from_secs(60));
+    run_for(&mut world, Micros::from_secs(60));
     let leader = world.leader().unwrap();
     let leader = world.controllers[leader].as_mut().unwrap();
     leader.settings.params.teams.iter_mut().for_each(|team| team.cpus_max = 0.0);
@@ -283,7 +285,7 @@
 #[test]
 fn at_a_limit_in_full_use_a_job_that_has_waited_too_long_takes_the_next_place() {
     for seed in 3_060..3_063 {
-        let mut world = roomy(seed, &RED);
+        let mut world = cluster_with_spare_room(seed, &RED);
         world.runs_for = 55 * S..65 * S;
         let array = |owner, nth| Wanted {
             owner,
@@ -295,10 +297,10 @@
             gpus: 0.0,
         };
         let first = submit(&mut world, "red", array(0, 0));
-        go(&mut world, Micros::from_secs(8));
+        run_for(&mut world, Micros::from_secs(8));
         let others: Vec<String> = (1..9).map(|nth| submit(&mut world, "red", array(nth % 3, nth))).collect();
         let all_begun = |w: &World| others.iter().all(|id| w.jobs[id].begun > Micros::ZERO);
-        let in_time = until(&mut world, AIM, all_begun);
+        let in_time = run_until(&mut world, AIM, all_begun);
         let begun = others.iter().filter(|id| world.jobs[*id].begun > Micros::ZERO).count();
         assert!(in_time, "seed {seed}: {begun} of 8 begun; {}", world.describe(&first));
         assert!(world.taken()[0].0 <= 24_000);
@@ -323,7 +325,7 @@
             gpus: 0.0,
         };
         let gang = submit(&mut world, "green", gang);
-        let begun = |w: &World| there(w, &gang) == 24;
-        assert!(until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&gang));
+        let begun = |w: &World| present_task_count(w, &gang) == 24;
+        assert!(run_until(&mut world, AIM, begun), "seed {seed}: {}", world.describe(&gang));
     }
 }
--- a/src/coordination/simulation/quota_guard.rs
+++ b/src/coordination/simulation/quota_guard.rs
@@ -1,19 +1,22 @@
 //! What is checked of teams' limits at run time, and permits that hold no more.
 
-use super::meetings_limits::{end_some, finish, go, of_team, owned_by, roomy, there, until};
+use super::meetings_limits::{
+    cluster_with_spare_room, end_tasks_below, finish_all_jobs, job_numbers_of, present_task_count, run_for,
+    run_until, submit_array,
+};
 use super::*;
 use crate::bookkeeping::records::QuotaRecord;
 use crate::coordination::Breach;
 
 /// A cluster in which the blue team's limit of 40 processors is divided, and the job that uses some of it.
 fn divided(seed: u64) -> World {
-    let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
-    let mut numbers = owned_by(1);
-    of_team(&mut world, numbers.next().unwrap(), "blue", 10);
-    of_team(&mut world, numbers.next().unwrap(), "blue", 80);
+    let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+    let mut numbers = job_numbers_of(1);
+    submit_array(&mut world, numbers.next().unwrap(), "blue", 10);
+    submit_array(&mut world, numbers.next().unwrap(), "blue", 80);
     let shared = |w: &World| w.controllers.iter().flatten().all(|c| c.quota_record.0.view == c.view_revision);
-    assert!(until(&mut world, Micros::from_secs(20), shared), "seed {seed}: nothing is divided");
-    go(&mut world, Micros::from_secs(10));
+    assert!(run_until(&mut world, Micros::from_secs(20), shared), "seed {seed}: nothing is divided");
+    run_for(&mut world, Micros::from_secs(10));
     world
 }
 
@@ -44,7 +47,7 @@
 fn shares_that_add_up_to_more_than_the_limit_are_noticed() {
     let mut world = divided(500);
     grant_each(&mut world, 14_000);
-    go(&mut world, Micros::from_secs(2));
+    run_for(&mut world, Micros::from_secs(2));
 }
 
 /// Guards the check itself: a share that shrinks below what has just been planned under it is no breach, but planning
@@ -75,7 +78,7 @@
             status.usage.iter_mut().for_each(|row| row.1 = 30_000);
         }
         controller.check_usage();
-        go(&mut world, Micros::from_millis(100));
+        run_for(&mut world, Micros::from_millis(100));
     }
 }
 
@@ -96,21 +99,21 @@
     world.fate_of = Some(late_divisions);
     let sound = division(&world);
     grant_each(&mut world, 30_000);
-    go(&mut world, Micros::from_millis(1_500));
+    run_for(&mut world, Micros::from_millis(1_500));
     let others = (0..3).filter(|n| *n != leader).collect::<Vec<_>>();
     let halted = |w: &World, n: usize| w.controllers[n].as_ref().unwrap().quota_guard.is_halted("blue");
     assert!(others.iter().all(|n| halted(&world, *n)), "the team is not halted");
     let counted =
         |n: &usize| world.controllers[*n].as_ref().unwrap().quota_breaches(Breach::SharesBeyondLimit);
     assert!(others.iter().map(counted).all(|n| n >= 1), "the breach is not counted");
-    let blue = of_team(&mut world, owned_by(others[0]).next().unwrap() + 10_000, "blue", 2);
-    let green = of_team(&mut world, owned_by(others[0]).nth(5).unwrap(), "green", 2);
-    go(&mut world, Micros::from_secs(5));
-    assert_eq!(there(&world, &blue), 0, "a task of the halted team has begun");
-    assert_eq!(there(&world, &green), 2, "another team's tasks do not start");
+    let blue = submit_array(&mut world, job_numbers_of(others[0]).next().unwrap() + 10_000, "blue", 2);
+    let green = submit_array(&mut world, job_numbers_of(others[0]).nth(5).unwrap(), "green", 2);
+    run_for(&mut world, Micros::from_secs(5));
+    assert_eq!(present_task_count(&world, &blue), 0, "a task of the halted team has begun");
+    assert_eq!(present_task_count(&world, &green), 2, "another team's tasks do not start");
     write_division(&mut world, sound);
     let lifted = |w: &World| (0..3).all(|n| !halted(w, n));
-    assert!(until(&mut world, Micros::from_secs(10), lifted), "the team is halted though the rule holds");
+    assert!(run_until(&mut world, Micros::from_secs(10), lifted), "the team is halted though the rule holds");
 }
 
 /// What controllers record of those that they do not wait for comes late.
@@ -140,18 +143,18 @@
         };
         // Places become free in its share, and more of its job is planned.
         for id in world.jobs.keys().cloned().collect::<Vec<_>>() {
-            end_some(&mut world, &id, 30);
+            end_tasks_below(&mut world, &id, 30);
         }
-        until(&mut world, Micros::from_secs(10), |w| !waiting(w).is_empty());
+        run_until(&mut world, Micros::from_secs(10), |w| !waiting(w).is_empty());
         let before = waiting(&world);
         let view = world.controllers[waits].as_ref().unwrap().view_revision;
         world.crash_for(back, Micros::from_millis(200));
         let next = |w: &World| w.controllers[waits].as_ref().unwrap().view_revision > view;
-        assert!(until(&mut world, Micros::from_secs(15), next), "seed {seed}: no new view");
+        assert!(run_until(&mut world, Micros::from_secs(15), next), "seed {seed}: no new view");
         planned += before.len();
         let after = waiting(&world);
         assert!(before.iter().all(|start| !after.contains(start)), "seed {seed}: a start outlived its share");
-        finish(&mut world, seed);
+        finish_all_jobs(&mut world, seed);
     }
     assert!(planned > 0, "nothing was planned when the view changed");
 }
@@ -160,13 +163,13 @@
 /// that second runs of its completed tasks, which go on somewhere, counted nowhere while the limit was not divided.
 #[test]
 fn tasks_that_still_run_of_a_job_that_is_done_count_before_a_limit_is_divided() {
-    let mut world = roomy(560, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
-    let mut numbers = owned_by(1);
-    let done = of_team(&mut world, numbers.next().unwrap(), "blue", 10);
-    go(&mut world, Micros::from_secs(10));
-    assert_eq!(there(&world, &done), 10);
-    let other = of_team(&mut world, numbers.next().unwrap(), "blue", 8);
-    go(&mut world, Micros::from_secs(2));
+    let mut world = cluster_with_spare_room(560, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+    let mut numbers = job_numbers_of(1);
+    let done = submit_array(&mut world, numbers.next().unwrap(), "blue", 10);
+    run_for(&mut world, Micros::from_secs(10));
+    assert_eq!(present_task_count(&world, &done), 10);
+    let other = submit_array(&mut world, numbers.next().unwrap(), "blue", 8);
+    run_for(&mut world, Micros::from_secs(2));
     let controller = world.controllers[1].as_mut().unwrap();
     let need = controller.jobs[&done].spec.need().cpu;
     let requested = need * 10 + controller.jobs[&other].spec.need().cpu * 8;
--- a/src/coordination/simulation/replaced_links.rs
+++ b/src/coordination/simulation/replaced_links.rs
@@ -2,16 +2,18 @@
 //! when their greetings are read, so the older one's messages may come after newer ones. Guards against the known failure
 //! `ran_twice`: a task ran on one machine and was started on another.
 
-use super::former_lives::passing_on;
-use super::meetings_limits::{of_team, there, until};
-use super::start_orders::{begun, cut_off, forgotten, whole_status, with_heir};
+use super::former_lives::job_numbers_passing;
+use super::meetings_limits::{present_task_count, run_until, submit_array};
+use super::start_orders::{
+    cluster_with_successor, cut_off_machines, request_full_status, start_tasks, tasks_taken_for_gone,
+};
 use super::*;
 
 /// What one controller has been told, and by whom.
 type Told = Vec<(String, PeerMessage)>;
 
 /// Runs until something holds, and returns all that the others send to a controller meanwhile.
-fn record(world: &mut World, to: usize, holds: impl Fn(&World) -> bool) -> Told {
+fn record_messages(world: &mut World, to: usize, holds: impl Fn(&World) -> bool) -> Told {
     let mut told = Told::new();
     let end = world.now + Micros::from_secs(20);
     while !holds(world) {
@@ -34,14 +36,14 @@
 }
 
 /// All of it comes once more, in its order.
-fn comes_again(world: &mut World, to: usize, told: &Told) {
+fn redeliver(world: &mut World, to: usize, told: &Told) {
     for (by, message) in told {
         world.tell(to, Event::Peer(by.clone(), message.clone()));
     }
 }
 
 /// How many of the messages are of a kind.
-fn count(told: &Told, kind: impl Fn(&PeerMessage) -> bool) -> usize {
+fn count_messages(told: &Told, kind: impl Fn(&PeerMessage) -> bool) -> usize {
     told.iter().filter(|(_, message)| kind(message)).count()
 }
 
@@ -51,34 +53,37 @@
 fn what_a_replaced_link_brings_late_takes_no_running_task_away() {
     let (mut statuses, mut testimonies, mut confirmations) = (0, 0, 0);
     for seed in 770..776 {
-        let (mut world, owner, heir) = with_heir(seed);
+        let (mut world, owner, heir) = cluster_with_successor(seed);
         // Tasks of the heir's own job are there when it is back, so that it asks for testimony.
-        let own = passing_on(heir, owner).next().unwrap();
-        let job = of_team(&mut world, own, "blue", 30);
-        assert!(until(&mut world, Micros::from_secs(12), |w| there(w, &job) == 30), "seed {seed}");
+        let own = job_numbers_passing(heir, owner).next().unwrap();
+        let job = submit_array(&mut world, own, "blue", 30);
+        assert!(
+            run_until(&mut world, Micros::from_secs(12), |w| present_task_count(w, &job) == 30),
+            "seed {seed}"
+        );
         world.crash_for(heir, Micros::from_millis(300));
         let back = |w: &World| {
             let c = w.controllers[heir].as_ref();
             c.is_some_and(|c| c.is_view_member && !c.takeover_in_progress && c.view.members.len() == 3)
         };
-        let mut told = record(&mut world, heir, back);
+        let mut told = record_messages(&mut world, heir, back);
         let later = world.now + Micros::from_secs(2);
-        told.extend(record(&mut world, heir, |w| w.now >= later));
+        told.extend(record_messages(&mut world, heir, |w| w.now >= later));
         // It asks for all that it may have missed.
-        let whole = whole_status(&mut world, owner, heir);
+        let whole = request_full_status(&mut world, owner, heir);
         told.push((world.settings[owner].member.clone(), PeerMessage::Status(whole)));
-        let begun = begun(&mut world, owner, heir);
-        assert_eq!(forgotten(&world, heir, &begun), 0, "seed {seed}: it was not told of them");
-        comes_again(&mut world, heir, &told);
-        let taken_for_gone = forgotten(&world, heir, &begun);
-        statuses += count(&told, |m| matches!(m, PeerMessage::Status(_)));
-        testimonies += count(&told, |m| matches!(m, PeerMessage::Testimony { .. }));
-        confirmations += count(&told, |m| matches!(m, PeerMessage::StatusConfirmation { .. }));
-        cut_off(&mut world, owner, &begun);
+        let begun = start_tasks(&mut world, owner, heir);
+        assert_eq!(tasks_taken_for_gone(&world, heir, &begun), 0, "seed {seed}: it was not told of them");
+        redeliver(&mut world, heir, &told);
+        let taken_for_gone = tasks_taken_for_gone(&world, heir, &begun);
+        statuses += count_messages(&told, |m| matches!(m, PeerMessage::Status(_)));
+        testimonies += count_messages(&told, |m| matches!(m, PeerMessage::Testimony { .. }));
+        confirmations += count_messages(&told, |m| matches!(m, PeerMessage::StatusConfirmation { .. }));
+        cut_off_machines(&mut world, owner, &begun);
         world.crash_for(owner, Micros::from_secs(60));
         // And again while it takes over. The judge of the rules sees each start.
         world.run(world.now + Micros::from_millis(500));
-        comes_again(&mut world, heir, &told);
+        redeliver(&mut world, heir, &told);
         world.run(world.now + Micros::from_secs(15));
         assert_eq!(taken_for_gone, 0, "seed {seed}: tasks that run were taken for gone by an older word");
     }
--- a/src/coordination/simulation/second_starts.rs
+++ b/src/coordination/simulation/second_starts.rs
@@ -1,13 +1,13 @@
 //! Starts that could be made a second time elsewhere. Guards against the known failure `ran_twice` on selatferi-hq-hunt, day
 //! apart: a task ran on one machine and was started on another.
 
-use super::meetings_starts::{orders, starting};
+use super::meetings_starts::{report_for_orders, start_in_flight};
 use super::*;
 use crate::coordination::model::{Machine, PendingStart};
 use crate::protocol::worker::DirectOrders;
 
 /// Another controller than the one that starts a task, and the one that leads.
-pub(super) fn other_than(world: &World, n: usize) -> usize {
+pub(super) fn another_controller(world: &World, n: usize) -> usize {
     (0..3).find(|other| *other != n && world.controllers[*other].is_some()).unwrap()
 }
 
@@ -33,15 +33,15 @@
 fn a_start_that_is_rejected_after_an_answer_brought_it_is_made_nowhere_else() {
     let mut there = 0;
     for seed in 500..520 {
-        let (mut world, n, name, id) = starting(seed);
+        let (mut world, n, name, id) = start_in_flight(seed);
         world.trouble.held_up = 0.0;
         world.runs_for = 20 * S..30 * S;
-        let starts = orders(&mut world, n, &name, None);
+        let starts = report_for_orders(&mut world, n, &name, None);
         let c = world.controllers[n].as_ref().unwrap();
         let (token, session) = (c.machines[&name].row.token, c.machines[&name].session);
         let sent = world.now;
         world.execute(&name, DirectOrders { token, session, orders: starts }, sent);
-        let to = other_than(&world, n);
+        let to = another_controller(&world, n);
         // The call is still under way when the new holder's token is at the machine.
         grant_to(&mut world, &name, to);
         let until = world.now + Micros::from_secs(5);
@@ -59,7 +59,7 @@
 }
 
 /// A controller and one of its planned starts that has not been sent, with its machine.
-pub(super) fn planned(world: &mut World) -> (usize, String, TaskId) {
+pub(super) fn wait_for_planned_start(world: &mut World) -> (usize, String, TaskId) {
     let until = world.now + Micros::from_secs(20);
     while world.now < until {
         world.run(world.now + Micros::from_millis(1));
@@ -87,7 +87,7 @@
 fn a_planned_start_is_taken_back_when_its_task_turns_up_elsewhere() {
     for seed in 520..524 {
         let mut world = super::meetings::full(seed, 12);
-        let (n, name, id) = planned(&mut world);
+        let (n, name, id) = wait_for_planned_start(&mut world);
         let held = |c: &Controller| {
             let known = c.machines.iter().find(|(_, m)| c.owns(m) && m.resolved);
             known.map(|(machine, m)| (machine.clone(), c.machine_status(m)))
@@ -133,7 +133,7 @@
 fn a_fresh_token_bounds_how_late_a_withdrawn_start_may_arrive() {
     let mut latest = Micros::ZERO;
     for seed in 540..548 {
-        let (mut world, n, name, id) = starting(seed);
+        let (mut world, n, name, id) = start_in_flight(seed);
         // By then the call is at the machine, and held up there.
         world.run(world.now + Micros::from_millis(10));
         world.trouble.held_up = 0.0;
