--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -1,5 +1,5 @@
-//! Meetings of machines, what they report and what they are told with ends of controllers and writes that lag
-//! (`docs/meetings.md`). Each asserts that it took place.
+//! Combinations of faults: machines, their reports and their orders, together with controller crashes and delayed
+//! writes (`docs/meetings.md`). Each test asserts that its combination occurred.
 
 use super::meetings::full;
 use super::spells::Fate;
@@ -9,20 +9,20 @@
 use crate::bookkeeping::records::BlockRow;
 use crate::coordination::Machine;
 
-/// Writes to blocks and rentals lag: a third is carried out at once and its answer lost, a third 3 to 12 s late. A repeat
-/// that builds on the same fares the same.
+/// Delays writes to blocks and rentals: a third is carried out at once and its reply lost, a third is carried out 3 to
+/// 12 s late. A retry with the same keys and conditions is treated the same.
 fn delay_block_writes(t: &Transaction) -> Option<Fate> {
     let keys = t.writes.iter().map(|w| match w {
         Write::Put { key, .. } | Write::Delete { key } => key,
     });
-    let lags =
+    let is_delayed =
         |key: &&String| key.starts_with(records::BLOCKS_PREFIX) || key.starts_with(records::RENTALS_PREFIX);
-    let bytes = |key: &String| key.bytes().map(u64::from).sum::<u64>();
-    let named: Vec<u64> = keys.filter(lags).map(bytes).collect();
-    if named.is_empty() {
+    let byte_sum = |key: &String| key.bytes().map(u64::from).sum::<u64>();
+    let key_sums: Vec<u64> = keys.filter(is_delayed).map(byte_sum).collect();
+    if key_sums.is_empty() {
         return None;
     }
-    let n = named.iter().sum::<u64>() + t.conditions.iter().map(|c| c.stamp).sum::<u64>();
+    let n = key_sums.iter().sum::<u64>() + t.conditions.iter().map(|c| c.stamp).sum::<u64>();
     match n % 3 {
         0 => Some(Fate::AnswerLost),
         1 => Some(Fate::Late(Micros::from_secs(3 + n / 3 % 10))),
@@ -30,7 +30,7 @@
     }
 }
 
-/// All machines that blocks name, as the store has them.
+/// All machines that blocks in the store record.
 fn machines_in_blocks(world: &World) -> Vec<String> {
     let blocks = world.store.keys.iter().filter(|(key, _)| key.starts_with(records::BLOCKS_PREFIX));
     let names = blocks.flat_map(|(_, (value, ..))| {
@@ -41,12 +41,12 @@
     names.collect()
 }
 
-/// Guards against machines that are up, and at work, before the cloud lists them or their rental's record and their first
-/// grant are known to have been written, when the leader ends: nothing runs twice, no job is forgotten, and each machine
-/// is used and given back.
+/// Guards against a leader that crashes while machines are up and run tasks before the cloud lists them, or before the
+/// writes of their rental record and their first grant are known to have succeeded: nothing may run twice, no job may
+/// be forgotten, and each machine must be used and returned.
 #[test]
-fn machines_up_at_once_under_writes_that_lag_outlive_their_leader() {
-    let (mut unlisted, mut unrecorded, mut unanswered, mut late) = (0, 0, 0, 0);
+fn fast_booting_machines_with_delayed_writes_survive_leader_crashes() {
+    let (mut unlisted, mut unrecorded, mut unanswered, mut delayed) = (0, 0, 0, 0);
     for seed in 200..210 {
         let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 20 });
         world.boots = 200 * MS..2 * S;
@@ -60,69 +60,80 @@
             let spec = array(&mut world, n, 60);
             world.submit(spec);
         }
-        let (mut ends, mut last) = (0, Micros::ZERO);
+        let (mut crashes, mut last_crash) = (0, Micros::ZERO);
         while world.now < Micros::from_secs(100) {
             world.run(world.now + Micros::from_millis(50));
-            // At work though not listed, or listed as starting as long again; up and in no block; rented while the record stands.
-            let young = |w: &&Worker| world.now.since(w.rented) <= Micros::from_secs(6);
-            let early = world.workers.values().filter(|w| young(w) && !w.tasks.is_empty()).count();
+            // Machines that run tasks while the cloud does not list them yet, or still lists them as starting; machines
+            // that are up and in no block; rental requests whose record still exists.
+            let just_rented = |w: &&Worker| world.now.since(w.rented) <= Micros::from_secs(6);
+            let early_count =
+                world.workers.values().filter(|w| just_rented(w) && !w.tasks.is_empty()).count();
             let known: BTreeSet<String> = machines_in_blocks(&world).into_iter().collect();
-            let strange = world.workers.iter().filter(|(n, w)| w.tally > 0 && !known.contains(*n)).count();
-            let open = |name: &&String| world.store.keys.contains_key(&records::rental_key(name));
-            let open = world.charters.keys().filter(open).count();
-            let pause = Micros::from_secs([9, 25][usize::from([early, strange, open][ends % 3] == 0)]);
-            if early + strange + open == 0 || ends == 6 || world.now.since(last) < pause {
+            let unrecorded_count =
+                world.workers.iter().filter(|(n, w)| w.tally > 0 && !known.contains(*n)).count();
+            let has_record = |name: &&String| world.store.keys.contains_key(&records::rental_key(name));
+            let pending_count = world.charters.keys().filter(has_record).count();
+            let pause = Micros::from_secs(
+                [9, 25][usize::from([early_count, unrecorded_count, pending_count][crashes % 3] == 0)],
+            );
+            if early_count + unrecorded_count + pending_count == 0
+                || crashes == 6
+                || world.now.since(last_crash) < pause
+            {
                 continue;
             }
             if let Some(leader) = world.leader() {
                 (unlisted, unrecorded, unanswered) =
-                    (unlisted + early, unrecorded + strange, unanswered + open);
-                world.crash_for(leader, Micros::from_millis([300, 25_000][ends / 3]));
-                (ends, last) = (ends + 1, world.now);
+                    (unlisted + early_count, unrecorded + unrecorded_count, unanswered + pending_count);
+                world.crash_for(leader, Micros::from_millis([300, 25_000][crashes / 3]));
+                (crashes, last_crash) = (crashes + 1, world.now);
             }
         }
-        assert!(ends > 1, "seed {seed}: the leader ended {ends} times");
+        assert!(crashes > 1, "seed {seed}: the leader crashed {crashes} times");
         world.fate_of = None;
-        late += world.met.late_commits + world.met.answers_lost;
+        delayed += world.met.late_commits + world.met.answers_lost;
         world.all_over(400, &format!("seed {seed}"));
         world.run(world.now + Micros::from_secs(60));
-        let left: Vec<_> = world.workers.keys().collect();
-        assert!(left.is_empty(), "seed {seed}: rented for ever: {left:?}");
-        let open: Vec<_> =
+        let still_rented: Vec<_> = world.workers.keys().collect();
+        assert!(still_rented.is_empty(), "seed {seed}: machines never returned: {still_rented:?}");
+        let pending: Vec<_> =
             world.store.keys.keys().filter(|key| key.starts_with(records::RENTALS_PREFIX)).collect();
-        assert!(open.is_empty(), "seed {seed}: rentals that nobody closes: {open:?}");
+        assert!(pending.is_empty(), "seed {seed}: rental records never deleted: {pending:?}");
         assert_eq!(world.met.begun_again, 0, "seed {seed}");
     }
-    eprintln!("{unlisted} unlisted, {unrecorded} unrecorded, {unanswered} unanswered, {late} writes lagged");
-    assert!(unlisted > 5 && unrecorded > 5 && unanswered > 2 && late > 50);
+    eprintln!(
+        "{unlisted} unlisted, {unrecorded} unrecorded, {unanswered} unanswered, {delayed} writes delayed"
+    );
+    assert!(unlisted > 5 && unrecorded > 5 && unanswered > 2 && delayed > 50);
 }
 
-/// Guards against a machine in two blocks: a record of new machines that got no answer was made again in another block,
-/// for there was no room left beside what changed hands with it, and then both were carried out. What the later one said
-/// was that nobody had ever held the machine, and a controller that joined took over what ran there.
+/// Guards against a machine that two blocks record. A transaction that recorded new machines got no reply and was
+/// repeated. The repeat wrote to another block, since the first transaction also moved machines and had no room left
+/// for that block. Then both were carried out. The later one recorded that the machine had never had an owner, and a
+/// controller that joined took over the tasks that ran there.
 #[test]
-fn a_machine_is_recorded_in_one_block_whatever_lags() {
+fn delayed_writes_record_a_machine_in_only_one_block() {
     let mut world = World::sized(300, Trouble::default(), Size { controllers: 3, machines: 0 });
     for n in 0..8 {
         let spec = array(&mut world, n, 400);
         world.submit(spec);
     }
     world.run(Micros::from_secs(8));
-    // Blocks of a few machines, and grants of a block, as they are on a large fleet.
+    // Small limits, so that a block holds a few machines and a grant changes one block, as on a large fleet.
     for c in world.controllers.iter_mut().flatten() {
         let state = &mut c.settings.params.state;
         (state.value_kb, state.txn_ops) = (0.4, 3);
     }
     let names: Vec<String> = (0..10).map(|_| world.add_machine("c16", "east", false)).collect();
     world.run(world.now + Micros::from_secs(20));
-    // The first block has room again.
+    // Frees room in the first block.
     world.workers.get_mut(&names[0]).unwrap().dead = true;
     world.run(world.now + Micros::from_secs(30));
     let leader = world.leader().unwrap();
     let clock = world.clock(leader);
     let c = world.controllers[leader].as_mut().unwrap();
     let last = c.shards.iter().rfind(|(_, (block, _))| !block.is_empty()).unwrap();
-    assert!(*last.0 > 1, "all in one block: {:?}", c.shards);
+    assert!(*last.0 > 1, "all machines are in one block: {:?}", c.shards);
     let moved = last.1.0.machines().next().unwrap().to_owned();
     let to =
         c.view.members.iter().map(|m| &m.0).find(|m| **m != c.machines[&moved].row.owner).unwrap().clone();
@@ -134,7 +145,7 @@
         ..c.machines[&moved].row.clone()
     };
     let mut grant = |moves: BTreeMap<String, String>| {
-        // What was on its way before has been answered.
+        // The previous grant has been answered.
         c.leader_state.as_mut().unwrap().grant_in_flight = false;
         assert!(c.grant(moves, vec![row.clone(), row.clone()], BTreeSet::new(), None));
         let calls = c.handle(clock, Event::Peer(String::new(), PeerMessage::ResyncRequest));
@@ -142,35 +153,35 @@
             Effect::Store(id, StoreCall::Commit(t)) => Some((id, t)),
             _ => None,
         });
-        let new = |t: &Transaction| serde_json::to_string(t).unwrap().contains("m-900001");
-        let (id, t) = commits.rfind(|(_, t)| new(t)).unwrap();
+        let has_new_machine = |t: &Transaction| serde_json::to_string(t).unwrap().contains("m-900001");
+        let (id, t) = commits.rfind(|(_, t)| has_new_machine(t)).unwrap();
         c.handle(clock, Event::Store(id, StoreReply::Unclear));
         t
     };
-    let (first, again) = (grant([(moved, to)].into()), grant(BTreeMap::new()));
+    let (first, retry) = (grant([(moved, to)].into()), grant(BTreeMap::new()));
     let blocks = |t: &Transaction| -> Vec<String> {
         let keys = t.conditions.iter().map(|c| c.key.clone());
         keys.filter(|key| key.starts_with(records::BLOCKS_PREFIX)).collect()
     };
-    assert_ne!(blocks(&first), blocks(&again), "both went to the same block");
-    assert!(matches!(world.store.commit(again), StoreReply::Committed { .. }));
-    assert!(matches!(world.store.commit(first), StoreReply::Conflict { .. }), "it is in two blocks");
-    let here = machines_in_blocks(&world).into_iter().filter(|name| name == "m-900001").count();
-    assert_eq!(here, 1);
+    assert_ne!(blocks(&first), blocks(&retry), "both attempts chose the same block");
+    assert!(matches!(world.store.commit(retry), StoreReply::Committed { .. }));
+    assert!(matches!(world.store.commit(first), StoreReply::Conflict { .. }), "the machine is in two blocks");
+    let record_count = machines_in_blocks(&world).into_iter().filter(|name| name == "m-900001").count();
+    assert_eq!(record_count, 1);
 }
 
-/// Machines are off and on again.
-fn reboot_machines(world: &mut World, which: impl Fn(usize) -> bool) {
+/// Reboots the machines whose indexes the filter selects.
+fn reboot_machines(world: &mut World, is_selected: impl Fn(usize) -> bool) {
     let now = world.now;
-    for (_, w) in world.workers.values_mut().enumerate().filter(|(n, _)| which(*n)) {
+    for (_, w) in world.workers.values_mut().enumerate().filter(|(n, _)| is_selected(*n)) {
         w.reboot(now);
     }
 }
 
-/// Guards against what copies of old reports prove that reach every controller just as a new leader begins: also of earlier
-/// sessions and attempts, with completions and without.
+/// Guards against conclusions from copies of old reports that reach every controller just as a new leader takes over.
+/// The copies are also of earlier sessions and attempts, with and without completions.
 #[test]
-fn old_reports_to_every_controller_as_a_new_leader_begins_prove_nothing() {
+fn old_reports_at_a_leader_change_are_no_evidence() {
     let mut met = Met::default();
     for seed in 220..224 {
         let mut world = full(seed, 12);
@@ -195,11 +206,12 @@
     assert!(met.earlier_attempts > 100 && met.old_done > 100, "{met:?}");
 }
 
-/// Guards machines against being taken for deaf: of several old reports that came at once, each was answered, and the next
-/// did not show the answer. Nobody answered such a machine any more until it had been asked itself.
+/// Guards against receiving machines that are taken for not receiving. Several old reports came at once and each was
+/// answered, and the machine's next report did not show these answers. Such a machine got no further answers until it
+/// had been probed.
 #[test]
-fn machines_whose_old_reports_come_at_once_are_not_taken_for_deaf() {
-    let (mut given, mut deaf) = (0, 0);
+fn a_burst_of_old_reports_does_not_mark_machines_as_not_receiving() {
+    let (mut copies, mut not_receiving) = (0, 0);
     for seed in 230..234 {
         let mut world = full(seed, 12);
         world.keeps_reports = 1.0;
@@ -209,23 +221,23 @@
         let until = world.now + Micros::from_secs(35);
         while world.now < until {
             world.run(world.now + Micros::from_millis(20));
-            deaf += world
+            not_receiving += world
                 .controllers
                 .iter()
                 .flatten()
                 .map(Controller::non_receiving_machine_count)
                 .sum::<usize>();
         }
-        given += world.met.kept_given;
+        copies += world.met.kept_given;
         assert_eq!(world.met.lost_by_lease, 0, "seed {seed}: tasks were lost");
         world.all_over(400, &format!("seed {seed}"));
     }
-    eprintln!("{given} copies");
-    assert!(given > 500, "only {given} copies were given");
-    assert_eq!(deaf, 0, "machines that hear were taken for deaf");
+    eprintln!("{copies} copies");
+    assert!(copies > 500, "only {copies} copies were delivered");
+    assert_eq!(not_receiving, 0, "receiving machines were taken for not receiving");
 }
 
-/// Attempts of tasks on machines that their holders have not resolved: by controller, machine and its token.
+/// Attempts of tasks on machines that their owners have not resolved, by controller, machine, token and task.
 fn unresolved_attempts(world: &World) -> BTreeMap<(usize, String, u64, TaskId), u64> {
     let mut all = BTreeMap::new();
     for (n, c) in world.controllers.iter().enumerate().filter_map(|(n, c)| Some((n, c.as_ref()?))) {
@@ -237,12 +249,15 @@
     all
 }
 
-/// Guards against a report that was held back until the new leader had acted, the last that a machine sent: from the same
-/// session, from one that is over, with tasks that run elsewhere in a later attempt by now, with completions and without.
+/// Guards against conclusions from a machine's last report when it is delivered only after the new leader has acted.
+/// The report is of the current session or of one that has ended, its tasks may run elsewhere in a later attempt by
+/// then, and it comes with and without completions.
 #[test]
-fn a_report_held_back_until_the_new_leader_has_acted_proves_nothing() {
+fn a_report_delayed_until_a_new_leader_has_acted_is_no_evidence() {
     let mut met = Met::default();
-    for (form, seed) in (0..4).flat_map(|form| (0..3).map(move |n| (form, 250 + 10 * form + n))) {
+    for (scenario, seed) in
+        (0..4).flat_map(|scenario| (0..3).map(move |n| (scenario, 250 + 10 * scenario + n)))
+    {
         let mut world = full(seed, 12);
         world.run(world.now + Micros::from_secs(5));
         let send = |world: &mut World| -> Vec<Report> {
@@ -253,55 +268,55 @@
             });
             sent.collect()
         };
-        let mut held = send(&mut world);
-        if form == 2 {
-            // What ran there runs again by then, as another attempt, there or elsewhere.
+        let mut delayed = send(&mut world);
+        if scenario == 2 {
+            // By then these tasks run again in another attempt, on the same machine or elsewhere.
             reboot_machines(&mut world, |_| true);
             world.run(world.now + Micros::from_secs(12));
         }
         let leader = world.leader().unwrap();
         world.crash_for(leader, Micros::from_millis([300, 40_000][seed as usize % 2]));
-        if form == 1 {
+        if scenario == 1 {
             reboot_machines(&mut world, |n| n % 2 == 0);
-        } else if form == 3 {
-            held = send(&mut world);
+        } else if scenario == 3 {
+            delayed = send(&mut world);
         }
-        // Nothing newer comes from some before the new leader has acted.
+        // Half of the machines send nothing newer before the new leader has acted.
         let until = world.now + Micros::from_secs(10);
         for (_, w) in world.workers.values_mut().enumerate().filter(|(n, _)| n % 2 == 0) {
             w.cut_until = until;
         }
-        let begun = |w: &World| {
+        let has_new_leader = |w: &World| {
             w.leader().is_some_and(|n| n != leader || w.controllers[n].as_ref().unwrap().is_view_member)
         };
-        while !begun(&world) && world.now < until + Micros::from_secs(30) {
+        while !has_new_leader(&world) && world.now < until + Micros::from_secs(30) {
             world.run(world.now + Micros::from_millis(20));
         }
-        for (n, report) in held.iter().enumerate() {
+        for (n, report) in delayed.iter().enumerate() {
             let after = [0, 50, 300, 1_000, 3_000, 9_000][(n + seed as usize) % 6];
             for node in 0..3 {
                 let report = report.clone();
                 world.at(world.now + Micros::from_millis(after), Happening::Copy { node, report });
             }
         }
-        // Until a machine is resolved, an older report takes back nothing that came later.
+        // Until a machine is resolved, an older report must not replace later knowledge.
         let until = world.now + Micros::from_secs(12);
         let mut before = unresolved_attempts(&world);
         while world.now < until {
             world.run(world.now + Micros::from_millis(20));
             let now = unresolved_attempts(&world);
-            for (on, attempt) in &before {
-                let went_back = now.get(on).is_some_and(|a| a < attempt);
+            for (key, attempt) in &before {
+                let went_back = now.get(key).is_some_and(|a| a < attempt);
                 assert!(
                     !went_back,
-                    "form {form}, seed {seed}: {on:?} was known in attempt {attempt}, now {now:?}"
+                    "scenario {scenario}, seed {seed}: {key:?} was known in attempt {attempt}, now {now:?}"
                 );
             }
             before = now;
         }
         world.run(world.now + Micros::from_secs(28));
-        world.all_over(400, &format!("form {form}, seed {seed}"));
-        assert_eq!(world.met.begun_again, 0, "form {form}, seed {seed}");
+        world.all_over(400, &format!("scenario {scenario}, seed {seed}"));
+        assert_eq!(world.met.begun_again, 0, "scenario {scenario}, seed {seed}");
         met.late_copies += world.met.late_copies;
         met.earlier_sessions += world.met.earlier_sessions;
         met.earlier_attempts += world.met.earlier_attempts;
@@ -312,11 +327,12 @@
     assert!(met.earlier_attempts > 50 && met.old_done > 50, "{met:?}");
 }
 
-/// Guards against machines that reach no controller while direct commands reach them, with withdrawals and an end of the
-/// leader: they answer when they are asked, and lose their tasks all the same, lease after lease. What was withdrawn is
-/// gone in time, nothing runs twice, and one that stays so gets no more work and is given back.
+/// Guards against machines that cannot report to any controller but still receive direct orders, together with
+/// withdrawals and a leader crash. They answer probes, and still lose their tasks each time their lease expires.
+/// Withdrawn tasks must stop in time, nothing may run twice, and a machine that never reports again must get no more
+/// work and be returned.
 #[test]
-fn machines_that_reach_no_controller_are_not_taken_for_alive() {
+fn machines_that_cannot_report_are_not_treated_as_alive() {
     let (mut withdrawn, mut lost, mut wasted) = (0, 0, 0);
     for seed in 290..298 {
         let mut world = full(seed, 12);
@@ -328,7 +344,7 @@
         for (n, name) in names.iter().enumerate().filter(|(n, _)| n % 3 == 0) {
             world.workers.get_mut(name).unwrap().mute_until = if n < 6 { Micros::MAX } else { until };
         }
-        let ever = [&names[0], &names[3]];
+        let never_reporting = [&names[0], &names[3]];
         world.run(world.now + Micros::from_secs(2));
         withdrawn += world.withdraw_now(4, Micros::ZERO);
         world.run(world.now + Micros::from_millis([300, 8_000][seed as usize / 2 % 2]));
@@ -337,12 +353,13 @@
         world.run(world.now + Micros::from_secs(2));
         withdrawn += world.withdraw_now(3, Micros::ZERO);
         world.run(world.now + Micros::from_secs(40));
-        let begun = |w: &World| w.begun.iter().filter(|(name, ..)| ever.contains(&name)).count();
-        let before = begun(&world);
+        let start_count =
+            |w: &World| w.begun.iter().filter(|(name, ..)| never_reporting.contains(&name)).count();
+        let before = start_count(&world);
         world.run(world.now + Micros::from_secs(60));
-        wasted += begun(&world) - before;
-        let kept = ever.iter().filter(|name| world.workers.contains_key(**name)).count();
-        assert_eq!(kept, 0, "seed {seed}: kept though it reaches nobody\n{}", world.describe(""));
+        wasted += start_count(&world) - before;
+        let kept = never_reporting.iter().filter(|name| world.workers.contains_key(**name)).count();
+        assert_eq!(kept, 0, "seed {seed}: kept though it cannot report\n{}", world.describe(""));
         lost += world.met.lost_by_lease;
         world.runs_for = S..2 * S;
         world.all_over(500, &format!("seed {seed}"));
@@ -350,13 +367,14 @@
     }
     eprintln!("{withdrawn} withdrawn, {lost} lost by lease, {wasted} wasted");
     assert!(withdrawn > 20 && lost > 100, "{withdrawn} withdrawn, {lost} tasks lost by lease");
-    assert_eq!(wasted, 0, "work was begun on machines that had reached nobody for 40 s");
+    assert_eq!(wasted, 0, "tasks were started on machines that had not reported for 40 s");
 }
 
-/// Guards what new starts assume when all controllers have been away for longer than a worker's lease: what ran is gone,
-/// what had completed counts, what was withdrawn stays so, and every job is known again.
+/// Guards against wrong assumptions of restarted controllers after all controllers have been down for longer than a
+/// worker's lease: the tasks that ran are gone, completions count, withdrawn jobs stay withdrawn, and every job is
+/// known again.
 #[test]
-fn all_controllers_away_for_longer_than_a_lease_lose_no_job() {
+fn no_job_is_lost_when_all_controllers_are_down_longer_than_a_lease() {
     let (mut lost, mut withdrawn, mut outlived) = (0, 0, Micros::ZERO);
     for seed in 310..318 {
         let mut world = full(seed, 12);
@@ -368,7 +386,8 @@
         withdrawn += world.withdraw_now(4, Micros::ZERO);
         world.run(world.now + Micros::from_millis([100, 700][seed as usize / 2 % 2]));
         let before = world.met.lost_by_lease;
-        // Shorter than a lease, about as long, and longer: some machines have lapsed then and others have not.
+        // Downtimes shorter than a lease, about as long, and longer: some machines have lost their lease by then and
+        // others have not.
         world.all_away(Micros::from_secs([17, 40, 13, 90][seed as usize % 4]));
         world.run(world.now + Micros::from_secs(100));
         lost += world.met.lost_by_lease - before;
@@ -382,10 +401,11 @@
     assert!(outlived > Micros::from_secs(5), "withdrawn tasks were gone after {outlived:?}");
 }
 
-/// Guards against a zone with workers and a controller that is cut off for longer than a worker's lease: the controller
-/// there goes on until its own lease is over, and nobody starts its tasks elsewhere before they are gone.
+/// Guards against tasks that run twice when a zone with workers and a controller is cut off for longer than a worker's
+/// lease. The controller in the zone continues until its own lease expires, and no other controller starts its tasks
+/// elsewhere before they have stopped.
 #[test]
-fn a_zone_cut_off_with_a_controller_runs_nothing_that_runs_elsewhere() {
+fn tasks_in_a_partitioned_zone_do_not_also_run_elsewhere() {
     let (mut inside, mut withdrawn, mut lost) = (0, 0, 0);
     for seed in 330..338 {
         let mut world = World::new(seed, Trouble::default());
@@ -418,12 +438,12 @@
     assert!(inside > 100 && withdrawn > 30 && lost > 100, "{inside}, {withdrawn}, {lost}");
 }
 
-/// Guards against a leader that ends while machines with long tasks do not hear the next one, or hang, when just the jobs
-/// on these are withdrawn: their tasks are gone in time though nobody can tell them to end, also where a machine goes on
-/// within its lease, and nothing of theirs begins anywhere.
+/// Guards against withdrawn long tasks that run too long. The leader crashes, machines hang or do not receive from the
+/// next leader, and the jobs that run on these machines are withdrawn. Their tasks must stop in time although no
+/// controller can stop them, also where a machine continues within its lease, and no task of theirs may start anywhere.
 #[test]
-fn long_tasks_that_do_not_hear_the_new_leader_are_gone_in_time() {
-    let (mut there, mut confirmed, mut outlived) = (0, 0, Micros::ZERO);
+fn withdrawn_tasks_that_a_new_leader_cannot_reach_stop_in_time() {
+    let (mut unreachable, mut confirmed, mut outlived) = (0, 0, Micros::ZERO);
     for seed in 350..362 {
         let mut world = full(seed, 8);
         world.runs_for = 60 * S..120 * S;
@@ -431,15 +451,15 @@
         world.run(world.now + Micros::from_secs(25));
         let leader = world.leader().unwrap();
         let c = world.controllers[leader].as_ref().unwrap();
-        // Of those at work the leader's own first.
-        let mut held: Vec<(bool, String)> =
+        // Busy machines, the leader's own first.
+        let mut affected: Vec<(bool, String)> =
             c.machines.iter().map(|(name, m)| (!c.owns(m), name.clone())).collect();
-        held.retain(|(_, name)| world.workers.get(name).is_some_and(|w| w.tasks.len() > 3));
-        held.sort();
-        let held: Vec<String> = held.into_iter().map(|(_, name)| name).take(3).collect();
+        affected.retain(|(_, name)| world.workers.get(name).is_some_and(|w| w.tasks.len() > 3));
+        affected.sort();
+        let affected: Vec<String> = affected.into_iter().map(|(_, name)| name).take(3).collect();
         let until = world.now + Micros::from_secs([8, 13, 40][seed as usize % 3]);
         let mut jobs = BTreeSet::new();
-        for name in &held {
+        for name in &affected {
             let w = world.workers.get_mut(name).unwrap();
             jobs.extend(w.tasks.keys().map(|id| id.job.clone()));
             if seed % 2 == 0 { w.deaf_until = until } else { w.hung_until = until }
@@ -450,10 +470,10 @@
             world.jobs.get_mut(id).unwrap().wants_withdrawal = true;
         }
         let tasks = |w: &World| {
-            let on = held.iter().filter_map(|name| w.workers.get(name)).flat_map(|w| w.tasks.keys());
+            let on = affected.iter().filter_map(|name| w.workers.get(name)).flat_map(|w| w.tasks.keys());
             on.filter(|id| w.jobs[&id.job].wants_withdrawal).count()
         };
-        there += tasks(&world);
+        unreachable += tasks(&world);
         world.run(world.now + Micros::from_secs(45));
         let wanted = || world.jobs.values().filter(|w| w.wants_withdrawal);
         assert!(wanted().all(|w| w.told_final.is_some()), "seed {seed}: not confirmed");
@@ -463,33 +483,37 @@
         world.all_over(400, &format!("seed {seed}"));
         assert_eq!(world.met.begun_again, 0, "seed {seed}");
     }
-    eprintln!("{there} there, {confirmed} confirmed, outlived {outlived:?}");
-    assert!(there > 300 && confirmed > 30, "{there} tasks out of hearing, {confirmed} withdrawals confirmed");
+    eprintln!("{unreachable} unreachable tasks, {confirmed} confirmed, outlived {outlived:?}");
+    assert!(
+        unreachable > 300 && confirmed > 30,
+        "{unreachable} unreachable tasks, {confirmed} withdrawals confirmed"
+    );
     assert!(outlived > Micros::from_secs(8), "withdrawn tasks were gone after {outlived:?}");
 }
 
-/// Guards what is known of a controller against its own earlier lives: a list of the records is read page by page, and
-/// what had changed before its last page is read again as changes. A life that had been loaded was taken for ended by the
-/// registration before it, and from then on nothing of what it said was missed, whatever was.
+/// Guards against a loaded incarnation of a controller that is taken for ended because of an earlier one. The records
+/// are listed page by page, and changes from before the last page are read again from the watch. The deletion of an
+/// earlier registration then ended the incarnation that had been loaded, and from then on no gap in its messages was
+/// detected.
 #[test]
-fn a_life_that_was_loaded_is_not_ended_by_one_before_it() {
+fn an_earlier_registration_does_not_end_a_loaded_incarnation() {
     let mut world = full(410, 12);
-    let known = |c: &Controller| {
+    let fully_known = |c: &Controller| {
         let me = c.incarnation();
-        let listed = |name: &String, m: &Machine| {
+        let is_known = |name: &String, m: &Machine| {
             c.owner_is_registered(m) && !c.owns(m) && c.machine_knowledge.is_fully_known(name, &me)
         };
-        c.machines.iter().find(|(name, m)| listed(name, m)).map(|(name, m)| (name.clone(), m.row.clone()))
+        c.machines.iter().find(|(name, m)| is_known(name, m)).map(|(name, m)| (name.clone(), m.row.clone()))
     };
-    let found = |w: &World| (0..3).find_map(|n| Some((n, known(w.controllers[n].as_ref()?)?)));
+    let found = |w: &World| (0..3).find_map(|n| Some((n, fully_known(w.controllers[n].as_ref()?)?)));
     while found(&world).is_none() && world.now < Micros::from_secs(60) {
         world.run(world.now + Micros::from_millis(100));
     }
-    let (n, (name, row)) = found(&world).expect("nothing is known in full");
+    let (n, (name, row)) = found(&world).expect("no machine is fully known");
     let c = world.controllers[n].as_mut().unwrap();
     let me = c.incarnation();
     let (member, stamp) = (row.owner, row.registration);
-    let life = (member.clone(), stamp);
+    let incarnation = (member.clone(), stamp);
     let put = |stamp| Change::Put {
         key: records::registration_key(&member),
         value: (&serde_json::json!({"lease": 1})).into(),
@@ -502,9 +526,9 @@
     ];
     c.handle_follow_reply(c.now, StoreReply::News(ChangeBatch { revision: c.applied_revision + 1, changes }));
     assert_eq!(c.registrations.get(&member), Some(&stamp));
-    c.machine_knowledge.message_received(&life, u64::MAX - 1, false, c.applied_revision);
+    c.machine_knowledge.message_received(&incarnation, u64::MAX - 1, false, c.applied_revision);
     assert!(
         !c.machine_knowledge.is_fully_known(&name, &me),
-        "nothing can be missed of a life that is taken for ended"
+        "no gap is detected for an incarnation that is taken for ended"
     );
 }
