--- a/src/coordination/simulation/meetings_room.rs
+++ b/src/coordination/simulation/meetings_room.rs
@@ -1,9 +1,9 @@
-//! Meetings of jobs and room: too little of it, in one zone or at all (`docs/meetings.md`).
+//! Combinations of jobs and a lack of room, in one zone or everywhere (`docs/meetings.md`).
 
 use super::takeovers::array;
 use super::*;
 
-/// How many of the jobs named are not over.
+/// The number of these jobs that have not ended.
 fn unfinished_count(world: &World, ids: &[String]) -> usize {
     ids.iter().filter(|id| world.jobs[*id].told_final.is_none()).count()
 }
@@ -14,11 +14,11 @@
     id
 }
 
-/// Guards jobs that are bound to a zone, by their description or by where their other tasks are, that loses machines
-/// while nobody rents any there: they wait, start nowhere else, hold up no other job that has room in another zone,
-/// though they come before it, and go on when there is room.
+/// Guards against jobs bound to a zone, by their description or by where their other tasks run, that start elsewhere or
+/// block others when the zone loses machines and none can be rented there. They must wait, start in no other zone,
+/// block no job that has room in another zone though they precede it, and continue when there is room.
 #[test]
-fn jobs_bound_to_a_zone_that_lost_its_machines_wait_and_hold_up_nothing() {
+fn jobs_bound_to_a_zone_without_room_do_not_block_others() {
     let (mut lost, mut waited) = (0, 0);
     for seed in 2_300..2_306 {
         let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 7 });
@@ -36,7 +36,7 @@
             bound.push(submit_job(&mut world, JobSpec { zone, shape, spread: false, ..spec }));
         }
         world.run(world.now + Micros::from_secs(30));
-        // The other zone has machines from now on, and the first one loses some; nobody rents any.
+        // Adds machines to the other zone and removes some from the first one; none can be rented.
         world.boots = S..2 * S;
         let east: Vec<String> = (0..7).map(|_| world.add_machine("c16", "east", false)).collect();
         world.capacity = 0;
@@ -48,20 +48,20 @@
         }
         world.runs_for = S..4 * S;
         let from = world.now;
-        let free: Vec<String> = (100..108)
+        let unbound: Vec<String> = (100..108)
             .map(|n| {
                 let spec = array(&mut world, n, 6);
                 submit_job(&mut world, JobSpec { priority: Priority::Low, ..spec })
             })
             .collect();
-        while unfinished_count(&world, &free) > 0 && world.now < from + Micros::from_secs(75) {
+        while unfinished_count(&world, &unbound) > 0 && world.now < from + Micros::from_secs(75) {
             world.run(world.now + Micros::from_secs(1));
         }
-        let (took, left) = (world.now.since(from).as_secs_f64(), unfinished_count(&world, &free));
-        let waits = unfinished_count(&world, &bound);
-        eprintln!("seed {seed}: {left} left after {took} s, while {waits} bound jobs wait");
-        assert_eq!(left, 0, "seed {seed}: held up by jobs that are bound elsewhere");
-        waited += waits;
+        let (elapsed, unfinished) = (world.now.since(from).as_secs_f64(), unfinished_count(&world, &unbound));
+        let waiting = unfinished_count(&world, &bound);
+        eprintln!("seed {seed}: {unfinished} unfinished after {elapsed} s, while {waiting} bound jobs wait");
+        assert_eq!(unfinished, 0, "seed {seed}: blocked by jobs that are bound to another zone");
+        waited += waiting;
         world.capacity = 14;
         world.all_over(400, &format!("seed {seed}"));
     }
@@ -69,18 +69,18 @@
     assert!(lost > 40 && waited > 40, "{lost} tasks were lost, {waited} jobs waited");
 }
 
-/// What has been stopped by command in a run, and whether work of a higher rank wanted its room.
+/// The tasks that orders stopped in a run, and whether work of a higher priority needed their room.
 #[derive(Default)]
 struct Stops {
-    all: usize,
-    /// Of jobs that were live, and not called off.
+    total: usize,
+    /// Tasks of live jobs that were not withdrawn.
     of_live: usize,
-    /// Of these, with no work of a higher rank that waited lately.
-    without_reason: Vec<TaskId>,
+    /// Of these, the tasks stopped while no work of a higher priority had waited in the last 5 s.
+    unjustified: Vec<TaskId>,
 }
 
-/// More work than room, of which so many machines are all that there is, over slow links.
-fn run_beyond_capacity(seed: u64, ranks: &[Priority]) -> (World, Stops) {
+/// Runs a cluster of ten machines, with no others to rent, over slow links, with more work than it has room for.
+fn run_beyond_capacity(seed: u64, priorities: &[Priority]) -> (World, Stops) {
     let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 10 });
     world.links = 20 * MS..400 * MS;
     for s in &mut world.settings {
@@ -96,16 +96,17 @@
     }
     world.run(Micros::from_secs(16));
     let mut stops = Stops::default();
-    let mut waited: BTreeMap<u8, Micros> = BTreeMap::new();
+    let mut last_waited: BTreeMap<u8, Micros> = BTreeMap::new();
     let mut services = Vec::new();
     for step in 0..1_000u32 {
         if step % 8 == 0 && step < 320 {
             let n = step / 8;
             let spec = world.random_job(n);
-            let rank = if n < 10 { ranks[0] } else { ranks[world.rng.random_range(0..ranks.len())] };
+            let job_priority =
+                if n < 10 { priorities[0] } else { priorities[world.rng.random_range(0..priorities.len())] };
             let gang = n % 4 == 3;
-            let hurried = rank > Priority::Normal && n % 3 == 0;
-            let (shape, class) = match (hurried, gang) {
+            let fast_start = job_priority > Priority::Normal && n % 3 == 0;
+            let (shape, class) = match (fast_start, gang) {
                 (true, _) => (Shape::Service, "watch"),
                 (_, true) => (Shape::Gang, "any"),
                 _ => (Shape::Array, "any"),
@@ -115,8 +116,8 @@
             let team = "green".to_owned();
             let class = class.to_owned();
             let spec = JobSpec { shape, class, tasks, cpus: 2.0, gpus, zone, one_zone, spread, team, ..spec };
-            let id = submit_job(&mut world, JobSpec { priority: rank, ..spec });
-            if hurried {
+            let id = submit_job(&mut world, JobSpec { priority: job_priority, ..spec });
+            if fast_start {
                 services.push(id);
             }
         }
@@ -125,24 +126,27 @@
                 world.jobs.get_mut(id).unwrap().wants_withdrawal = true;
             }
         }
-        let seen = world.stops.len();
+        let stops_before = world.stops.len();
         world.run(world.now + Micros::from_millis(100));
         let now = world.now;
         for wish in world.jobs.values().filter(|w| w.told_final.is_none() && !w.refused) {
-            waited.insert(wish.spec.as_ref().unwrap().priority as u8, now);
+            last_waited.insert(wish.spec.as_ref().unwrap().priority as u8, now);
         }
-        for task in &world.stops[seen..] {
+        for task in &world.stops[stops_before..] {
             let wish = &world.jobs[&task.job];
             let spec = wish.spec.as_ref().unwrap();
-            stops.all += 1;
-            let over = wish.tasks_done.len() == spec.tasks as usize || wish.wants_withdrawal;
-            if over {
+            stops.total += 1;
+            let has_ended = wish.tasks_done.len() == spec.tasks as usize || wish.wants_withdrawal;
+            if has_ended {
                 continue;
             }
             stops.of_live += 1;
-            let lately = |at: &Micros| now.since(*at) < Micros::from_secs(5);
-            if !waited.iter().any(|(rank, at)| *rank > spec.priority as u8 && lately(at)) {
-                stops.without_reason.push(task.clone());
+            let is_recent = |waited_at: &Micros| now.since(*waited_at) < Micros::from_secs(5);
+            if !last_waited
+                .iter()
+                .any(|(job_priority, waited_at)| *job_priority > spec.priority as u8 && is_recent(waited_at))
+            {
+                stops.unjustified.push(task.clone());
             }
         }
     }
@@ -150,20 +154,24 @@
     (world, stops)
 }
 
-/// Guards work against being stopped for work of its own rank, or for none, when there is more of it than room and
-/// every message takes its time; and against being lost.
+/// Guards against tasks that are stopped for work of their own priority or for no work, and against lost tasks, when
+/// there is more work than room and every message is slow.
 #[test]
-fn more_work_than_room_over_slow_links_stops_only_what_is_of_lower_rank() {
+fn overload_over_slow_links_preempts_only_lower_priority_tasks() {
     let mut stopped = 0;
     for seed in 2_400..2_404 {
         let (world, stops) = run_beyond_capacity(seed, &[Priority::Normal]);
-        assert_eq!(stops.of_live, 0, "seed {seed}: stopped for work of its own rank");
-        assert_eq!((world.met.done_again, world.met.lost_by_lease), (0, 0), "seed {seed}: lost");
+        assert_eq!(stops.of_live, 0, "seed {seed}: tasks stopped for work of their own priority");
+        assert_eq!((world.met.done_again, world.met.lost_by_lease), (0, 0), "seed {seed}: tasks lost");
         let (world, stops) = run_beyond_capacity(seed, &[Priority::Low, Priority::High, Priority::Normal]);
-        eprintln!("seed {seed}: {} stops, {} of live jobs", stops.all, stops.of_live);
-        assert_eq!(stops.without_reason, [], "seed {seed}: stopped for nothing");
-        assert_eq!((world.met.done_again, world.met.lost_by_lease), (0, 0), "seed {seed}: lost");
+        eprintln!("seed {seed}: {} stops, {} of live jobs", stops.total, stops.of_live);
+        assert_eq!(
+            stops.unjustified,
+            [],
+            "seed {seed}: tasks stopped though no work of a higher priority waited"
+        );
+        assert_eq!((world.met.done_again, world.met.lost_by_lease), (0, 0), "seed {seed}: tasks lost");
         stopped += stops.of_live;
     }
-    assert!(stopped > 20, "only {stopped} tasks had to give way");
+    assert!(stopped > 20, "only {stopped} tasks were preempted");
 }
