--- a/src/coordination/simulation/uninformed_orders.rs
+++ b/src/coordination/simulation/uninformed_orders.rs
@@ -1,5 +1,5 @@
-//! Orders in which a controller goes on without its heir's confirmations, and is relied on again. Guards against the known
-//! failure `ran_twice`: a task ran on one machine and was started on another.
+//! Orders of events in which a controller goes on without its successor's confirmations, and later requires them again.
+//! Guards against the known failure `ran_twice`: a task ran on one machine and was started on another.
 
 use super::former_lives::job_numbers_passing;
 use super::meetings_limits::{run_until, submit_array};
@@ -10,87 +10,103 @@
 };
 use super::*;
 
-/// Whether a controller has recorded others as uninformed, and does not wait for them.
+/// Whether a controller has recorded others as uninformed, and does not wait for their confirmations.
 fn has_uninformed(world: &World, owner: usize) -> bool {
     !world.controllers[owner].as_ref().unwrap().announcements.uninformed().is_empty()
 }
 
-/// A cluster whose owner of jobs goes on without the heir: nothing that they say to each other arrives.
+/// A cluster whose owner of jobs goes on without the successor's confirmations, since no message between the two
+/// arrives.
 fn cluster_with_uninformed_successor(seed: u64) -> (World, usize, usize) {
-    let (mut world, owner, heir) = cluster_with_successor(seed);
-    world.befalls(Spell::Apart(owner, heir), Micros::MAX);
-    submit_array(&mut world, job_numbers_passing(owner, heir).next().unwrap(), "blue", 2);
-    let alone = |w: &World| has_uninformed(w, owner);
-    assert!(run_until(&mut world, Micros::from_secs(3), alone), "seed {seed}: the heir is still waited for");
+    let (mut world, owner, successor) = cluster_with_successor(seed);
+    world.befalls(Spell::Apart(owner, successor), Micros::MAX);
+    submit_array(&mut world, job_numbers_passing(owner, successor).next().unwrap(), "blue", 2);
+    let is_uninformed = |w: &World| has_uninformed(w, owner);
+    assert!(
+        run_until(&mut world, Micros::from_secs(3), is_uninformed),
+        "seed {seed}: the owner still waits for the successor"
+    );
     world.run(world.now + Micros::from_secs(3));
-    (world, owner, heir)
+    (world, owner, successor)
 }
 
-/// Machines with these tasks reach nobody, and the one that had them is given to the heir. The owner hears the heir again, relies
-/// on it again, and ends. The judge of the rules sees each start.
+/// Cuts off the machines with these tasks and grants `machine`, on which they ran, to the successor. The owner receives
+/// from the successor again, requires its confirmations again, and crashes. The rule checks examine each start.
 fn crash_after_reinstatement(
     world: &mut World,
     owner: usize,
-    heir: usize,
+    successor: usize,
     machine: &str,
-    begun: &[(TaskId, String)],
+    started: &[(TaskId, String)],
 ) {
-    cut_off_machines(world, owner, begun);
-    grant_to(world, machine, heir);
-    let given_away = |w: &World| has_read_reassignment(w, owner, machine);
-    assert!(run_until(world, Micros::from_secs(2), given_away), "the grant is not read");
-    world.spells.retain(|(spell, ..)| *spell != Spell::Apart(owner, heir));
-    let relied_on = |w: &World| !has_uninformed(w, owner);
-    assert!(run_until(world, Micros::from_secs(4), relied_on), "never relied on again");
-    crash_owner_unread(world, owner, heir);
+    cut_off_machines(world, owner, started);
+    grant_to(world, machine, successor);
+    let is_reassigned = |w: &World| has_read_reassignment(w, owner, machine);
+    assert!(run_until(world, Micros::from_secs(2), is_reassigned), "the owner does not read the grant");
+    world.spells.retain(|(spell, ..)| *spell != Spell::Apart(owner, successor));
+    let is_reinstated = |w: &World| !has_uninformed(w, owner);
+    assert!(
+        run_until(world, Micros::from_secs(4), is_reinstated),
+        "the successor's confirmations are never required again"
+    );
+    crash_owner_unread(world, owner, successor);
 }
 
-/// Guards against `ran_twice`: a controller was granted a machine while it went on without the heir's confirmations, started
-/// tasks there, and gave the machine away, all without the heir. It is relied on again and ends: its heir counts what was
-/// missed as never ordered, takes the machine for known, and starts the tasks again.
+/// Guards against `ran_twice`: a controller was granted a machine while it went on without the successor's
+/// confirmations, started tasks there, and the machine was moved away from it, all without informing the successor. The
+/// controller requires the confirmations again and crashes: the successor concludes that starts of which it was not
+/// informed were never ordered, takes the machine for fully known, and starts the tasks again.
 #[test]
-fn what_was_ordered_on_a_machine_granted_while_uninformed_may_be_there() {
+fn tasks_started_on_a_machine_granted_while_uninformed_are_not_repeated() {
     for seed in 722..725 {
-        let (mut world, owner, heir) = cluster_with_uninformed_successor(seed);
-        // The heir reads no changes from here on.
-        world.befalls(Spell::WatchHangs(heir), Micros::MAX);
+        let (mut world, owner, successor) = cluster_with_uninformed_successor(seed);
+        // The successor reads no changes from here on.
+        world.befalls(Spell::WatchHangs(successor), Micros::MAX);
         let machine = idle_machine(&world);
         grant_to(&mut world, &machine, owner);
-        let begun = fill_machines(&mut world, owner, heir, &machine);
-        crash_after_reinstatement(&mut world, owner, heir, &machine, &begun);
+        let started = fill_machines(&mut world, owner, successor, &machine);
+        crash_after_reinstatement(&mut world, owner, successor, &machine, &started);
     }
 }
 
-/// Guards against `ran_twice`: a controller that goes on without the heir's confirmations tells the heir all, then starts
-/// tasks of which the heir hears nothing, and gives their machine away. It is relied on again and ends: what the heir missed
-/// of it after that whole status counts as never ordered, and the heir starts the tasks again.
+/// Guards against `ran_twice`: a controller that goes on without the successor's confirmations sends it a full status,
+/// then starts tasks of which the successor is not informed, and their machine is moved away from it. The controller
+/// requires the confirmations again and crashes: the successor concludes that starts that it missed after the full
+/// status were never ordered, and starts the tasks again.
 #[test]
-fn what_was_missed_after_a_whole_status_while_uninformed_may_be_there() {
+fn tasks_started_after_a_full_status_while_uninformed_are_not_repeated() {
     for seed in 740..743 {
-        let (mut world, owner, heir) = cluster_with_uninformed_successor(seed);
+        let (mut world, owner, successor) = cluster_with_uninformed_successor(seed);
         let machine = idle_machine(&world);
         grant_to(&mut world, &machine, owner);
-        let known = |w: &World| {
+        let is_known = |w: &World| {
             let c = w.controllers[owner].as_ref().unwrap();
             let token = c.machines[&machine].row.token;
-            let read = w.controllers[heir].as_ref().unwrap().machines[&machine].row.token == token;
-            c.owns(&c.machines[&machine]) && c.machines[&machine].resolved && read
+            let grant_is_read =
+                w.controllers[successor].as_ref().unwrap().machines[&machine].row.token == token;
+            c.owns(&c.machines[&machine]) && c.machines[&machine].resolved && grant_is_read
         };
-        assert!(run_until(&mut world, Micros::from_secs(3), known), "seed {seed}: {machine} is not known");
-        let whole = request_full_status(&mut world, owner, heir);
-        deliver_status(&mut world, owner, heir, &whole);
-        let (life, reader) = (
+        assert!(
+            run_until(&mut world, Micros::from_secs(3), is_known),
+            "seed {seed}: the owner has not resolved {machine}, or the successor has not read its grant"
+        );
+        let full_status = request_full_status(&mut world, owner, successor);
+        deliver_status(&mut world, owner, successor, &full_status);
+        let (incarnation, receiver) = (
             world.controllers[owner].as_ref().unwrap().incarnation(),
-            world.controllers[heir].as_ref().unwrap(),
+            world.controllers[successor].as_ref().unwrap(),
+        );
+        assert!(
+            receiver.machine_knowledge.is_contiguous(&incarnation),
+            "seed {seed}: the full status was not applied"
         );
+        // The successor reads no changes from here on.
+        world.befalls(Spell::WatchHangs(successor), Micros::MAX);
+        let started = fill_machines(&mut world, owner, successor, &machine);
         assert!(
-            reader.machine_knowledge.is_contiguous(&life),
-            "seed {seed}: the whole status was not taken in"
+            has_uninformed(&world, owner),
+            "seed {seed}: the owner waits for the successor again too soon"
         );
-        // The heir reads no changes from here on.
-        world.befalls(Spell::WatchHangs(heir), Micros::MAX);
-        let begun = fill_machines(&mut world, owner, heir, &machine);
-        assert!(has_uninformed(&world, owner), "seed {seed}: the heir was waited for again too soon");
-        crash_after_reinstatement(&mut world, owner, heir, &machine, &begun);
+        crash_after_reinstatement(&mut world, owner, successor, &machine, &started);
     }
 }
