--- a/src/coordination/simulation/replaced_links.rs
+++ b/src/coordination/simulation/replaced_links.rs
@@ -1,6 +1,6 @@
-//! What a link between controllers still brings when another has taken its place. Which of two links is the newer one is told by
-//! when their greetings are read, so the older one's messages may come after newer ones. Guards against the known failure
-//! `ran_twice`: a task ran on one machine and was started on another.
+//! Messages that a link between controllers delivers after another link has replaced it. The newer of two links is
+//! determined by when their greetings are read, so messages of the older one may arrive after newer ones. Guards
+//! against the known failure `ran_twice`: a task ran on one machine and was started on another.
 
 use super::former_lives::job_numbers_passing;
 use super::meetings_limits::{present_task_count, run_until, submit_array};
@@ -9,84 +9,95 @@
 };
 use super::*;
 
-/// What one controller has been told, and by whom.
-type Told = Vec<(String, PeerMessage)>;
+/// Messages that one controller has received, with their senders.
+type Messages = Vec<(String, PeerMessage)>;
 
-/// Runs until something holds, and returns all that the others send to a controller meanwhile.
-fn record_messages(world: &mut World, to: usize, holds: impl Fn(&World) -> bool) -> Told {
-    let mut told = Told::new();
+/// Runs until a condition holds, and returns all messages that the others send to a controller meanwhile.
+fn record_messages(world: &mut World, to: usize, holds: impl Fn(&World) -> bool) -> Messages {
+    let mut messages = Messages::new();
     let end = world.now + Micros::from_secs(20);
     while !holds(world) {
-        assert!(world.now < end, "it does not come to that");
-        let last = world.sequence;
-        // Messages are on their way for longer than a step.
+        assert!(world.now < end, "the condition does not hold");
+        let last_sequence = world.sequence;
+        // Messages are in flight for longer than a step.
         world.run(world.now + Micros::from_millis(1));
-        let mut new: Vec<&Scheduled> = world.queue.iter().filter(|scheduled| scheduled.1 > last).collect();
+        let mut new: Vec<&Scheduled> =
+            world.queue.iter().filter(|scheduled| scheduled.1 > last_sequence).collect();
         new.sort_by_key(|scheduled| scheduled.1);
         for scheduled in new {
             let Happening::ToController { node, event: Event::Peer(by, message), .. } = &scheduled.2 else {
                 continue;
             };
             if *node == to {
-                told.push((by.clone(), message.clone()));
+                messages.push((by.clone(), message.clone()));
             }
         }
     }
-    told
+    messages
 }
 
-/// All of it comes once more, in its order.
-fn redeliver(world: &mut World, to: usize, told: &Told) {
-    for (by, message) in told {
+/// Delivers all messages once more, in their order.
+fn redeliver(world: &mut World, to: usize, messages: &Messages) {
+    for (by, message) in messages {
         world.tell(to, Event::Peer(by.clone(), message.clone()));
     }
 }
 
-/// How many of the messages are of a kind.
-fn count_messages(told: &Told, kind: impl Fn(&PeerMessage) -> bool) -> usize {
-    told.iter().filter(|(_, message)| kind(message)).count()
+/// The number of messages of a kind.
+fn count_messages(messages: &Messages, kind: impl Fn(&PeerMessage) -> bool) -> usize {
+    messages.iter().filter(|(_, message)| kind(message)).count()
 }
 
-/// Guards against `ran_twice`: all that a controller has been told since it joined comes once more, after newer messages and
-/// while another's tasks run; then that one ends, nobody hears the machines with its tasks, and the controller takes over.
+/// Guards against `ran_twice`: all messages that a controller has received since it joined arrive once more, after
+/// newer messages and while tasks of another controller run. Then that other controller crashes, the machines with its
+/// tasks are cut off, and the first controller takes over.
 #[test]
-fn what_a_replaced_link_brings_late_takes_no_running_task_away() {
+fn late_messages_of_a_replaced_link_remove_no_running_task() {
     let (mut statuses, mut testimonies, mut confirmations) = (0, 0, 0);
     for seed in 770..776 {
-        let (mut world, owner, heir) = cluster_with_successor(seed);
-        // Tasks of the heir's own job are there when it is back, so that it asks for testimony.
-        let own = job_numbers_passing(heir, owner).next().unwrap();
-        let job = submit_array(&mut world, own, "blue", 30);
+        let (mut world, owner, successor) = cluster_with_successor(seed);
+        // Tasks of the successor's own job run when it is back, so that it asks for testimony.
+        let number = job_numbers_passing(successor, owner).next().unwrap();
+        let job = submit_array(&mut world, number, "blue", 30);
         assert!(
             run_until(&mut world, Micros::from_secs(12), |w| present_task_count(w, &job) == 30),
             "seed {seed}"
         );
-        world.crash_for(heir, Micros::from_millis(300));
+        world.crash_for(successor, Micros::from_millis(300));
         let back = |w: &World| {
-            let c = w.controllers[heir].as_ref();
+            let c = w.controllers[successor].as_ref();
             c.is_some_and(|c| c.is_view_member && !c.takeover_in_progress && c.view.members.len() == 3)
         };
-        let mut told = record_messages(&mut world, heir, back);
+        let mut messages = record_messages(&mut world, successor, back);
         let later = world.now + Micros::from_secs(2);
-        told.extend(record_messages(&mut world, heir, |w| w.now >= later));
-        // It asks for all that it may have missed.
-        let whole = request_full_status(&mut world, owner, heir);
-        told.push((world.settings[owner].member.clone(), PeerMessage::Status(whole)));
-        let begun = start_tasks(&mut world, owner, heir);
-        assert_eq!(tasks_taken_for_gone(&world, heir, &begun), 0, "seed {seed}: it was not told of them");
-        redeliver(&mut world, heir, &told);
-        let taken_for_gone = tasks_taken_for_gone(&world, heir, &begun);
-        statuses += count_messages(&told, |m| matches!(m, PeerMessage::Status(_)));
-        testimonies += count_messages(&told, |m| matches!(m, PeerMessage::Testimony { .. }));
-        confirmations += count_messages(&told, |m| matches!(m, PeerMessage::StatusConfirmation { .. }));
-        cut_off_machines(&mut world, owner, &begun);
+        messages.extend(record_messages(&mut world, successor, |w| w.now >= later));
+        // The successor requests everything that it may have missed.
+        let full_status = request_full_status(&mut world, owner, successor);
+        messages.push((world.settings[owner].member.clone(), PeerMessage::Status(full_status)));
+        let started = start_tasks(&mut world, owner, successor);
+        assert_eq!(
+            tasks_taken_for_gone(&world, successor, &started),
+            0,
+            "seed {seed}: the successor was not informed of them"
+        );
+        redeliver(&mut world, successor, &messages);
+        let taken_for_gone = tasks_taken_for_gone(&world, successor, &started);
+        statuses += count_messages(&messages, |m| matches!(m, PeerMessage::Status(_)));
+        testimonies += count_messages(&messages, |m| matches!(m, PeerMessage::Testimony { .. }));
+        confirmations += count_messages(&messages, |m| matches!(m, PeerMessage::StatusConfirmation { .. }));
+        cut_off_machines(&mut world, owner, &started);
         world.crash_for(owner, Micros::from_secs(60));
-        // And again while it takes over. The judge of the rules sees each start.
+        // The messages arrive again while the successor takes over. The rule checks examine each start.
         world.run(world.now + Micros::from_millis(500));
-        redeliver(&mut world, heir, &told);
+        redeliver(&mut world, successor, &messages);
         world.run(world.now + Micros::from_secs(15));
-        assert_eq!(taken_for_gone, 0, "seed {seed}: tasks that run were taken for gone by an older word");
+        assert_eq!(
+            taken_for_gone, 0,
+            "seed {seed}: running tasks were taken for gone because of an older message"
+        );
     }
-    eprintln!("{statuses} statuses, {testimonies} testimonies, {confirmations} confirmations came again");
+    eprintln!(
+        "{statuses} statuses, {testimonies} testimonies, {confirmations} confirmations were redelivered"
+    );
     assert!(statuses > 60 && testimonies > 0 && confirmations > 10);
 }
