--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -140,7 +140,7 @@
 /// no controller counts its usage, the jobs of one controller go beyond the share that it gets, and those of another
 /// use all of theirs.
 #[test]
-fn delayed_quota_records_do_not_exceed_a_team_limit() {
+fn a_delayed_quota_record_does_not_let_a_team_exceed_its_limit() {
     let mut late = 0;
     for seed in 0..12 {
         let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
@@ -256,7 +256,7 @@
 /// Guards a team's limit against tasks of withdrawn jobs that no controller counts. The owner of the jobs restarts at
 /// once, takes over no job that is live, and has received no message from the machines on which their tasks still run.
 #[test]
-fn tasks_of_withdrawn_jobs_count_with_a_restarted_owner() {
+fn withdrawn_jobs_tasks_unknown_to_a_restarted_owner_count_against_the_limit() {
     let mut unreachable = 0;
     for seed in 40..46 {
         let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
@@ -364,7 +364,7 @@
 /// or hang and the leader changes. Tasks that still run there count, whichever controller owns the job by then, and
 /// freed resources are used at once.
 #[test]
-fn unreachable_tasks_of_withdrawn_jobs_count_across_leader_changes() {
+fn unreachable_tasks_of_withdrawn_jobs_count_against_limits_across_leader_changes() {
     let (mut unreachable, mut used_again, mut leader_changes) = (0, 0, 0);
     let mut peaks = vec![(0, 0); TEAMS.len()];
     for seed in 60..68 {
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -95,7 +95,7 @@
 /// without the newcomer's confirmations, and starts tasks on the machine. When it crashes, the newcomer takes the
 /// machine for fully known because of a witness's testimony, and starts the tasks again.
 #[test]
-fn a_newcomer_expects_starts_of_a_former_holder_that_it_does_not_know() {
+fn tasks_started_by_a_former_holder_unknown_to_a_newcomer_are_not_repeated() {
     for seed in 750..753 {
         let (mut world, owner, newcomer) = cluster_with_successor(seed);
         let own = job_numbers_of(newcomer).next().unwrap();
