--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_lives.rs
@@ -36,7 +36,7 @@
 
 /// Guards a team's limit against a confirmation that an earlier process had requested. The new process ordered starts
 /// of which a member had never been informed, and when the new process crashed, that member, which took its jobs over,
-/// did not count them: 42 of 40.
+/// did not count them: the team used 42 of 40 processors.
 #[test]
 fn a_confirmation_for_a_former_process_permits_no_start() {
     let mut unannounced = 0;
--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -67,7 +67,7 @@
     id
 }
 
-/// The number of a job's tasks that are present on their machines.
+/// The number of a job's tasks that are present on their machines: their image is fetched and they have not ended.
 pub(super) fn present_task_count(world: &World, id: &str) -> usize {
     let tasks = world.workers.values().filter(|w| !w.dead).flat_map(|w| &w.tasks);
     tasks.filter(|(t, r)| t.job == id && r.is_here()).count()
@@ -195,9 +195,9 @@
     world.all_over(300, &format!("seed {seed}"));
 }
 
-/// Guards a team's limit when another team reaches its own limit in the same view. The quota record was then written
-/// anew for both teams, and from what the jobs of the first team used at that moment instead of from the shares that
-/// they may use.
+/// Guards a team's limit when another team reaches its own limit in the same view. The quota record was then rewritten
+/// for both teams, and from what the jobs of the first team used at that moment instead of from the shares that they
+/// may use.
 #[test]
 fn dividing_one_teams_limit_keeps_the_shares_of_another_team() {
     let mut larger_shares = 0;
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/meetings_machines.rs
@@ -107,10 +107,10 @@
     assert!(unlisted > 5 && unrecorded > 5 && unanswered > 2 && delayed > 50);
 }
 
-/// Guards against a machine that two blocks record. A transaction that recorded new machines got no reply and was
-/// repeated. The repeat wrote to another block, since the first transaction also moved machines and had no room left
-/// for that block. Then both were carried out. The later one recorded that the machine had never had an owner, and a
-/// controller that joined took over the tasks that ran there.
+/// Guards against a machine that is recorded in two blocks. A transaction that recorded new machines got no reply and
+/// was repeated. The repeat wrote to another block, since the first transaction also moved machines and had no room
+/// left for that block. Then both were carried out. The later one recorded that the machine had never had an owner, and
+/// a controller that joined took over the tasks that ran there.
 #[test]
 fn delayed_writes_record_a_machine_in_only_one_block() {
     let mut world = World::sized(300, Trouble::default(), Size { controllers: 3, machines: 0 });
--- a/src/coordination/simulation/replaced_links.rs
+++ b/src/coordination/simulation/replaced_links.rs
@@ -64,11 +64,11 @@
             "seed {seed}"
         );
         world.crash_for(successor, Micros::from_millis(300));
-        let back = |w: &World| {
+        let has_rejoined = |w: &World| {
             let c = w.controllers[successor].as_ref();
             c.is_some_and(|c| c.is_view_member && !c.takeover_in_progress && c.view.members.len() == 3)
         };
-        let mut messages = record_messages(&mut world, successor, back);
+        let mut messages = record_messages(&mut world, successor, has_rejoined);
         let later = world.now + Micros::from_secs(2);
         messages.extend(record_messages(&mut world, successor, |w| w.now >= later));
         // The successor requests everything that it may have missed.
