--- a/src/coordination/simulation/meetings_limits.rs
+++ b/src/coordination/simulation/meetings_limits.rs
@@ -421,7 +421,7 @@
     let limits = TEAMS.map(|(_, cpus, gpus)| ((cpus * 1e3) as u64, (gpus * 1e3) as u64));
     assert_eq!(peaks, limits, "a limit was never used up");
     eprintln!(
-        "{unreachable} unreachable tasks in {leader_changes} leader changes; {used_again} times a team at its limit meanwhile"
+        "{unreachable} unreachable tasks in {leader_changes} leader changes; {used_again} times a team at its limit"
     );
     assert!(
         unreachable > 100 && used_again > 50,
