--- a/src/coordination/simulation/at_limits.rs
+++ b/src/coordination/simulation/at_limits.rs
@@ -1,7 +1,7 @@
 //! Random runs in which every team has more work, of all shapes, than either of its limits allows, under any two kinds
 //! of fault and with controllers that stall between a decision and its sending.
 
-use super::meetings_limits::{ask_to_withdraw, go, running, with_more_than_limits_allow};
+use super::meetings_limits::{cluster_with_work_beyond_limits, request_withdrawal, run_for, running_jobs};
 use super::pairs::{combined_profile, fault_pairs};
 use super::*;
 
@@ -39,8 +39,8 @@
 
 /// Runs one seed. After a calm period at the end, every accepted job must be done or withdrawn.
 fn run_seed(seed: u64, profile: FaultProfile) -> World {
-    let (mut world, mut n) = with_more_than_limits_allow(seed);
-    go(&mut world, Micros::from_secs(25));
+    let (mut world, mut n) = cluster_with_work_beyond_limits(seed);
+    run_for(&mut world, Micros::from_secs(25));
     world.set_fault_profile(profile);
     world.task_run_time = 5 * S..40 * S;
     let mut endless = Vec::new();
@@ -51,15 +51,15 @@
             endless.push(spec.id.clone());
         }
         world.submit(spec);
-        let jobs = running(&world);
+        let jobs = running_jobs(&world);
         if !jobs.is_empty() && world.rng.random_bool(0.4) {
             let id = jobs[world.rng.random_range(0..jobs.len())].clone();
             let by = world.rng.random_range(0..world.settings.len());
-            ask_to_withdraw(&mut world, by, &id);
+            request_withdrawal(&mut world, by, &id);
         }
         let length = Micros(world.rng.random_range(500 * MS..4 * S));
         maybe_stall(&mut world, length.as_secs_f64());
-        go(&mut world, length);
+        run_for(&mut world, length);
     }
     world.fault_free_from = world.now;
     world.task_run_time = S..5 * S;
--- a/src/coordination/simulation/contradictions.rs
+++ b/src/coordination/simulation/contradictions.rs
@@ -1,8 +1,8 @@
 //! Conclusions that a task is not on a machine, compared with later reports of the machines and statuses of their
 //! holders. Guards against wrong conclusions, near misses of the known failure `ran_twice`, going undetected.
 
-use super::meetings_starts::starting;
-use super::second_starts::{grant_to, other_than, planned};
+use super::meetings_starts::start_in_flight;
+use super::second_starts::{another_controller, grant_to, wait_for_planned_start};
 use super::*;
 use crate::coordination::removal::RemovalGround;
 
@@ -16,7 +16,7 @@
 fn a_start_wrongly_concluded_as_never_sent_is_detected_in_the_machines_report() {
     let mut detected = 0;
     for seed in 700..710 {
-        let (mut world, n, name, id) = starting(seed);
+        let (mut world, n, name, id) = start_in_flight(seed);
         world.fault_profile.delayed_orders = 0.0;
         world.task_run_time = 20 * S..30 * S;
         let until = world.now + Micros::from_secs(5);
@@ -54,8 +54,8 @@
     let (mut questioned, mut cancelled) = (0, 0);
     for seed in 720..740 {
         let mut world = super::meetings::saturated_cluster(seed, 12);
-        let (n, name, id) = planned(&mut world);
-        let new_holder = other_than(&world, n);
+        let (n, name, id) = wait_for_planned_start(&mut world);
+        let new_holder = another_controller(&world, n);
         // The other controller knows of the planned start, and the start has not been sent.
         let known = |world: &World| {
             let c = world.controllers[new_holder].as_ref().unwrap();
--- a/src/coordination/simulation/meetings_handover.rs
+++ b/src/coordination/simulation/meetings_handover.rs
@@ -11,7 +11,7 @@
 #[test]
 fn ten_leader_changes_within_two_minutes_break_no_rule() {
     for seed in 80..86 {
-        let (mut world, mut n) = at_their_limits(seed);
+        let (mut world, mut n) = cluster_at_limits(seed);
         let start = world.now;
         let outage = start + Micros::from_secs(30);
         if seed % 2 == 1 {
@@ -28,21 +28,21 @@
             world.crash_for(leader, downtime);
             crashes += 1;
             inside += usize::from(world.is_active(TimedFault::StoreDown));
-            for (i, id) in running(&world).iter().step_by(3).enumerate() {
-                ask_to_withdraw(&mut world, (leader + 1 + i % 2) % 3, id);
+            for (i, id) in running_jobs(&world).iter().step_by(3).enumerate() {
+                request_withdrawal(&mut world, (leader + 1 + i % 2) % 3, id);
             }
-            more_work(&mut world, &mut n, 1);
+            submit_more_work(&mut world, &mut n, 1);
             let rest = next.since(world.now);
-            go(&mut world, rest);
+            run_for(&mut world, rest);
         }
-        let leaders = leaders_since(&world, before);
+        let leaders = leader_count_since(&world, before);
         assert!(
             crashes >= 10 && leaders >= if seed % 2 == 1 { 7 } else { 10 },
             "seed {seed}: {leaders} leaders"
         );
         assert!(seed % 2 == 0 || inside >= 2, "seed {seed}: {inside} crashes during the outage");
         world.task_run_time = S..3 * S;
-        go(&mut world, Micros::from_secs(60));
+        run_for(&mut world, Micros::from_secs(60));
         world.expect_all_jobs_to_end(500, &format!("seed {seed}"));
     }
 }
@@ -82,7 +82,7 @@
 /// under it. `via` is the controller that gets them: 0 the old owner, 1 the new one, 2 the third. Returns how many
 /// withdrawals fell into that phase, and how many of the tasks were still there.
 fn withdraw_during_handover(seed: u64, phase: usize, via: usize) -> (usize, usize) {
-    let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+    let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
     let leader = world.leader().unwrap();
     let old = (leader + 1) % 3;
     let new = (old + 1 + seed as usize % 2) % 3;
@@ -91,20 +91,20 @@
     let rest: Vec<&str> = (0..3).filter(|n| *n != old).map(|n| members[n].as_str()).collect();
     let passes_to_new =
         |n: &u32| rendezvous(&format!("j-{n:06}"), rest.iter().copied()) == Some(members[new].as_str());
-    let numbers: Vec<u32> = owned_by(old).filter(passes_to_new).take(8).collect();
-    let ids: Vec<String> = numbers.iter().map(|n| of_team(&mut world, *n, "blue", 5)).collect();
-    let present = |w: &World| ids.iter().map(|id| there(w, id)).sum::<usize>();
+    let numbers: Vec<u32> = job_numbers_of(old).filter(passes_to_new).take(8).collect();
+    let ids: Vec<String> = numbers.iter().map(|n| submit_array(&mut world, *n, "blue", 5)).collect();
+    let present = |w: &World| ids.iter().map(|id| present_task_count(w, id)).sum::<usize>();
     assert!(
-        until(&mut world, Micros::from_secs(60), |w| present(w) == 40),
+        run_until(&mut world, Micros::from_secs(60), |w| present(w) == 40),
         "seed {seed}: {}",
         present(&world)
     );
     // More jobs wait for what becomes free.
     for owner in 0..3 {
-        let n = owned_by(owner).nth(30).unwrap();
-        of_team(&mut world, n, "blue", 20);
+        let n = job_numbers_of(owner).nth(30).unwrap();
+        submit_array(&mut world, n, "blue", 20);
     }
-    go(&mut world, Micros::from_secs(2));
+    run_for(&mut world, Micros::from_secs(2));
     let c = world.controllers[old].as_ref().unwrap();
     let held: Vec<String> = c.machines.iter().filter(|m| c.owns(m.1)).map(|m| m.0.clone()).collect();
     // The old owner does not read of its eviction for a while, and many of its machines are unreachable meanwhile.
@@ -122,22 +122,25 @@
     }
     if phase == 2 {
         assert!(
-            until(&mut world, Micros::from_secs(5), |w| view_revision(w) > view),
+            run_until(&mut world, Micros::from_secs(5), |w| view_revision(w) > view),
             "seed {seed}: no new view"
         );
     }
     let unaware_of_eviction = world.incarnations[old] == incarnation
         && world.controllers[old].as_ref().is_some_and(Controller::entitled);
     let left = present(&world);
-    ids.iter().for_each(|id| ask_to_withdraw(&mut world, by, id));
+    ids.iter().for_each(|id| request_withdrawal(&mut world, by, id));
     if phase == 0 {
-        go(&mut world, Micros::from_millis(35));
+        run_for(&mut world, Micros::from_millis(35));
         evicted = evict(&mut world, old);
     }
-    assert!(until(&mut world, Micros::from_secs(8), |w| view_revision(w) > view), "seed {seed}: no new view");
+    assert!(
+        run_until(&mut world, Micros::from_secs(8), |w| view_revision(w) > view),
+        "seed {seed}: no new view"
+    );
     let granted = view_revision(&world);
     if phase == 2 {
-        go(&mut world, Micros::from_millis(300));
+        run_for(&mut world, Micros::from_millis(300));
     }
     // Whether no machine has seen its token of the new grant, so that nothing has been ordered under it.
     let c = world.controllers[leader].as_ref().unwrap();
@@ -152,7 +155,7 @@
         _ => false,
     };
     let met = ids.iter().filter(in_time).count();
-    go(&mut world, Micros::from_secs(40));
+    run_for(&mut world, Micros::from_secs(40));
     for id in &ids {
         assert!(
             world.jobs[id].known_final.is_some(),
@@ -160,7 +163,7 @@
             world.describe_job(id)
         );
     }
-    finish(&mut world, seed);
+    finish_all_jobs(&mut world, seed);
     (met, left)
 }
 
@@ -189,13 +192,13 @@
 fn withdrawals_hold_through_a_refusal_and_an_outage_a_second_later() {
     let (mut before, mut after, mut left) = (0, 0, 0);
     for seed in 120..130 {
-        let (mut world, _) = at_their_limits(seed);
+        let (mut world, _) = cluster_at_limits(seed);
         let leader = world.leader().unwrap();
         if seed % 2 == 0 {
             world.begin_fault(TimedFault::StoreSlow, world.now + Micros::from_secs(12));
-            go(&mut world, Micros::from_secs(8));
+            run_for(&mut world, Micros::from_secs(8));
         }
-        let ids = running(&world);
+        let ids = running_jobs(&world);
         let refused = Micros::from_secs([2, 6, 15][seed as usize % 3]);
         world.begin_fault(TimedFault::StoreRefuses(leader), world.now + refused);
         if seed % 3 == 0 {
@@ -204,16 +207,16 @@
             });
         }
         for (i, id) in ids.iter().enumerate() {
-            ask_to_withdraw(&mut world, (leader + i % 3) % 3, id);
+            request_withdrawal(&mut world, (leader + i % 3) % 3, id);
         }
-        go(&mut world, Micros::from_secs(1));
+        run_for(&mut world, Micros::from_secs(1));
         let recorded: Vec<&String> = ids.iter().filter(|id| end_revision(&world, id).is_some()).collect();
         before += recorded.len();
-        left += recorded.iter().map(|id| there(&world, id)).sum::<usize>();
+        left += recorded.iter().map(|id| present_task_count(&world, id)).sum::<usize>();
         let outage = Micros(world.rng.random_range(36 * S..70 * S));
         world.begin_fault(TimedFault::StoreDown, world.now + outage);
         let open = ids.len() - recorded.len();
-        go(&mut world, outage + Micros::from_secs(30));
+        run_for(&mut world, outage + Micros::from_secs(30));
         after += open;
         for id in &ids {
             assert!(
@@ -223,7 +226,7 @@
             );
         }
         world.task_run_time = S..3 * S;
-        go(&mut world, Micros::from_secs(60));
+        run_for(&mut world, Micros::from_secs(60));
         world.expect_all_jobs_to_end(500, &format!("seed {seed}"));
     }
     eprintln!(
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect.rs
@@ -1,7 +1,9 @@
 //! Smallest reproductions of neglected jobs: no fault was active, a machine had free capacity for the job and its team
 //! was under its limit, yet the job waited. `docs/incidents/2026-12-03-neglect-in-calm.md` has the traces.
 
-use super::meetings_limits::{go, owned_by, roomy, there, until};
+use super::meetings_limits::{
+    cluster_with_spare_room, job_numbers_of, present_task_count, run_for, run_until,
+};
 use super::takeovers::array;
 use super::*;
 
@@ -23,7 +25,7 @@
 
 /// Submits a job of a team and returns its id.
 fn submit_job(world: &mut World, team: &str, params: JobParams) -> String {
-    let n = owned_by(params.owner).nth(params.nth).unwrap();
+    let n = job_numbers_of(params.owner).nth(params.nth).unwrap();
     let spec = array(world, n, params.tasks);
     let JobParams { shape, priority, cpus, gpus, .. } = params;
     let spec = JobSpec { team: team.into(), shape, priority, cpus, gpus, spot: false, ..spec };
@@ -45,7 +47,7 @@
 #[test]
 fn limit_left_over_by_the_volumes_goes_to_a_job_that_fits() {
     for seed in 3_000..3_003 {
-        let mut world = roomy(seed, &TEAM_LIMITS);
+        let mut world = cluster_with_spare_room(seed, &TEAM_LIMITS);
         world.task_run_time = 8 * S..12 * S;
         let high = |owner, nth, shape, tasks| JobParams {
             owner,
@@ -57,12 +59,12 @@
             gpus: 0.0,
         };
         submit_job(&mut world, "red", high(1, 0, Shape::Array, 100));
-        go(&mut world, Micros::from_secs(5));
+        run_for(&mut world, Micros::from_secs(5));
         submit_job(&mut world, "red", high(2, 0, Shape::Gang, 4));
         let low = JobParams { priority: Priority::Low, cpus: 3.0, ..high(1, 1, Shape::Array, 10) };
         let low = submit_job(&mut world, "red", low);
         let begun = |w: &World| w.jobs[&low].last_task_start > Micros::ZERO;
-        assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe_job(&low));
+        assert!(run_until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe_job(&low));
         assert!(world.running_usage()[0].0 <= 24_000);
     }
 }
@@ -75,7 +77,7 @@
 #[test]
 fn a_gang_as_large_as_its_teams_limit_is_not_starved_by_small_jobs() {
     for seed in 3_010..3_013 {
-        let mut world = roomy(seed, &TEAM_LIMITS);
+        let mut world = cluster_with_spare_room(seed, &TEAM_LIMITS);
         world.task_run_time = 8 * S..12 * S;
         let low = |owner, nth| JobParams {
             owner,
@@ -89,17 +91,17 @@
         for nth in 0..8 {
             submit_job(&mut world, "red", low(nth % 3, nth));
         }
-        go(&mut world, Micros::from_secs(4));
+        run_for(&mut world, Micros::from_secs(4));
         let gang = JobParams { shape: Shape::Gang, tasks: 4, cpus: 6.0, ..low(0, 300) };
         let gang = submit_job(&mut world, "red", gang);
         let end = world.now + Micros::from_secs(240);
         let mut nth = 8;
-        while world.now < end && there(&world, &gang) < 4 {
+        while world.now < end && present_task_count(&world, &gang) < 4 {
             submit_job(&mut world, "red", low(nth % 3, nth));
             nth += 1;
-            go(&mut world, Micros::from_millis(400));
+            run_for(&mut world, Micros::from_millis(400));
         }
-        assert_eq!(there(&world, &gang), 4, "seed {seed}: {}", world.describe_job(&gang));
+        assert_eq!(present_task_count(&world, &gang), 4, "seed {seed}: {}", world.describe_job(&gang));
     }
 }
 
@@ -111,11 +113,11 @@
 /// was denied what was promised to the gang.
 #[test]
 fn volumes_of_plain_and_accelerated_jobs_together_stay_within_the_team_limit() {
-    let mut world = roomy(3_020, &[("red", 24.0, 8.0), ("green", 0.0, 0.0)]);
+    let mut world = cluster_with_spare_room(3_020, &[("red", 24.0, 8.0), ("green", 0.0, 0.0)]);
     for _ in 0..4 {
         world.add_machine("g8", "east", false);
     }
-    go(&mut world, Micros::from_secs(18));
+    run_for(&mut world, Micros::from_secs(18));
     let job = |owner, gpus| JobParams {
         owner,
         nth: 0,
@@ -127,7 +129,7 @@
     };
     submit_job(&mut world, "red", job(1, 0.0));
     submit_job(&mut world, "red", job(2, 1.0));
-    go(&mut world, Micros::from_secs(15));
+    run_for(&mut world, Micros::from_secs(15));
     let leader = world.controllers[world.leader().unwrap()].as_ref().unwrap();
     let (volumes, _) = leader.plan_volumes();
     let promised: u64 =
@@ -150,7 +152,7 @@
 /// only 0.17 of the limit was in use.
 #[test]
 fn ended_tasks_with_unrecorded_completions_do_not_count_against_the_limit() {
-    let mut world = roomy(3_030, &TEAM_LIMITS);
+    let mut world = cluster_with_spare_room(3_030, &TEAM_LIMITS);
     world.task_run_time = 3 * S..5 * S;
     let job = |owner| JobParams {
         owner,
@@ -163,11 +165,11 @@
     };
     submit_job(&mut world, "red", job(1));
     submit_job(&mut world, "red", job(2));
-    go(&mut world, Micros::from_secs(20));
+    run_for(&mut world, Micros::from_secs(20));
     world.commit_fault = Some(delay_progress_writes);
     let (mut used, samples) = (0, 300);
     for _ in 0..samples {
-        go(&mut world, Micros::from_millis(200));
+        run_for(&mut world, Micros::from_millis(200));
         used += world.running_usage()[0].0;
     }
     let used_fraction = used as f64 / samples as f64 / 24_000.0;
@@ -201,7 +203,7 @@
         };
         // The limit of team red allows one of these tasks at a time.
         submit_job(&mut world, "red", accelerated);
-        go(&mut world, Micros::from_secs(8));
+        run_for(&mut world, Micros::from_secs(8));
         let plain = JobParams {
             owner: 2,
             nth: 0,
@@ -213,7 +215,7 @@
         };
         let plain = submit_job(&mut world, "green", plain);
         let begun = |w: &World| w.jobs[&plain].last_task_start > Micros::ZERO;
-        assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe_job(&plain));
+        assert!(run_until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe_job(&plain));
     }
 }
 
@@ -238,7 +240,7 @@
 /// capacity.
 #[test]
 fn all_waiting_jobs_that_fit_are_backfilled_however_many_there_are() {
-    let mut world = roomy(3_050, &[("red", 1.0, 0.0), ("green", 0.0, 0.0)]);
+    let mut world = cluster_with_spare_room(3_050, &[("red", 1.0, 0.0), ("green", 0.0, 0.0)]);
     for nth in 0..100 {
         let (shape, priority) = (Shape::Array, Priority::Normal);
         submit_job(
@@ -247,7 +249,7 @@
             JobParams { owner: nth % 3, nth, shape, priority, tasks: 1, cpus: 1.0, gpus: 0.0 },
         );
     }
-    go(&mut world, Micros::from_secs(60));
+    run_for(&mut world, Micros::from_secs(60));
     let leader = world.leader().unwrap();
     let leader = world.controllers[leader].as_mut().unwrap();
     leader.settings.params.teams.iter_mut().for_each(|team| team.cpus_max = 0.0);
@@ -263,7 +265,7 @@
 /// Found in `maapoue-limits` at a team limit in full use: a gang had the reason `crowded` for 70 s without any fault.
 #[test]
 fn a_gang_that_fits_is_backfilled_however_many_jobs_of_another_team_are() {
-    let mut world = roomy(3_080, &[("red", 1.0, 0.0), ("green", 8.0, 0.0)]);
+    let mut world = cluster_with_spare_room(3_080, &[("red", 1.0, 0.0), ("green", 8.0, 0.0)]);
     let job = |nth, shape, tasks, cpus| JobParams {
         owner: nth % 3,
         nth,
@@ -278,9 +280,9 @@
     for nth in 0..100 {
         submit_job(&mut world, "red", job(nth, Shape::Array, 1, 1.0));
     }
-    go(&mut world, Micros::from_secs(20));
+    run_for(&mut world, Micros::from_secs(20));
     let gang = submit_job(&mut world, "green", job(201, Shape::Gang, 4, 2.0));
-    go(&mut world, Micros::from_secs(60));
+    run_for(&mut world, Micros::from_secs(60));
     let leader = world.leader().unwrap();
     let leader = world.controllers[leader].as_mut().unwrap();
     leader.settings.params.teams.iter_mut().for_each(|team| team.cpus_max = 0.0);
@@ -309,7 +311,7 @@
 #[test]
 fn at_a_full_team_limit_an_overdue_job_gets_the_next_free_slot() {
     for seed in 3_060..3_063 {
-        let mut world = roomy(seed, &TEAM_LIMITS);
+        let mut world = cluster_with_spare_room(seed, &TEAM_LIMITS);
         world.task_run_time = 55 * S..65 * S;
         let array = |owner, nth| JobParams {
             owner,
@@ -321,11 +323,11 @@
             gpus: 0.0,
         };
         let first = submit_job(&mut world, "red", array(0, 0));
-        go(&mut world, Micros::from_secs(8));
+        run_for(&mut world, Micros::from_secs(8));
         let others: Vec<String> =
             (1..9).map(|nth| submit_job(&mut world, "red", array(nth % 3, nth))).collect();
         let all_begun = |w: &World| others.iter().all(|id| w.jobs[id].last_task_start > Micros::ZERO);
-        let in_time = until(&mut world, MAX_WAIT, all_begun);
+        let in_time = run_until(&mut world, MAX_WAIT, all_begun);
         let begun = others.iter().filter(|id| world.jobs[*id].last_task_start > Micros::ZERO).count();
         assert!(in_time, "seed {seed}: {begun} of 8 begun; {}", world.describe_job(&first));
         assert!(world.running_usage()[0].0 <= 24_000);
@@ -353,7 +355,7 @@
             gpus: 0.0,
         };
         let gang = submit_job(&mut world, "green", gang);
-        let begun = |w: &World| there(w, &gang) == 24;
-        assert!(until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe_job(&gang));
+        let begun = |w: &World| present_task_count(w, &gang) == 24;
+        assert!(run_until(&mut world, MAX_WAIT, begun), "seed {seed}: {}", world.describe_job(&gang));
     }
 }
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -1,30 +1,36 @@
-//! Orders in which a controller that has just joined may learn of machines, forced one by one. Guards against the known
-//! failure `ran_twice`: a task ran on one machine and was started on another.
+//! Orders in which a controller that has just joined may learn of machines, each forced by a test. Guards against the
+//! known failure `ran_twice`: a task ran on one machine and was started on another.
 
-use super::former_lives::passing_on;
-use super::meetings_limits::{end_some, of_team, owned_by, there, until};
+use super::former_lives::job_numbers_passing;
+use super::meetings_limits::{end_tasks_below, job_numbers_of, present_task_count, run_until, submit_array};
 use super::second_starts::grant_to;
-use super::start_orders::{cut_off, running, with_heir};
+use super::start_orders::{cluster_with_successor, cut_off_machines, present_tasks};
 use super::takeovers::array;
 use super::*;
 
-/// Takes out of the queue what is under way and of this kind.
-fn take_out(world: &mut World, kind: impl Fn(&SimEvent) -> bool) -> Vec<SimEvent> {
-    let (taken, kept): (Vec<_>, Vec<_>) =
-        std::mem::take(&mut world.queue).into_iter().partition(|scheduled| kind(&scheduled.2));
+/// Removes the scheduled events that match from the queue, and returns them.
+fn remove_scheduled(world: &mut World, matches: impl Fn(&SimEvent) -> bool) -> Vec<SimEvent> {
+    let (removed, kept): (Vec<_>, Vec<_>) =
+        std::mem::take(&mut world.queue).into_iter().partition(|scheduled| matches(&scheduled.2));
     world.queue = kept.into();
-    taken.into_iter().map(|scheduled| scheduled.2).collect()
+    removed.into_iter().map(|scheduled| scheduled.2).collect()
 }
 
-/// Runs by milliseconds until something holds, while a machine's calls from one controller find nobody.
-fn until_unreached(world: &mut World, from: usize, machine: &str, holds: impl Fn(&World) -> bool) -> bool {
+/// Runs in steps of 1 ms until a condition holds, while direct calls from one controller to a machine fail to reach it.
+/// Returns false if the condition does not hold within 4 s.
+fn run_until_without_calls(
+    world: &mut World,
+    from: usize,
+    machine: &str,
+    holds: impl Fn(&World) -> bool,
+) -> bool {
     let end = world.now + Micros::from_secs(4);
     while !holds(world) {
         if world.now >= end {
             return false;
         }
         world.run(world.now + Micros::from_millis(1));
-        let lost = take_out(
+        let lost = remove_scheduled(
             world,
             |what| matches!(what, SimEvent::Orders { node, machine: to, .. } if *node == from && to == machine),
         );
@@ -40,14 +46,18 @@
     true
 }
 
-/// A job of this number with more tasks than all machines take, and one machine of the controller that owns it, once all
-/// of that controller's are full.
-fn full(world: &mut World, number: u32, owner: usize) -> (String, String) {
+/// Submits a job of this number with more tasks than all machines can take, and returns it with one machine of the
+/// controller that owns it, once all of that controller's machines are full.
+fn fill_owner(world: &mut World, number: u32, owner: usize) -> (String, String) {
     let c = world.controllers[owner].as_ref().unwrap();
     let held: Vec<String> = c.machines.iter().filter(|(_, m)| c.owns(m)).map(|(n, _)| n.clone()).collect();
     let room = 16 * held.len();
-    let job = of_team(world, number, "blue", 3 * 16 * 14);
-    assert!(until(world, Micros::from_secs(12), |w| there(w, &job) >= room), "{}", there(world, &job));
+    let job = submit_array(world, number, "blue", 3 * 16 * 14);
+    assert!(
+        run_until(world, Micros::from_secs(12), |w| present_task_count(w, &job) >= room),
+        "{}",
+        present_task_count(world, &job)
+    );
     let c = world.controllers[owner].as_ref().unwrap();
     let held =
         c.machines.iter().filter(|(n, m)| c.owns(m) && m.resolved && world.workers[*n].tasks.len() == 16);
@@ -55,8 +65,8 @@
     (job, machine)
 }
 
-/// A job's tasks on all machines but this one end after a while, so that there is room.
-fn end_elsewhere(world: &mut World, job: &str, machine: &str, after: Micros) {
+/// Ends the job's tasks on all machines but this one after a while, to free room.
+fn end_tasks_elsewhere(world: &mut World, job: &str, machine: &str, after: Micros) {
     let at = world.now + after;
     for (_, w) in world.workers.iter_mut().filter(|(name, _)| *name != machine) {
         let running = w.tasks.iter_mut().filter(|(id, t)| id.job == job && t.counts_as_running());
@@ -64,191 +74,218 @@
     }
 }
 
-/// A controller and its registration end, and for four seconds, by when it is gone from the view, nothing that a witness says
-/// reaches the heir. The judge of the rules sees each start.
-fn ends_unwitnessed(world: &mut World, owner: usize, heir: usize) {
+/// Crashes a controller and deletes its registration. For 4 s, by when the view no longer includes it, no testimony of
+/// a witness reaches the successor. The rule checks examine each start.
+fn crash_owner_without_testimony(world: &mut World, owner: usize, successor: usize) {
     world.crash_for(owner, Micros::from_secs(60));
-    let node = records::registration_key(&world.settings[owner].member);
-    world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
+    let key = records::registration_key(&world.settings[owner].member);
+    world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(key)] });
     let testimony = |what: &SimEvent| {
         let SimEvent::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
-        *node == heir && matches!(message, PeerMessage::Testimony { .. })
+        *node == successor && matches!(message, PeerMessage::Testimony { .. })
     };
     let end = world.now + Micros::from_secs(4);
     while world.now < end {
         world.run(world.now + Micros::from_millis(1));
-        take_out(world, testimony);
+        remove_scheduled(world, testimony);
     }
-    assert_eq!(world.controllers[heir].as_ref().unwrap().view.members.len(), 2, "there is no new view");
+    assert_eq!(world.controllers[successor].as_ref().unwrap().view.members.len(), 2, "there is no new view");
     world.run(world.now + Micros::from_secs(12));
 }
 
-/// Guards against `ran_twice`: a machine changes hands between the view that names a newcomer and the newcomer's load, so that
-/// the newcomer does not know the former holder. That one has not read the grant, goes on without the newcomer, and starts
-/// tasks there. When it ends, the newcomer takes the machine for known by a witness's word, and starts the tasks again.
+/// Guards against `ran_twice`: a machine is moved between the view that names a newcomer and the newcomer's load of the
+/// records, so that the newcomer does not know the former holder. The former holder has not read the grant, goes on
+/// without the newcomer's confirmations, and starts tasks on the machine. When it crashes, the newcomer takes the
+/// machine for fully known because of a witness's testimony, and starts the tasks again.
 #[test]
-fn a_former_holder_that_a_newcomer_does_not_know_may_have_ordered() {
+fn tasks_started_by_a_former_holder_unknown_to_a_newcomer_are_not_repeated() {
     for seed in 750..753 {
-        let (mut world, owner, newcomer) = with_heir(seed);
-        let own = owned_by(newcomer).next().unwrap();
-        of_team(&mut world, own, "green", 2);
-        let (job, machine) = full(&mut world, passing_on(owner, newcomer).next().unwrap(), owner);
-        // The newcomer's load is held up until the machine has changed hands.
+        let (mut world, owner, newcomer) = cluster_with_successor(seed);
+        let own = job_numbers_of(newcomer).next().unwrap();
+        submit_array(&mut world, own, "green", 2);
+        let (job, machine) =
+            fill_owner(&mut world, job_numbers_passing(owner, newcomer).next().unwrap(), owner);
+        // The newcomer's load of the records is delayed until the machine has been moved.
         world.crash_for(newcomer, Micros::from_millis(200));
-        let load = |what: &SimEvent| {
+        let is_load = |what: &SimEvent| {
             matches!(what, SimEvent::StoreCall { node, call: StoreCall::List { prefix, .. }, .. }
                 if *node == newcomer && prefix == records::WATCHED_PREFIX)
         };
-        let mut held_up = Vec::new();
+        let mut delayed_loads = Vec::new();
         let end = world.now + Micros::from_secs(5);
-        while held_up.is_empty() {
-            assert!(world.now < end, "seed {seed}: nothing is loaded");
+        while delayed_loads.is_empty() {
+            assert!(world.now < end, "seed {seed}: no record is loaded");
             world.run(world.now + Micros::from_millis(1));
-            held_up = take_out(&mut world, load);
+            delayed_loads = remove_scheduled(&mut world, is_load);
         }
         let registration = world.store.keys[&records::registration_key(&world.settings[newcomer].member)].1;
         let in_view = |w: &World, by: usize| {
             let c = w.controllers[by].as_ref().unwrap();
             c.view.members.contains(&(w.settings[newcomer].member.clone(), registration))
         };
-        let all_have = |w: &World| (0..3).filter(|n| *n != newcomer).all(|n| in_view(w, n));
-        assert!(until(&mut world, Micros::from_secs(4), all_have), "seed {seed}: no view names it");
+        let in_all_views = |w: &World| (0..3).filter(|n| *n != newcomer).all(|n| in_view(w, n));
+        assert!(
+            run_until(&mut world, Micros::from_secs(4), in_all_views),
+            "seed {seed}: no view includes it"
+        );
         world.begin_fault(TimedFault::WatchHangs(owner), Micros::MAX);
         let leader = world.leader().unwrap();
         grant_to(&mut world, &machine, newcomer);
-        let given = |w: &World| {
+        let is_granted = |w: &World| {
             let c = w.controllers[leader].as_ref().unwrap();
             c.machines[&machine].row.registration == registration
         };
-        assert!(until(&mut world, Micros::from_secs(2), given), "seed {seed}: not granted");
-        for call in held_up {
+        assert!(run_until(&mut world, Micros::from_secs(2), is_granted), "seed {seed}: not granted");
+        for call in delayed_loads {
             world.schedule_at(world.now, call);
         }
-        let known = |w: &World| {
+        let is_covered = |w: &World| {
             let Some(c) = w.controllers[newcomer].as_ref() else { return false };
             c.machines.contains_key(&machine) && c.witness_queries.is_covered(&machine)
         };
-        assert!(until_unreached(&mut world, newcomer, &machine, known), "seed {seed}: nobody witnessed it");
-        // The former holder goes on without the newcomer, which hears nothing of it.
+        assert!(
+            run_until_without_calls(&mut world, newcomer, &machine, is_covered),
+            "seed {seed}: no witness covered the machine"
+        );
+        // The former holder goes on without the newcomer, which receives nothing about it.
         world.begin_fault(TimedFault::Partitioned(owner, newcomer), Micros::MAX);
         let before: BTreeSet<TaskId> = world.workers[&machine].tasks.keys().cloned().collect();
-        end_some(&mut world, &job, u32::MAX);
-        let begun = |w: &World| {
-            let all = running(w, &job).into_iter();
+        end_tasks_below(&mut world, &job, u32::MAX);
+        let started = |w: &World| {
+            let all = present_tasks(w, &job).into_iter();
             all.filter(|(id, on)| *on == machine && !before.contains(id)).collect::<Vec<_>>()
         };
-        let ordered = until_unreached(&mut world, newcomer, &machine, |w| begun(w).len() >= 4);
-        assert!(ordered, "seed {seed}: {} begun", begun(&world).len());
-        let begun = begun(&world);
+        let enough = run_until_without_calls(&mut world, newcomer, &machine, |w| started(w).len() >= 4);
+        assert!(enough, "seed {seed}: {} started", started(&world).len());
+        let started = started(&world);
         let c = world.controllers[newcomer].as_ref().unwrap();
-        let told = begun.iter().any(|(id, _)| c.machines[&machine].tasks.contains_key(id));
-        assert!(!told, "seed {seed}: the newcomer was told");
-        cut_off(&mut world, owner, &begun);
-        end_elsewhere(&mut world, &job, &machine, Micros::from_secs(2));
-        ends_unwitnessed(&mut world, owner, newcomer);
+        let informed = started.iter().any(|(id, _)| c.machines[&machine].tasks.contains_key(id));
+        assert!(!informed, "seed {seed}: the newcomer was informed");
+        cut_off_machines(&mut world, owner, &started);
+        end_tasks_elsewhere(&mut world, &job, &machine, Micros::from_secs(2));
+        crash_owner_without_testimony(&mut world, owner, newcomer);
     }
 }
 
-/// A controller ends for long, and its registration with it; once the view is without it.
-fn is_away(world: &mut World, away: usize) {
-    world.controllers[away] = None;
-    world.incarnations[away] += 1;
-    let node = records::registration_key(&world.settings[away].member);
-    world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
-    let gone = |w: &World| w.controllers.iter().flatten().all(|c| c.view.members.len() == 2);
-    assert!(until(world, Micros::from_secs(4), gone), "it is still in the view");
+/// Stops a controller for good and deletes its registration. Returns once no view includes it.
+fn remove_controller(world: &mut World, removed: usize) {
+    world.controllers[removed] = None;
+    world.incarnations[removed] += 1;
+    let key = records::registration_key(&world.settings[removed].member);
+    world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(key)] });
+    let is_removed = |w: &World| w.controllers.iter().flatten().all(|c| c.view.members.len() == 2);
+    assert!(run_until(world, Micros::from_secs(4), is_removed), "the controller is still in the view");
 }
 
-/// A job that only two machines take, which its tasks fill: these machines, both held by this controller.
-fn on_two_machines(world: &mut World, number: u32, held_by: usize) -> (String, [String; 2]) {
+/// Adds two machines, the only ones that take the job that is submitted and whose tasks fill them, and moves both to
+/// this controller. Returns the job and the machines.
+fn fill_two_machines(world: &mut World, number: u32, held_by: usize) -> (String, [String; 2]) {
     let machines = [world.add_machine("c16", "west", false), world.add_machine("c16", "west", false)];
     let spec = array(world, number, 3 * 16);
     let job = spec.id.clone();
     world.submit(JobSpec { team: "blue".into(), zone: Some("west".into()), spot: false, ..spec });
-    let all = until(world, Micros::from_secs(40), |w| there(w, &job) == 32);
-    assert!(all, "{} begun\n{}", there(world, &job), world.describe_job(&job));
+    let all = run_until(world, Micros::from_secs(40), |w| present_task_count(w, &job) == 32);
+    assert!(all, "{} started\n{}", present_task_count(world, &job), world.describe_job(&job));
     for machine in &machines {
         grant_to(world, machine, held_by);
-        assert!(until(world, Micros::from_secs(3), |w| holds(w, held_by, machine)), "{machine} is another's");
+        assert!(
+            run_until(world, Micros::from_secs(3), |w| owns_resolved(w, held_by, machine)),
+            "another controller holds {machine}"
+        );
     }
     (job, machines)
 }
 
-/// Whether a controller holds a machine and knows all that is on it.
-fn holds(world: &World, by: usize, machine: &str) -> bool {
+/// Whether a controller owns a machine and knows all tasks on it.
+fn owns_resolved(world: &World, by: usize, machine: &str) -> bool {
     let Some(c) = world.controllers[by].as_ref() else { return false };
     c.machines.get(machine).is_some_and(|m| c.owns(m) && m.resolved)
 }
 
-/// One status of a controller reaches another that has never heard it, and what that one answers is lost.
-fn one_status(world: &mut World, from: usize, to: usize) {
+/// Delivers one status of a controller to another that has never received one from it, and drops the resync request
+/// that it causes.
+fn deliver_one_status(world: &mut World, from: usize, to: usize) {
     let apart = TimedFault::Partitioned(from, to);
     world.timed_faults.retain(|(spell, ..)| *spell != apart);
     let member = world.settings[from].member.clone();
-    let heard = |w: &World| w.controllers[to].as_ref().unwrap().peers.contains_key(&member);
+    let has_received = |w: &World| w.controllers[to].as_ref().unwrap().peers.contains_key(&member);
     let end = world.now + Micros::from_secs(3);
-    while !heard(world) {
-        assert!(world.now < end, "nothing is heard");
+    while !has_received(world) {
+        assert!(world.now < end, "no status is received");
         world.run(world.now + Micros::from_millis(1));
     }
     world.begin_fault(apart, Micros::MAX);
-    take_out(world, |what| {
+    remove_scheduled(world, |what| {
         let SimEvent::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
         *node == from && matches!(message, PeerMessage::ResyncRequest)
     });
 }
 
-/// Guards against `ran_twice`: a controller goes on without another, and a newcomer asks that other before it has read so.
-/// What it never heard of it testifies not to be there, and the newcomer, which takes the job over, starts it again.
+/// Guards against `ran_twice`: a controller goes on without another's confirmations, and a newcomer queries that other
+/// controller before it has read this. The other controller testifies that tasks of which it was never informed are not
+/// there, and the newcomer, which takes the job over, starts them again.
 #[test]
-fn a_witness_that_has_not_read_that_it_is_uninformed_vouches_for_nothing() {
-    let mut met = 0;
+fn a_witness_unaware_that_it_is_uninformed_gives_no_evidence() {
+    let mut completed_runs = 0;
     for seed in 760..768 {
-        let (mut world, holder, newcomer) = with_heir(seed);
+        let (mut world, holder, newcomer) = cluster_with_successor(seed);
         let witness = world.leader().unwrap();
-        is_away(&mut world, newcomer);
-        let number = passing_on(newcomer, holder).next().unwrap();
-        let (job, [room, machine]) = on_two_machines(&mut world, number, witness);
-        // The witness knows all that is on a machine that it gives to the holder, and hears nothing of that one after it.
+        remove_controller(&mut world, newcomer);
+        let number = job_numbers_passing(newcomer, holder).next().unwrap();
+        let (job, [room, machine]) = fill_two_machines(&mut world, number, witness);
+        // The witness knows all tasks on a machine that it grants to the holder, and receives nothing from the holder
+        // afterwards.
         grant_to(&mut world, &machine, holder);
         world.begin_fault(TimedFault::Partitioned(holder, witness), Micros::MAX);
         world.begin_fault(TimedFault::Partitioned(holder, newcomer), Micros::MAX);
         let token = |w: &World, by: usize| w.controllers[by].as_ref().unwrap().machines[&machine].row.token;
-        let held = |w: &World| holds(w, holder, &machine) && token(w, holder) == token(w, witness);
-        assert!(until(&mut world, Micros::from_secs(3), held), "seed {seed}: not granted");
-        // The newcomer is in the view, of which the holder does not read yet.
+        let is_granted =
+            |w: &World| owns_resolved(w, holder, &machine) && token(w, holder) == token(w, witness);
+        assert!(run_until(&mut world, Micros::from_secs(3), is_granted), "seed {seed}: not granted");
+        // The newcomer is in the view, which the holder has not read yet.
         world.begin_fault(TimedFault::WatchHangs(holder), Micros::MAX);
         world.schedule_at(world.now, SimEvent::Start(newcomer));
-        let three = |w: &World| w.controllers[witness].as_ref().unwrap().view.members.len() == 3;
-        assert!(until(&mut world, Micros::from_secs(4), three), "seed {seed}: no view names it");
+        let has_three_members = |w: &World| w.controllers[witness].as_ref().unwrap().view.members.len() == 3;
+        assert!(
+            run_until(&mut world, Micros::from_secs(4), has_three_members),
+            "seed {seed}: no view includes it"
+        );
         grant_to(&mut world, &room, newcomer);
-        let has_room = |w: &World| holds(w, newcomer, &room);
-        assert!(until(&mut world, Micros::from_secs(4), has_room), "seed {seed}: it has no room");
-        // The leader may have moved the other machine too, to the job's new owner.
+        let has_room = |w: &World| owns_resolved(w, newcomer, &room);
+        assert!(
+            run_until(&mut world, Micros::from_secs(4), has_room),
+            "seed {seed}: the newcomer has no room"
+        );
+        // The leader may also have moved the other machine, to the new owner of the job.
         let granted = world.controllers[witness].as_ref().unwrap().machines[&machine].row.owner.clone();
         if granted != world.settings[holder].member {
             continue;
         }
-        met += 1;
-        // From here on the witness reads nothing either. The holder starts tasks of which nobody else hears.
+        completed_runs += 1;
+        // From here on the witness reads no changes either. The holder starts tasks of which no other controller is
+        // informed.
         world.begin_fault(TimedFault::WatchHangs(witness), Micros::MAX);
         let before: BTreeSet<TaskId> = world.workers[&machine].tasks.keys().cloned().collect();
-        end_some(&mut world, &job, u32::MAX);
-        let begun = |w: &World| {
-            let all = running(w, &job).into_iter();
+        end_tasks_below(&mut world, &job, u32::MAX);
+        let started = |w: &World| {
+            let all = present_tasks(w, &job).into_iter();
             all.filter(|(id, on)| *on == machine && !before.contains(id)).count()
         };
-        let all = until(&mut world, Micros::from_secs(10), |w| begun(w) == 16);
-        assert!(all, "seed {seed}: {} begun", begun(&world));
-        // It reads of the newcomer, and goes on without that one too.
+        let all = run_until(&mut world, Micros::from_secs(10), |w| started(w) == 16);
+        assert!(all, "seed {seed}: {} started", started(&world));
+        // The holder reads that the newcomer is in the view, and goes on without its confirmations too.
         world.timed_faults.retain(|(spell, ..)| *spell != TimedFault::WatchHangs(holder));
-        let alone = |w: &World| w.controllers[holder].as_ref().unwrap().announcements.uninformed().len() == 2;
-        assert!(until(&mut world, Micros::from_secs(3), alone), "seed {seed}: it waits for somebody");
-        // What it said of these tasks is lost.
+        let goes_on_alone =
+            |w: &World| w.controllers[holder].as_ref().unwrap().announcements.uninformed().len() == 2;
+        assert!(
+            run_until(&mut world, Micros::from_secs(3), goes_on_alone),
+            "seed {seed}: the holder still waits for a confirmation"
+        );
+        // The statuses about these tasks are lost.
         world.run(world.now + Micros::from_millis(1_500));
-        one_status(&mut world, holder, newcomer);
-        // The judge of the rules sees each start.
+        deliver_one_status(&mut world, holder, newcomer);
+        // The rule checks examine each start.
         world.run(world.now + Micros::from_secs(10));
     }
-    assert!(met >= 4, "only {met} of 8 came to it");
+    assert!(completed_runs >= 4, "only {completed_runs} of 8 runs reached this state");
 }
--- a/src/coordination/simulation/quota_guard.rs
+++ b/src/coordination/simulation/quota_guard.rs
@@ -1,6 +1,9 @@
 //! Runtime checks of teams' limits, and permits that are no longer valid.
 
-use super::meetings_limits::{end_some, finish, go, of_team, owned_by, roomy, there, until};
+use super::meetings_limits::{
+    cluster_with_spare_room, end_tasks_below, finish_all_jobs, job_numbers_of, present_task_count, run_for,
+    run_until, submit_array,
+};
 use super::*;
 use crate::bookkeeping::records::QuotaRecord;
 use crate::coordination::Breach;
@@ -8,14 +11,17 @@
 /// A cluster in which team blue's limit of 40 processors is divided among the controllers, with jobs that use some of
 /// it.
 fn cluster_with_divided_limit(seed: u64) -> World {
-    let mut world = roomy(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
-    let mut numbers = owned_by(1);
-    of_team(&mut world, numbers.next().unwrap(), "blue", 10);
-    of_team(&mut world, numbers.next().unwrap(), "blue", 80);
+    let mut world = cluster_with_spare_room(seed, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+    let mut numbers = job_numbers_of(1);
+    submit_array(&mut world, numbers.next().unwrap(), "blue", 10);
+    submit_array(&mut world, numbers.next().unwrap(), "blue", 80);
     let is_divided =
         |w: &World| w.controllers.iter().flatten().all(|c| c.quota_record.0.view == c.view_revision);
-    assert!(until(&mut world, Micros::from_secs(20), is_divided), "seed {seed}: the limit is not divided");
-    go(&mut world, Micros::from_secs(10));
+    assert!(
+        run_until(&mut world, Micros::from_secs(20), is_divided),
+        "seed {seed}: the limit is not divided"
+    );
+    run_for(&mut world, Micros::from_secs(10));
     world
 }
 
@@ -46,7 +52,7 @@
 fn shares_that_add_up_to_more_than_the_limit_are_detected() {
     let mut world = cluster_with_divided_limit(500);
     set_each_share(&mut world, 14_000);
-    go(&mut world, Micros::from_secs(2));
+    run_for(&mut world, Micros::from_secs(2));
 }
 
 /// Guards the check itself: a share that shrinks below the resources already planned under it is no breach, but
@@ -78,7 +84,7 @@
             status.usage.iter_mut().for_each(|row| row.1 = 30_000);
         }
         controller.check_usage();
-        go(&mut world, Micros::from_millis(100));
+        run_for(&mut world, Micros::from_millis(100));
     }
 }
 
@@ -99,22 +105,22 @@
     world.commit_fault = Some(delay_quota_writes);
     let valid_record = quota_record_in_store(&world);
     set_each_share(&mut world, 30_000);
-    go(&mut world, Micros::from_millis(1_500));
+    run_for(&mut world, Micros::from_millis(1_500));
     let others = (0..3).filter(|n| *n != leader).collect::<Vec<_>>();
     let halted = |w: &World, n: usize| w.controllers[n].as_ref().unwrap().quota_guard.is_halted("blue");
     assert!(others.iter().all(|n| halted(&world, *n)), "the team is not halted");
     let counted =
         |n: &usize| world.controllers[*n].as_ref().unwrap().quota_breaches(Breach::SharesBeyondLimit);
     assert!(others.iter().map(counted).all(|n| n >= 1), "the breach is not counted");
-    let blue = of_team(&mut world, owned_by(others[0]).next().unwrap() + 10_000, "blue", 2);
-    let green = of_team(&mut world, owned_by(others[0]).nth(5).unwrap(), "green", 2);
-    go(&mut world, Micros::from_secs(5));
-    assert_eq!(there(&world, &blue), 0, "a task of the halted team has started");
-    assert_eq!(there(&world, &green), 2, "another team's tasks do not start");
+    let blue = submit_array(&mut world, job_numbers_of(others[0]).next().unwrap() + 10_000, "blue", 2);
+    let green = submit_array(&mut world, job_numbers_of(others[0]).nth(5).unwrap(), "green", 2);
+    run_for(&mut world, Micros::from_secs(5));
+    assert_eq!(present_task_count(&world, &blue), 0, "a task of the halted team has started");
+    assert_eq!(present_task_count(&world, &green), 2, "another team's tasks do not start");
     write_quota_record(&mut world, valid_record);
     let lifted = |w: &World| (0..3).all(|n| !halted(w, n));
     assert!(
-        until(&mut world, Micros::from_secs(10), lifted),
+        run_until(&mut world, Micros::from_secs(10), lifted),
         "the team is still halted although the rule holds"
     );
 }
@@ -146,21 +152,21 @@
         };
         // Capacity becomes free in its share, and further tasks of its job are planned.
         for id in world.jobs.keys().cloned().collect::<Vec<_>>() {
-            end_some(&mut world, &id, 30);
+            end_tasks_below(&mut world, &id, 30);
         }
-        until(&mut world, Micros::from_secs(10), |w| !unsent_starts(w).is_empty());
+        run_until(&mut world, Micros::from_secs(10), |w| !unsent_starts(w).is_empty());
         let before = unsent_starts(&world);
         let view = world.controllers[planner].as_ref().unwrap().view_revision;
         world.crash_for(restarted, Micros::from_millis(200));
         let next = |w: &World| w.controllers[planner].as_ref().unwrap().view_revision > view;
-        assert!(until(&mut world, Micros::from_secs(15), next), "seed {seed}: no new view");
+        assert!(run_until(&mut world, Micros::from_secs(15), next), "seed {seed}: no new view");
         planned += before.len();
         let after = unsent_starts(&world);
         assert!(
             before.iter().all(|start| !after.contains(start)),
             "seed {seed}: a start was kept after its share became invalid"
         );
-        finish(&mut world, seed);
+        finish_all_jobs(&mut world, seed);
     }
     assert!(planned > 0, "no start was planned when the view changed");
 }
@@ -172,13 +178,13 @@
 /// completed tasks, which were still running somewhere, were not counted while the limit was not divided.
 #[test]
 fn running_tasks_of_completed_jobs_count_before_a_limit_is_divided() {
-    let mut world = roomy(560, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
-    let mut numbers = owned_by(1);
-    let done = of_team(&mut world, numbers.next().unwrap(), "blue", 10);
-    go(&mut world, Micros::from_secs(10));
-    assert_eq!(there(&world, &done), 10);
-    let other = of_team(&mut world, numbers.next().unwrap(), "blue", 8);
-    go(&mut world, Micros::from_secs(2));
+    let mut world = cluster_with_spare_room(560, &[("blue", 40.0, 0.0), ("green", 0.0, 0.0)]);
+    let mut numbers = job_numbers_of(1);
+    let done = submit_array(&mut world, numbers.next().unwrap(), "blue", 10);
+    run_for(&mut world, Micros::from_secs(10));
+    assert_eq!(present_task_count(&world, &done), 10);
+    let other = submit_array(&mut world, numbers.next().unwrap(), "blue", 8);
+    run_for(&mut world, Micros::from_secs(2));
     let controller = world.controllers[1].as_mut().unwrap();
     let need = controller.jobs[&done].spec.need().cpu;
     let requested = need * 10 + controller.jobs[&other].spec.need().cpu * 8;
