--- a/src/coordination/simulation/contradictions.rs
+++ b/src/coordination/simulation/contradicted_conclusions.rs
@@ -1,8 +1,8 @@
 //! Conclusions that a task is not on a machine, compared with later reports of the machines and statuses of their
 //! holders. Guards against wrong conclusions, near misses of the known failure `ran_twice`, going undetected.
 
-use super::meetings_starts::start_in_flight;
-use super::second_starts::{another_controller, grant_to, wait_for_planned_start};
+use super::duplicate_starts::{another_controller, grant_to, wait_for_planned_start};
+use super::starts_in_flight::start_in_flight;
 use super::*;
 use crate::coordination::removal::RemovalGround;
 
@@ -53,7 +53,7 @@
 fn a_cancelled_start_that_a_new_holder_still_lists_is_no_contradiction() {
     let (mut questioned, mut cancelled) = (0, 0);
     for seed in 720..740 {
-        let mut world = super::meetings::saturated_cluster(seed, 12);
+        let mut world = super::fault_combinations::saturated_cluster(seed, 12);
         let (n, name, id) = wait_for_planned_start(&mut world);
         let new_holder = another_controller(&world, n);
         // The other controller knows of the planned start, and the start has not been sent.
--- a/src/coordination/simulation/second_starts.rs
+++ b/src/coordination/simulation/duplicate_starts.rs
@@ -1,7 +1,7 @@
 //! Starts that could be repeated on another machine. Guards against the known failure `ran_twice` on selatferi-hq-hunt,
 //! day apart: a task ran on one machine and was started on another.
 
-use super::meetings_starts::{report_for_orders, start_in_flight};
+use super::starts_in_flight::{report_for_orders, start_in_flight};
 use super::*;
 use crate::coordination::model::{Machine, PendingStart};
 use crate::protocol::worker::DirectOrders;
@@ -86,7 +86,7 @@
 #[test]
 fn a_planned_start_is_cancelled_when_its_task_is_seen_elsewhere() {
     for seed in 520..524 {
-        let mut world = super::meetings::saturated_cluster(seed, 12);
+        let mut world = super::fault_combinations::saturated_cluster(seed, 12);
         let (n, name, id) = wait_for_planned_start(&mut world);
         let owned_machine = |c: &Controller| {
             let known = c.machines.iter().find(|(_, m)| c.owns(m) && m.resolved);
--- a/src/coordination/simulation/meetings.rs
+++ b/src/coordination/simulation/fault_combinations.rs
@@ -226,7 +226,7 @@
     let mut late = 0;
     for seed in 60..68 {
         let profile = FaultProfile { late_writes: 0.3, crash: 0.03, withdrawn: 0.4, ..Default::default() };
-        let world = super::troubles::run_random(seed, profile);
+        let world = super::fault_injection::run_random(seed, profile);
         late += world.coverage.late_commits;
         let open: Vec<_> =
             world.store.keys.keys().filter(|key| key.starts_with(records::RENTALS_PREFIX)).collect();
@@ -328,7 +328,7 @@
             withdrawn: 0.3,
             ..Default::default()
         };
-        let world = super::troubles::run_random(seed, profile);
+        let world = super::fault_injection::run_random(seed, profile);
         met.late_duplicates += world.coverage.late_duplicates;
         met.duplicates_of_earlier_sessions += world.coverage.duplicates_of_earlier_sessions;
     }
@@ -380,7 +380,7 @@
             withdrawn: 0.5,
             ..Default::default()
         };
-        late += super::troubles::run_random(seed, profile).coverage.late_orders;
+        late += super::fault_injection::run_random(seed, profile).coverage.late_orders;
     }
     assert!(late > 10, "only {late} orders were executed late");
 }
--- a/src/coordination/simulation/pairs.rs
+++ b/src/coordination/simulation/fault_pairs.rs
@@ -77,10 +77,10 @@
         let (name, profile) = combined_profile(pair);
         let first = FIRST_SEED + SEEDS_PER_PAIR * n as u64;
         runs.extend(
-            (first..first + super::troubles::soak_factor()).map(|seed| (name.clone(), seed, profile)),
+            (first..first + super::fault_injection::soak_factor()).map(|seed| (name.clone(), seed, profile)),
         );
     }
-    super::troubles::run_each(runs);
+    super::fault_injection::run_each(runs);
 }
 
 /// Runs these seeds, each under the pair of faults that it belongs to.
@@ -90,7 +90,7 @@
             combined_profile(fault_pairs()[((seed - FIRST_SEED) / SEEDS_PER_PAIR) as usize]);
         (name, *seed, FaultProfile { checks_neglect: true, ..profile })
     });
-    super::troubles::run_each(runs.collect());
+    super::fault_injection::run_each(runs.collect());
 }
 
 /// Repeats one run of a pair: `MARBLEWALK_SEED=267001 cargo test replay_a_pair -- --ignored --nocapture`.
@@ -100,7 +100,7 @@
     let seed: u64 = std::env::var("MARBLEWALK_SEED").unwrap().parse().unwrap();
     let (name, profile) = combined_profile(fault_pairs()[((seed - FIRST_SEED) / SEEDS_PER_PAIR) as usize]);
     eprintln!("{name}");
-    super::troubles::run_random(seed, profile);
+    super::fault_injection::run_random(seed, profile);
 }
 
 /// Guards against a fault that is injected but has no effect, so that its tests would check nothing. Each kind is
@@ -111,7 +111,12 @@
         let mut alone = FaultProfile::default();
         enable(&mut alone);
         let effects = |seed| {
-            super::troubles::run_random(seed, alone).coverage.faults.get(name).copied().unwrap_or_default()
+            super::fault_injection::run_random(seed, alone)
+                .coverage
+                .faults
+                .get(name)
+                .copied()
+                .unwrap_or_default()
         };
         let effects: u32 = (0..3).map(|seed| effects(90_000 + 10 * n as u64 + seed)).sum();
         eprintln!("{name}: {effects}");
@@ -161,13 +166,13 @@
         ..Default::default()
     };
     let mut runs = Vec::new();
-    for seed in 95_000..95_000 + 8 * super::troubles::soak_factor() {
+    for seed in 95_000..95_000 + 8 * super::fault_injection::soak_factor() {
         let leader_crashes = seed % 8 == 7;
         let profile =
             FaultProfile { quick_boots: seed % 2 == 1, slow_links: seed % 4 > 1, leader_crashes, ..profile };
         runs.push(("all".to_owned(), seed, profile));
     }
-    super::troubles::run_each(runs);
+    super::fault_injection::run_each(runs);
 }
 
 /// Guards against a false alarm of the check for forgotten jobs: the store was down for 70 s after the last submission,
@@ -180,7 +185,7 @@
         withdrawn: 0.3,
         ..Default::default()
     };
-    super::troubles::run_random(249_015, profile);
+    super::fault_injection::run_random(249_015, profile);
 }
 
 /// Guards against a job that waits for 90 s in a calm period although a machine has room for it and its team is under
@@ -195,7 +200,7 @@
         all_faults()[j].1(&mut profile);
         (format!("{} and {}", all_faults()[i].0, all_faults()[j].0), seed, profile)
     });
-    super::troubles::run_each(runs.into());
+    super::fault_injection::run_each(runs.into());
 }
 
 /// Guards every rule under any two kinds of fault; in eight parts, which run in parallel.
--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_incarnations.rs
@@ -1,6 +1,6 @@
 //! Replies that were meant for an earlier process of a controller and reach the one that has replaced it.
 
-use super::meetings_limits::{
+use super::quota_fault_combinations::{
     cluster_with_spare_room, finish_all_jobs, job_numbers_of, present_task_count, request_withdrawal,
     run_for, run_until, submit_array,
 };
--- a/src/coordination/simulation/late_statuses.rs
+++ b/src/coordination/simulation/late_statuses.rs
@@ -3,8 +3,8 @@
 //! Messages between two controllers keep their order on one connection. A connection that was given up can deliver what
 //! it still buffered after the first messages of the next one.
 
-use super::meetings::saturated_cluster;
-use super::start_orders::request_full_status;
+use super::fault_combinations::saturated_cluster;
+use super::status_message_orderings::request_full_status;
 use super::takeovers::array;
 use super::*;
 use crate::coordination::model::Machine;
--- a/src/coordination/simulation/meetings_machines.rs
+++ b/src/coordination/simulation/machine_fault_combinations.rs
@@ -1,9 +1,9 @@
 //! Combinations of faults: machines, their reports and their orders, together with controller crashes and delayed
 //! writes (`docs/meetings.md`). Each test asserts that its combination occurred.
 
-use super::meetings::saturated_cluster;
-use super::spells::CommitFault;
+use super::fault_combinations::saturated_cluster;
 use super::takeovers::array;
+use super::timed_faults::CommitFault;
 use super::*;
 use crate::bookkeeping::blocks::Block;
 use crate::bookkeeping::records::BlockRow;
--- a/src/coordination/simulation/neglect.rs
+++ b/src/coordination/simulation/neglect_cases.rs
@@ -1,7 +1,7 @@
 //! Smallest reproductions of neglected jobs: no fault was active, a machine had free capacity for the job and its team
 //! was under its limit, yet the job waited. `docs/incidents/2026-12-03-neglect-in-calm.md` has the traces.
 
-use super::meetings_limits::{
+use super::quota_fault_combinations::{
     cluster_with_spare_room, job_numbers_of, present_task_count, run_for, run_until,
 };
 use super::takeovers::array;
@@ -229,7 +229,7 @@
 #[test]
 fn pairs_of_faults_that_led_to_neglected_jobs_pass() {
     let seeds = [400_000, 143_000, 191_000, 653_000, 206_000, 598_001, 670_000, 655_000, 634_001, 148_002];
-    super::pairs::run_pair_seeds(&seeds);
+    super::fault_pairs::run_pair_seeds(&seeds);
 }
 
 /// Guards against a bound on the number of jobs that are backfilled at a time.
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_message_orderings.rs
@@ -1,10 +1,12 @@
 //! Orders in which a controller that has just joined may learn of machines, each forced by a test. Guards against the
 //! known failure `ran_twice`: a task ran on one machine and was started on another.
 
-use super::former_lives::job_numbers_passing;
-use super::meetings_limits::{end_tasks_below, job_numbers_of, present_task_count, run_until, submit_array};
-use super::second_starts::grant_to;
-use super::start_orders::{cluster_with_successor, cut_off_machines, present_tasks};
+use super::duplicate_starts::grant_to;
+use super::former_incarnations::job_numbers_passing;
+use super::quota_fault_combinations::{
+    end_tasks_below, job_numbers_of, present_task_count, run_until, submit_array,
+};
+use super::status_message_orderings::{cluster_with_successor, cut_off_machines, present_tasks};
 use super::takeovers::array;
 use super::*;
 
--- a/src/coordination/simulation/quota_guard.rs
+++ b/src/coordination/simulation/quota_guard.rs
@@ -1,6 +1,6 @@
 //! Runtime checks of teams' limits, and permits that are no longer valid.
 
-use super::meetings_limits::{
+use super::quota_fault_combinations::{
     cluster_with_spare_room, end_tasks_below, finish_all_jobs, job_numbers_of, present_task_count, run_for,
     run_until, submit_array,
 };
--- a/src/coordination/simulation/replaced_links.rs
+++ b/src/coordination/simulation/replaced_links.rs
@@ -2,9 +2,9 @@
 //! determined by when their greetings are read, so messages of the older one may arrive after newer ones. Guards
 //! against the known failure `ran_twice`: a task ran on one machine and was started on another.
 
-use super::former_lives::job_numbers_passing;
-use super::meetings_limits::{present_task_count, run_until, submit_array};
-use super::start_orders::{
+use super::former_incarnations::job_numbers_passing;
+use super::quota_fault_combinations::{present_task_count, run_until, submit_array};
+use super::status_message_orderings::{
     cluster_with_successor, cut_off_machines, request_full_status, start_tasks, tasks_taken_for_gone,
 };
 use super::*;
--- a/src/coordination/simulation/looks.rs
+++ b/src/coordination/simulation/request_bursts.rs
@@ -3,7 +3,7 @@
 //! When users first learn of a new state of their job, they query all controllers at once, repeat their requests and
 //! withdraw some of the jobs. They also send requests about jobs that were never submitted.
 
-use super::troubles::run_random;
+use super::fault_injection::run_random;
 use super::*;
 
 /// What a user requests of a controller.
--- a/src/coordination/simulation/at_limits.rs
+++ b/src/coordination/simulation/runs_at_limits.rs
@@ -1,8 +1,10 @@
 //! Random runs in which every team has more work, of all shapes, than either of its limits allows, under any two kinds
 //! of fault and with controllers that stall between a decision and its sending.
 
-use super::meetings_limits::{cluster_with_work_beyond_limits, request_withdrawal, run_for, running_jobs};
-use super::pairs::{combined_profile, fault_pairs};
+use super::fault_pairs::{combined_profile, fault_pairs};
+use super::quota_fault_combinations::{
+    cluster_with_work_beyond_limits, request_withdrawal, run_for, running_jobs,
+};
 use super::*;
 
 /// The first run's seed.
@@ -76,7 +78,7 @@
         let (name, profile) = combined_profile(pairs[(seed - FIRST_SEED) as usize % pairs.len()]);
         (name, seed, profile)
     };
-    super::troubles::run_each_with((from..from + count).map(run).collect(), |seed, profile| {
+    super::fault_injection::run_each_with((from..from + count).map(run).collect(), |seed, profile| {
         drop(run_seed(seed, profile));
     });
 }
@@ -85,7 +87,7 @@
 /// as many runs.
 #[test]
 fn teams_at_both_limits_stay_within_them_under_any_two_kinds_of_fault() {
-    run_seeds(FIRST_SEED, 12 * super::troubles::soak_factor());
+    run_seeds(FIRST_SEED, 12 * super::fault_injection::soak_factor());
 }
 
 /// Guards against a check of total usage that is skipped too often to detect anything. It is skipped where a controller
--- a/src/coordination/simulation/meetings_starts.rs
+++ b/src/coordination/simulation/starts_in_flight.rs
@@ -1,7 +1,7 @@
 //! Combinations of a start in flight to a machine with messages that the machine's owner receives about it
 //! (`docs/meetings.md`). Each test asserts that its combination occurred.
 
-use super::meetings::saturated_cluster;
+use super::fault_combinations::saturated_cluster;
 use super::*;
 use crate::coordination::Machine;
 
--- a/src/coordination/simulation/start_orders.rs
+++ b/src/coordination/simulation/status_message_orderings.rs
@@ -1,9 +1,9 @@
 //! Orders in which messages about a start may reach the controllers, each forced by a test. Guards against the known
 //! failure `ran_twice`: a task ran on one machine and was started on another.
 
-use super::former_lives::job_numbers_passing;
-use super::meetings_limits::{cluster_with_spare_room, present_task_count, run_until, submit_array};
-use super::second_starts::grant_to;
+use super::duplicate_starts::grant_to;
+use super::former_incarnations::job_numbers_passing;
+use super::quota_fault_combinations::{cluster_with_spare_room, present_task_count, run_until, submit_array};
 use super::*;
 use crate::protocol::peer::Status;
 
--- a/src/coordination/simulation/meetings_handover.rs
+++ b/src/coordination/simulation/takeover_combinations.rs
@@ -1,7 +1,7 @@
 //! Scripted combinations of takeovers and leader changes with withdrawals and outages; each test asserts that its
 //! combination took place (`docs/meetings.md`).
 
-use super::meetings_limits::*;
+use super::quota_fault_combinations::*;
 use super::*;
 use crate::coordination::replica::rendezvous;
 use crate::protocol::store::Condition;
--- a/src/coordination/simulation/uninformed_orders.rs
+++ b/src/coordination/simulation/uninformed_message_orderings.rs
@@ -1,10 +1,10 @@
 //! Orders of events in which a controller goes on without its successor's confirmations, and later requires them again.
 //! Guards against the known failure `ran_twice`: a task ran on one machine and was started on another.
 
-use super::former_lives::job_numbers_passing;
-use super::meetings_limits::{run_until, submit_array};
-use super::second_starts::grant_to;
-use super::start_orders::{
+use super::duplicate_starts::grant_to;
+use super::former_incarnations::job_numbers_passing;
+use super::quota_fault_combinations::{run_until, submit_array};
+use super::status_message_orderings::{
     cluster_with_successor, crash_owner_unread, cut_off_machines, deliver_status, fill_machines,
     has_read_reassignment, idle_machine, request_full_status,
 };
--- a/src/coordination/simulation/meetings_looks.rs
+++ b/src/coordination/simulation/user_request_combinations.rs
@@ -1,7 +1,7 @@
 //! Users who send requests to every controller, repeat requests and withdraw jobs within milliseconds of an answer,
 //! under further faults.
 
-use super::troubles::run_random;
+use super::fault_injection::run_random;
 use super::*;
 use crate::coordination::knowledge::Liveness;
 
@@ -9,7 +9,7 @@
 /// coverage.
 fn run_with_queries(seeds: std::ops::Range<u64>, profile: FaultProfile) -> Coverage {
     let mut met = Coverage::default();
-    let count = (seeds.end - seeds.start) * super::troubles::soak_factor();
+    let count = (seeds.end - seeds.start) * super::fault_injection::soak_factor();
     for seed in seeds.start..seeds.start + count {
         let world = run_random(seed, FaultProfile { request_bursts: 0.7, withdrawn: 0.3, ..profile });
         met.request_bursts += world.coverage.request_bursts;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -8,7 +8,7 @@
 //! faults, but the interleaving of the processes differs from run to run. The exit code is 1 if a rule was broken or a
 //! run did not reach the required coverage, and 2 for invalid arguments.
 //!
-//! The checks use what the workers ran and what the users were answered (`soak/history.rs`, which `soak_judge.rs` tests
+//! The checks use what the workers ran and what the users were answered (`soak/history.rs`, which `soak_checks.rs` tests
 //! separately). Latency is not checked. A wait of 90 s without faults is not checked either, as a run is too short for
 //! it: here a job is neglected if none of its tasks ran during the last 25 s of the run, with the faults over, though
 //! its team's limits allowed a start.
@@ -21,8 +21,8 @@
 mod fleet;
 #[path = "soak/history.rs"]
 mod history;
-#[path = "soak/links.rs"]
-mod links;
+#[path = "soak/link_proxies.rs"]
+mod link_proxies;
 #[path = "soak/ports.rs"]
 mod ports;
 #[path = "soak/rig.rs"]
@@ -31,8 +31,8 @@
 mod run;
 #[path = "soak/schedule.rs"]
 mod schedule;
-#[path = "soak/store.rs"]
-mod store;
+#[path = "soak/state_service.rs"]
+mod state_service;
 #[path = "soak/users.rs"]
 mod users;
 #[path = "soak/worker.rs"]
--- a/tests/soak/rig.rs
+++ b/tests/soak/rig.rs
@@ -9,7 +9,7 @@
 use crate::fleet::Fleet;
 use crate::history::{History, Ms};
 use crate::schedule::{Cut, Fault};
-use crate::store::Store;
+use crate::state_service::Store;
 
 /// The addresses of a controller.
 #[derive(Clone, Debug)]
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -14,12 +14,12 @@
 use crate::controllers::ControllerProcesses;
 use crate::fleet::{self, Fleet, MachineType, STEP_MS, WorkerSettings};
 use crate::history::{Amount, History, Ms, Statistics, Violation};
-use crate::links::{self, Link};
+use crate::link_proxies::{self, Link};
 use crate::ports;
 use crate::rig::{Address, Rig};
 use crate::schedule::{self, Fault, ScheduledFault};
 use crate::users::{self, CancelSignals};
-use crate::{cloud, store};
+use crate::{cloud, state_service};
 
 /// Number of controllers in a run. A `node` is the index of a controller.
 const NODES: usize = 3;
@@ -140,7 +140,7 @@
     for node in 0..NODES {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let state = listener.local_addr()?.to_string();
-        let server = axum::serve(listener, store::router(rig.clone(), node));
+        let server = axum::serve(listener, state_service::router(rig.clone(), node));
         background_tasks.spawn(async move { drop(server.await) });
         let mut members = Vec::new();
         for to in (0..NODES).filter(|to| *to != node) {
@@ -153,7 +153,7 @@
     }
     let processes = Arc::new(ControllerProcesses::new(&folder, &settings_texts)?);
     for link in peer_links {
-        background_tasks.spawn(links::run_proxy(rig.clone(), processes.clone(), link));
+        background_tasks.spawn(link_proxies::run_proxy(rig.clone(), processes.clone(), link));
     }
     let schedule = schedule::generate(seed, NODES);
     let cancel_signals = Arc::new(CancelSignals::default());
