--- a/crates/recovery/src/machine_knowledge.rs
+++ b/crates/recovery/src/machine_knowledge.rs
@@ -36,13 +36,13 @@
 struct MachineState {
     /// At some point everything on the machine was known; the other fields track what may be unknown since.
     baseline_known: bool,
-    /// Revision of the record from which this controller learned of the machine, if the machine had a holder by then.
-    /// The holders before that revision are unknown.
+    /// Revision of the record from which this controller learned of the machine, if the machine had an owner by then.
+    /// The owners before that revision are unknown.
     first_record_revision: u64,
-    /// Incarnations that have held the machine since, the present holder last.
-    holders: Vec<Incarnation>,
-    /// Holders that may have announced something in a missed message since their last status of the machine. The value
-    /// is true if such a start may have been ordered all the same, because the holder did not wait for this
+    /// Incarnations that have held the machine since, the present owner last.
+    owners: Vec<Incarnation>,
+    /// Owners that may have announced something in a missed message since their last status of the machine. The value
+    /// is true if such a start may have been ordered all the same, because the owner did not wait for this
     /// controller's confirmation when the message was missed.
     missed_announcements: BTreeMap<Incarnation, bool>,
 }
@@ -50,8 +50,8 @@
 /// Tracks on which machines every task that may be there is known.
 ///
 /// A machine is *fully known* when the tasks that the caller has recorded for it include all that may be there: at some
-/// point everything on it was known, and no holder since then has ordered a start without announcing it. The caller
-/// records a task when it is announced, and removes it only when the holder reports the machine as resolved and
+/// point everything on it was known, and no owner since then has ordered a start without announcing it. The caller
+/// records a task when it is announced, and removes it only when the owner reports the machine as resolved and
 /// without that task.
 #[derive(Debug, Default)]
 pub struct MachineKnowledge {
@@ -128,7 +128,7 @@
 
     /// Notes that announcements of this incarnation may have been missed. `ordered`: it may have ordered the starts.
     fn mark_gap(&mut self, incarnation: &Incarnation, ordered: bool) {
-        for state in self.machines.values_mut().filter(|s| s.holders.contains(incarnation)) {
+        for state in self.machines.values_mut().filter(|s| s.owners.contains(incarnation)) {
             *state.missed_announcements.entry(incarnation.clone()).or_default() |= ordered;
         }
     }
@@ -143,33 +143,33 @@
             Some(incarnation) => {
                 let uninformed = self.streams.get(&incarnation).is_some_and(|stream| stream.uninformed);
                 let state = self.machines.entry(machine.to_owned()).or_default();
-                state.holders.retain(|holder| *holder != incarnation);
+                state.owners.retain(|owner| *owner != incarnation);
                 if uninformed {
                     // It orders starts there without this controller, and may lose the machine before it next reports
                     // on it.
                     *state.missed_announcements.entry(incarnation.clone()).or_default() = true;
                 }
-                state.holders.push(incarnation);
+                state.owners.push(incarnation);
             }
         }
     }
 
-    /// Adds a machine of which this controller learns from a record of this revision, which names a holder.
-    pub fn machine_discovered(&mut self, machine: &str, holder: Incarnation, revision: u64) {
-        self.machine_granted(machine, Some(holder));
+    /// Adds a machine of which this controller learns from a record of this revision, which names an owner.
+    pub fn machine_discovered(&mut self, machine: &str, owner: Incarnation, revision: u64) {
+        self.machine_granted(machine, Some(owner));
         self.machines.entry(machine.to_owned()).or_default().first_record_revision = revision;
     }
 
-    /// Notes that the holder has reported on a machine under its present grant. `resolved`: it knows all tasks there.
-    pub fn holder_reported(&mut self, machine: &str, by: &Incarnation, resolved: bool) {
-        // While messages are missed of a holder that has recorded this controller as uninformed, it may order more
+    /// Notes that the owner has reported on a machine under its present grant. `resolved`: it knows all tasks there.
+    pub fn owner_reported(&mut self, machine: &str, by: &Incarnation, resolved: bool) {
+        // While messages are missed of an owner that has recorded this controller as uninformed, it may order more
         // right after this report. Messages missed later are noted when the gap in the numbers shows.
         let (has_gap, ordered) =
             self.streams.get(by).map_or((false, false), |stream| (!stream.contiguous, stream.uninformed));
         let state = self.machines.entry(machine.to_owned()).or_default();
         if resolved {
             *state =
-                MachineState { baseline_known: true, holders: vec![by.clone()], ..MachineState::default() };
+                MachineState { baseline_known: true, owners: vec![by.clone()], ..MachineState::default() };
         }
         if has_gap {
             *state.missed_announcements.entry(by.clone()).or_default() |= ordered;
@@ -180,15 +180,15 @@
 
     /// Notes that a witness has reported every task that may be on a machine.
     ///
-    /// Holders that had ended as of the view that the witness had applied are dropped: the witness has confirmed all
-    /// that they ordered. Former holders that are still registered stay: one that has not seen a later grant yet may
-    /// still announce starts there, and a missed announcement of it must count. Such a holder may be unknown here if
+    /// Owners that had ended as of the view that the witness had applied are dropped: the witness has confirmed all
+    /// that they ordered. Former owners that are still registered stay: one that has not seen a later grant yet may
+    /// still announce starts there, and a missed announcement of it must count. Such an owner may be unknown here if
     /// the machine may have changed hands after the others began to wait for this controller's confirmation and before
     /// it loaded the records; the report then holds only for the present moment.
     pub fn witness_reported(&mut self, machine: &str, has_ended: impl Fn(&Incarnation) -> bool) {
         let state = self.machines.entry(machine.to_owned()).or_default();
         state.baseline_known |= self.member_since.is_some_and(|since| state.first_record_revision <= since);
-        state.holders.retain(|incarnation| !has_ended(incarnation));
+        state.owners.retain(|incarnation| !has_ended(incarnation));
         state.missed_announcements.retain(|incarnation, _| !has_ended(incarnation));
     }
 
@@ -204,13 +204,13 @@
 
     /// Whether every task that may be on a machine is known.
     pub fn is_fully_known(&self, machine: &str, me: &Incarnation) -> bool {
-        self.is_fully_known_ignoring(machine, |holder| holder == me)
+        self.is_fully_known_ignoring(machine, |owner| owner == me)
     }
 
     /// Whether every task that may be on a machine is known, apart from those that the asking controller has ordered
     /// there.
     pub fn is_fully_known_except_from(&self, machine: &str, me: &Incarnation, asker: &Incarnation) -> bool {
-        self.is_fully_known_ignoring(machine, |holder| holder == me || holder == asker)
+        self.is_fully_known_ignoring(machine, |owner| owner == me || owner == asker)
     }
 
     fn is_fully_known_ignoring(&self, machine: &str, ignored: impl Fn(&Incarnation) -> bool) -> bool {
@@ -223,7 +223,7 @@
                 .any(|(incarnation, ordered)| !ignored(incarnation) && (*ordered || !has_ended(incarnation)));
             state.baseline_known
                 && !unknown
-                && state.holders.iter().all(|h| ignored(h) || self.announced_everything(h))
+                && state.owners.iter().all(|h| ignored(h) || self.announced_everything(h))
         })
     }
 
@@ -240,9 +240,9 @@
         waits_for_confirmation && !stream.uninformed && (stream.ended || stream.contiguous)
     }
 
-    /// Removes ended incarnations that no machine lists as a holder.
+    /// Removes ended incarnations that no machine lists as an owner.
     pub fn prune(&mut self, registered: impl Fn(&Incarnation) -> bool) {
-        let held: BTreeSet<&Incarnation> = self.machines.values().flat_map(|s| &s.holders).collect();
+        let held: BTreeSet<&Incarnation> = self.machines.values().flat_map(|s| &s.owners).collect();
         self.streams.retain(|incarnation, _| registered(incarnation) || held.contains(incarnation));
     }
 }
@@ -263,7 +263,7 @@
         knowledge.machine_granted("m", Some(a.clone()));
         assert!(!knowledge.is_fully_known("m", &me), "no message of a was received");
         assert_eq!(knowledge.message_received(&a, 7, true, 10), SequenceCheck::Contiguous);
-        knowledge.holder_reported("m", &a, true);
+        knowledge.owner_reported("m", &a, true);
         assert!(knowledge.is_fully_known("m", &me));
         (knowledge, a, me)
     }
@@ -277,7 +277,7 @@
         knowledge.machine_granted("m", Some(incarnation("b")));
         assert!(!knowledge.is_fully_known("m", &me), "no message of b was received");
         assert_eq!(knowledge.message_received(&incarnation("b"), 3, true, 12), SequenceCheck::Contiguous);
-        knowledge.holder_reported("m", &incarnation("b"), false);
+        knowledge.owner_reported("m", &incarnation("b"), false);
         assert!(knowledge.is_fully_known("m", &me));
         knowledge.machine_removed("m");
         assert!(!knowledge.is_fully_known("m", &me));
@@ -286,14 +286,14 @@
     /// Guards against taking a missed message for no news: it may have announced a start, also on a machine that its
     /// sender no longer holds and so leaves out of its next full status.
     #[test]
-    fn a_missed_message_leaves_a_machine_unknown_until_its_holder_reports_again() {
+    fn a_missed_message_leaves_a_machine_unknown_until_its_owner_reports_again() {
         let (mut knowledge, a, me) = fully_known_machine();
         assert_eq!(knowledge.message_received(&a, 9, false, 11), SequenceCheck::Gap);
         assert!(!knowledge.is_fully_known("m", &me));
         assert_eq!(knowledge.message_received(&a, 9, true, 11), SequenceCheck::Contiguous);
         assert!(!knowledge.is_fully_known("m", &me), "a full status came, but without this machine");
         let mut moved = fully_known_machine().0;
-        knowledge.holder_reported("m", &a, false);
+        knowledge.owner_reported("m", &a, false);
         assert!(knowledge.is_fully_known("m", &me));
         moved.machine_granted("m", Some(me.clone()));
         assert!(moved.is_fully_known("m", &me));
@@ -303,14 +303,14 @@
             !moved.is_fully_known("m", &me),
             "a may have announced a start on it before it knew of the grant"
         );
-        moved.holder_reported("m", &me, true);
+        moved.owner_reported("m", &me, true);
         assert!(moved.is_fully_known("m", &me));
     }
 
-    /// Guards against dropping a former holder that is still registered when a witness reports, and against an ended
+    /// Guards against dropping a former owner that is still registered when a witness reports, and against an ended
     /// incarnation that keeps a machine from ever being fully known.
     #[test]
-    fn a_witness_report_keeps_former_holders_that_are_registered() {
+    fn a_witness_report_keeps_former_owners_that_are_registered() {
         let (a, b, me) = (incarnation("a"), incarnation("b"), incarnation("me"));
         let mut knowledge = MachineKnowledge::new();
         knowledge.set_member_since(Some(10));
@@ -319,8 +319,8 @@
         knowledge.message_received(&a, 1, true, 10);
         knowledge.message_received(&b, 1, true, 10);
         knowledge.machine_granted("m", Some(b.clone()));
-        knowledge.holder_reported("m", &b, false);
-        knowledge.holder_reported("m", &a, false);
+        knowledge.owner_reported("m", &b, false);
+        knowledge.owner_reported("m", &a, false);
         assert!(!knowledge.is_fully_known("m", &me), "never fully known");
         knowledge.witness_reported("m", |l| l.0 == "gone");
         assert!(knowledge.is_fully_known("m", &me));
@@ -329,10 +329,10 @@
         assert!(knowledge.is_fully_known_except_from("m", &me, &a), "a knows its own orders");
     }
 
-    /// Guards against a former holder that a controller which has just joined can't know of, and that may not wait for
+    /// Guards against a former owner that a controller which has just joined can't know of, and that may not wait for
     /// it.
     #[test]
-    fn a_witness_report_does_not_cover_former_holders_unknown_to_a_new_member() {
+    fn a_witness_report_does_not_cover_former_owners_unknown_to_a_new_member() {
         let (b, me) = (incarnation("b"), incarnation("me"));
         for (read, fully_known) in [(10, true), (11, false)] {
             let mut knowledge = MachineKnowledge::new();
@@ -340,18 +340,18 @@
             knowledge.machine_discovered("m", b.clone(), read);
             knowledge.set_member_since(Some(10));
             knowledge.message_received(&b, 1, true, 12);
-            knowledge.holder_reported("m", &b, false);
+            knowledge.owner_reported("m", &b, false);
             knowledge.witness_reported("m", |_| false);
             assert_eq!(knowledge.is_fully_known("m", &me), fully_known, "read as of {read}");
-            knowledge.holder_reported("m", &b, true);
-            assert!(knowledge.is_fully_known("m", &me), "its holder knows all tasks there");
+            knowledge.owner_reported("m", &b, true);
+            assert!(knowledge.is_fully_known("m", &me), "its owner knows all tasks there");
             knowledge.machine_granted("m", Some(me.clone()));
             assert!(knowledge.is_fully_known("m", &me));
         }
     }
 
     /// Guards jobs against waiting for a controller that ended before any message of it arrived, and against taking a
-    /// machine for fully known when its holder ended after it had recorded this controller as uninformed.
+    /// machine for fully known when its owner ended after it had recorded this controller as uninformed.
     #[test]
     fn ended_incarnations_ordered_only_confirmed_starts() {
         let (mut knowledge, a, me) = fully_known_machine();
@@ -382,7 +382,7 @@
         assert!(!knowledge.is_fully_known("m", &me), "it may have ordered something while it did not wait");
     }
 
-    /// Guards against taking a resolved report for final: a holder that has recorded this controller as uninformed may
+    /// Guards against taking a resolved report for final: an owner that has recorded this controller as uninformed may
     /// order more right after it, on a machine that is then granted to another controller and that it never reports on
     /// again.
     #[test]
@@ -392,10 +392,10 @@
         assert_eq!(knowledge.message_received(&b, 1, true, 11), SequenceCheck::Contiguous);
         knowledge.set_uninformed(&a, true);
         assert_eq!(knowledge.message_received(&a, 8, false, 11), SequenceCheck::Gap);
-        knowledge.holder_reported("m", &a, true);
+        knowledge.owner_reported("m", &a, true);
         // Now it orders a start that is not announced here; then the machine is granted to another controller.
         knowledge.machine_granted("m", Some(b.clone()));
-        knowledge.holder_reported("m", &b, false);
+        knowledge.owner_reported("m", &b, false);
         assert_eq!(knowledge.message_received(&a, 12, true, 12), SequenceCheck::Contiguous);
         knowledge.set_uninformed(&a, false);
         assert!(!knowledge.is_fully_known("m", &me), "what a ordered after its report is not known");
@@ -410,7 +410,7 @@
         knowledge.set_uninformed(&a, true);
         assert!(!knowledge.is_fully_known("m", &me));
         knowledge.message_received(&a, 8, true, 12);
-        knowledge.holder_reported("m", &a, true);
+        knowledge.owner_reported("m", &a, true);
         assert!(!knowledge.is_fully_known("m", &me), "still recorded as uninformed");
         knowledge.set_uninformed(&a, false);
         assert!(knowledge.is_fully_known("m", &me));
@@ -430,11 +430,11 @@
         knowledge.machine_granted("m", Some(again.clone()));
         assert!(!knowledge.is_fully_known("m", &me));
         knowledge.message_received(&again, 1, true, 30);
-        knowledge.holder_reported("m", &again, false);
+        knowledge.owner_reported("m", &again, false);
         assert!(knowledge.is_fully_known("m", &me));
         knowledge.prune(|l| *l == again);
         assert!(knowledge.is_fully_known("m", &me), "the former incarnation was removed too soon");
-        knowledge.holder_reported("m", &again, true);
+        knowledge.owner_reported("m", &again, true);
         knowledge.prune(|l| *l == again);
         assert_eq!(knowledge.streams.len(), 1);
     }
--- a/crates/recovery/tests/uninformed.rs
+++ b/crates/recovery/tests/uninformed.rs
@@ -14,15 +14,15 @@
     knowledge.machine_granted("m", None);
     knowledge.machine_granted("m", Some(a.clone()));
     assert_eq!(knowledge.message_received(&a, 7, true, 10), SequenceCheck::Contiguous);
-    knowledge.holder_reported("m", &a, true);
+    knowledge.owner_reported("m", &a, true);
     assert!(knowledge.is_fully_known("m", &me));
     knowledge.set_uninformed(&a, true);
     assert_eq!(knowledge.message_received(&a, 8, false, 11), SequenceCheck::Gap);
     // The answer to the request for a full status that follows.
     assert_eq!(knowledge.message_received(&a, 8, true, 11), SequenceCheck::Contiguous);
-    knowledge.holder_reported("m", &a, true);
+    knowledge.owner_reported("m", &a, true);
     // Status 9 announces a start on the machine and is lost, and the start is ordered without this controller's
-    // confirmation. Then the machine is granted to this controller, and the former holder no longer reports on it.
+    // confirmation. Then the machine is granted to this controller, and the former owner no longer reports on it.
     knowledge.machine_granted("m", Some(me.clone()));
     assert_eq!(knowledge.message_received(&a, 10, false, 12), SequenceCheck::Gap);
     assert_eq!(knowledge.message_received(&a, 10, true, 12), SequenceCheck::Contiguous);
--- a/src/coordination/conclusions.rs
+++ b/src/coordination/conclusions.rs
@@ -2,12 +2,12 @@
 //!
 //! A task can run twice only if such a conclusion was wrong and the task's second start came in time. Wrong conclusions
 //! are visible far more often than that, so each conclusion is retained for a while ([`Conclusions`]). When a message
-//! from the machine or its holder shows the start that was taken to be gone, this is counted by the conclusion's ground
+//! from the machine or its owner shows the start that was taken to be gone, this is counted by the conclusion's ground
 //! and logged with the evidence of both sides.
 //!
-//! A message that may have been in transit when the conclusion was drawn proves nothing: a status of a former holder, a
-//! status of a new holder that only repeats it, a report under an older token, and a report that is out of date or was
-//! sent to a controller other than the holder. These are counted separately ([`Evidence::may_predate_conclusion`]).
+//! A message that may have been in transit when the conclusion was drawn proves nothing: a status of a former owner, a
+//! status of a new owner that only repeats it, a report under an older token, and a report that is out of date or was
+//! sent to a controller other than the owner. These are counted separately ([`Evidence::may_predate_conclusion`]).
 //!
 //! A start that is dropped and planned again has another attempt number and contradicts nothing, with two exceptions: a
 //! lost member of a gang is restarted under the gang's attempt, and a job's new owner may reuse an attempt number if it
@@ -45,22 +45,22 @@
 /// The kind of message that shows a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Evidence {
-    /// A report to the holder, under the current token.
+    /// A report to the owner, under the current token.
     Report,
     /// A worker's reply to a direct call, under the current token.
     Reply,
-    /// The holder's status of the machine, after the machine has shown the current token.
-    HolderStatus,
-    /// The holder's status of a gang's task: a lost member is restarted under the gang's attempt.
-    HolderStatusOfGang,
-    /// The status of a holder that has not heard from the machine under its grant yet: it repeats a former holder's
+    /// The owner's status of the machine, after the machine has shown the current token.
+    OwnerStatus,
+    /// The owner's status of a gang's task: a lost member is restarted under the gang's attempt.
+    OwnerStatusOfGang,
+    /// The status of an owner that has not heard from the machine under its grant yet: it repeats a former owner's
     /// status.
-    UnresolvedHolderStatus,
+    UnresolvedOwnerStatus,
     /// A report or reply under an older token than the current one.
     OlderToken,
     /// A report that is out of date, or from a machine that no record names.
     OutOfDate,
-    /// A report to a controller other than the holder.
+    /// A report to a controller other than the owner.
     AnotherController,
     /// A controller's status of the machine under another grant than the current one.
     StatusOfOtherGrant,
@@ -72,9 +72,9 @@
         match self {
             Evidence::Report => "report",
             Evidence::Reply => "reply",
-            Evidence::HolderStatus => "holder",
-            Evidence::HolderStatusOfGang => "holder, a gang's task",
-            Evidence::UnresolvedHolderStatus => "holder that has not heard it yet",
+            Evidence::OwnerStatus => "holder",
+            Evidence::OwnerStatusOfGang => "holder, a gang's task",
+            Evidence::UnresolvedOwnerStatus => "holder that has not heard it yet",
             Evidence::OlderToken => "report under an older token",
             Evidence::OutOfDate => "report out of date",
             Evidence::AnotherController => "report to another controller",
@@ -84,14 +84,14 @@
 
     /// Whether the message may have been sent before the conclusion was drawn.
     fn may_predate_conclusion(self) -> bool {
-        !matches!(self, Evidence::Report | Evidence::Reply | Evidence::HolderStatus)
+        !matches!(self, Evidence::Report | Evidence::Reply | Evidence::OwnerStatus)
     }
 
     /// Whether the message may only repeat another controller's status, or show a task that was started again.
     fn may_be_repetition(self) -> bool {
         matches!(
             self,
-            Evidence::HolderStatusOfGang | Evidence::UnresolvedHolderStatus | Evidence::StatusOfOtherGrant
+            Evidence::OwnerStatusOfGang | Evidence::UnresolvedOwnerStatus | Evidence::StatusOfOtherGrant
         )
     }
 }
@@ -179,8 +179,8 @@
         let kept = self.by_task.get_mut(seen.task)?;
         let same_start = |c: &Conclusion| c.machine == machine && c.removed.attempt == seen.attempt;
         let at = kept.iter().rposition(same_start)?;
-        // The holder's status lacked the task because the task had ended and been forgotten.
-        if seen.state == TaskState::Ended && kept[at].ground == RemovalGround::NotReportedByHolder {
+        // The owner's status lacked the task because the task had ended and been forgotten.
+        if seen.state == TaskState::Ended && kept[at].ground == RemovalGround::NotReportedByOwner {
             return None;
         }
         if !evidence.may_predate_conclusion() {
@@ -188,9 +188,9 @@
             *self.contradicted.entry(found.ground).or_default() += 1;
             return Some(found);
         }
-        // The holder ordered the task to run there, perhaps by a new start, so later messages that show it do not
+        // The owner ordered the task to run there, perhaps by a new start, so later messages that show it do not
         // contradict the conclusion.
-        let restarted = evidence == Evidence::HolderStatusOfGang;
+        let restarted = evidence == Evidence::OwnerStatusOfGang;
         let counted = std::mem::replace(&mut kept[at].counted_as_questioned, true);
         let found = if restarted { kept.remove(at) } else { kept[at].clone() };
         if counted {
@@ -275,8 +275,8 @@
         self.conclusions.expire(now);
         for observed in seen {
             let gang = self.jobs.get(&observed.task.job).is_some_and(Job::is_gang);
-            let may_be_restarted = evidence == Evidence::HolderStatus && gang;
-            let evidence = if may_be_restarted { Evidence::HolderStatusOfGang } else { evidence };
+            let may_be_restarted = evidence == Evidence::OwnerStatus && gang;
+            let evidence = if may_be_restarted { Evidence::OwnerStatusOfGang } else { evidence };
             let found = self.conclusions.find_contradicted(machine, &observed, evidence);
             if let Some(conclusion) = found {
                 log_contradiction(now, machine, &observed, evidence, &conclusion);
--- a/src/coordination/conclusions/tests.rs
+++ b/src/coordination/conclusions/tests.rs
@@ -49,16 +49,16 @@
     let mut kept = Conclusions::default();
     insert(&mut kept, 3, 5, RemovalGround::NeverSent, Micros::from_secs(1));
     assert!(contradicts(&mut kept, 3, 5, TaskState::Running, Evidence::Report));
-    assert!(!contradicts(&mut kept, 3, 5, TaskState::Running, Evidence::HolderStatus));
+    assert!(!contradicts(&mut kept, 3, 5, TaskState::Running, Evidence::OwnerStatus));
     assert_eq!(kept.contradicted, [(RemovalGround::NeverSent, 1)].into());
     assert!(kept.questioned.is_empty());
 }
 
-/// Guards against false alarms from another attempt, another task, and an end that only the holder had been told of.
+/// Guards against false alarms from another attempt, another task, and an end that only the owner had been told of.
 #[test]
-fn another_attempt_and_an_end_known_to_the_holder_contradict_nothing() {
+fn another_attempt_and_an_end_known_to_the_owner_contradict_nothing() {
     let mut kept = Conclusions::default();
-    insert(&mut kept, 3, 5, RemovalGround::NotReportedByHolder, Micros::from_secs(1));
+    insert(&mut kept, 3, 5, RemovalGround::NotReportedByOwner, Micros::from_secs(1));
     assert!(!contradicts(&mut kept, 3, 6, TaskState::Running, Evidence::Report));
     assert!(!contradicts(&mut kept, 4, 5, TaskState::Running, Evidence::Report));
     assert!(!contradicts(&mut kept, 3, 5, TaskState::Ended, Evidence::Report));
@@ -73,7 +73,7 @@
     let mut kept = Conclusions::default();
     insert(&mut kept, 3, 5, RemovalGround::NotReported, Micros::from_secs(1));
     let may_predate = [
-        Evidence::UnresolvedHolderStatus,
+        Evidence::UnresolvedOwnerStatus,
         Evidence::OlderToken,
         Evidence::OutOfDate,
         Evidence::AnotherController,
@@ -131,14 +131,14 @@
 }
 
 /// Guards against a false alarm seen in a benchmark: a gang's member was dropped, restarted under the gang's attempt by
-/// its holder, and reported a minute later to the machine's next holder.
+/// its owner, and reported a minute later to the machine's next owner.
 #[test]
-fn a_gang_member_restarted_by_its_holder_contradicts_nothing_afterwards() {
+fn a_gang_member_restarted_by_its_owner_contradicts_nothing_afterwards() {
     let mut kept = Conclusions::default();
-    insert(&mut kept, 3, 5, RemovalGround::NotReportedByHolder, Micros::from_secs(1));
+    insert(&mut kept, 3, 5, RemovalGround::NotReportedByOwner, Micros::from_secs(1));
     assert!(contradicts(&mut kept, 3, 5, TaskState::Fetching, Evidence::StatusOfOtherGrant));
     assert!(
-        !contradicts(&mut kept, 3, 5, TaskState::Fetching, Evidence::HolderStatusOfGang),
+        !contradicts(&mut kept, 3, 5, TaskState::Fetching, Evidence::OwnerStatusOfGang),
         "counted before"
     );
     assert!(!contradicts(&mut kept, 3, 5, TaskState::Running, Evidence::Reply));
--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -156,7 +156,7 @@
                     self.schedule_status();
                 }
                 self.drop_disowned_starts(name);
-                self.cancel_unpermitted_starts(name);
+                self.drop_unpermitted_starts(name);
             }
             DirectReply::Unclear if asked => self.schedule_status(),
             DirectReply::Unclear => {
--- a/src/coordination/peer_statuses.rs
+++ b/src/coordination/peer_statuses.rs
@@ -356,8 +356,8 @@
     /// The revision up to which a machine's owner had applied the records as of its last status; 0 unless its statuses
     /// include the machine under the current grant and none of them was missed.
     pub(super) fn reported_revision(&self, machine: &Machine) -> u64 {
-        let holder = (machine.row.owner.clone(), machine.row.registration);
-        let Some(peer) = self.peers.get(&holder.0).filter(|_| self.machine_knowledge.is_contiguous(&holder))
+        let owner = (machine.row.owner.clone(), machine.row.registration);
+        let Some(peer) = self.peers.get(&owner.0).filter(|_| self.machine_knowledge.is_contiguous(&owner))
         else {
             return 0;
         };
@@ -386,7 +386,7 @@
         {
             return self.apply_status_of_other_grant(told);
         }
-        let evidence = if told.resolved { Evidence::HolderStatus } else { Evidence::UnresolvedHolderStatus };
+        let evidence = if told.resolved { Evidence::OwnerStatus } else { Evidence::UnresolvedOwnerStatus };
         self.check_conclusions(&told.machine, evidence, observed_tasks(told));
         let Some(machine) = self.machines.get(&told.machine) else { return };
         let mut tasks = BTreeMap::new();
@@ -421,7 +421,7 @@
                 tasks.entry(id.clone()).or_insert_with(|| t.clone());
             }
         }
-        self.replace_tasks(&told.machine, tasks, RemovalGround::NotReportedByHolder);
+        self.replace_tasks(&told.machine, tasks, RemovalGround::NotReportedByOwner);
         self.record_cached_images(&told.machine);
         if let Some(machine) = self.machines.get_mut(&told.machine) {
             machine.resolved = told.resolved;
@@ -438,7 +438,7 @@
             machine.idle_since = told.idle_since.unwrap_or(self.now);
         }
         if let Some(node) = node {
-            self.machine_knowledge.holder_reported(&told.machine, &(from.to_owned(), node), told.resolved);
+            self.machine_knowledge.owner_reported(&told.machine, &(from.to_owned(), node), told.resolved);
         }
         for (task, cause, new) in ended {
             if cause == Cause::Done {
--- a/src/coordination/pending_start/tests.rs
+++ b/src/coordination/pending_start/tests.rs
@@ -58,7 +58,7 @@
     awaited: Option<u64>,
     /// The direct call that contains the start.
     call: Call,
-    /// A direct call without orders, which shows the worker a newer token of the same holder.
+    /// A direct call without orders, which shows the worker a newer token of the same owner.
     token_call: Call,
     report: Option<Message>,
     answer: Option<AnswerInTransit>,
@@ -139,7 +139,7 @@
             add("the planned start is dropped", World { start: Start::Gone, ..self.clone() });
         }
         if self.grant == CALL_TOKEN {
-            add("the holder is granted a fresh token", World { grant: NEW_TOKEN, ..self.clone() });
+            add("the owner is granted a fresh token", World { grant: NEW_TOKEN, ..self.clone() });
         }
     }
 
@@ -198,7 +198,7 @@
             _ => {}
         }
         if self.token < NEW_TOKEN && self.grant < NEW_TOKEN {
-            add("another holder shows a newer token", World { token: NEW_TOKEN, ..self.clone() });
+            add("another owner shows a newer token", World { token: NEW_TOKEN, ..self.clone() });
         }
     }
 
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -170,7 +170,7 @@
 
     /// Cancels planned starts on a machine whose permits are no longer valid: a direct call that was not carried out
     /// may have carried them while the view changed.
-    pub(in crate::coordination) fn cancel_unpermitted_starts(&mut self, name: &str) {
+    pub(in crate::coordination) fn drop_unpermitted_starts(&mut self, name: &str) {
         let active_permit = self.active_permit();
         let Some(machine) = self.machines.get(name) else { return };
         let lapsed = |pending: Option<PendingStart>| match pending {
--- a/src/coordination/removal.rs
+++ b/src/coordination/removal.rs
@@ -17,8 +17,8 @@
     NeverSent,
     /// The machine's own report or reply does not show the task, and no order in transit can start it.
     NotReported,
-    /// The status from the machine's holder does not show the task.
-    NotReportedByHolder,
+    /// The status from the machine's owner does not show the task.
+    NotReportedByOwner,
     /// The worker's lease has expired.
     LeaseExpired,
     /// The machine's record was removed, after the cloud confirmed the machine's return.
@@ -31,7 +31,7 @@
         match self {
             RemovalGround::NeverSent => "never_sent",
             RemovalGround::NotReported => "not_reported",
-            RemovalGround::NotReportedByHolder => "holder_said",
+            RemovalGround::NotReportedByOwner => "holder_said",
             RemovalGround::LeaseExpired => "lease_expired",
             RemovalGround::MachineGone => "machine_gone",
         }
@@ -42,7 +42,7 @@
         [
             RemovalGround::NeverSent,
             RemovalGround::NotReported,
-            RemovalGround::NotReportedByHolder,
+            RemovalGround::NotReportedByOwner,
             RemovalGround::LeaseExpired,
             RemovalGround::MachineGone,
         ]
@@ -60,7 +60,7 @@
     SentDirectly,
     /// Sent in a direct call, and repeated in the answer to a report.
     SentBothWays,
-    /// The machine has shown the task to this controller, its holder.
+    /// The machine has shown the task to this controller, its owner.
     Confirmed,
     /// Ordered by another controller, and this one has not heard from the machine under a grant of its own.
     Unknown,
@@ -137,29 +137,29 @@
             return;
         }
         *self.removal_counts.entry(ground).or_default() += removed.len() as u64;
-        // If the conclusion is the holder's, or the machine's record was removed, the holder logs it at level info.
-        let holder_logs =
+        // If the conclusion is the owner's, or the machine's record was removed, the owner logs it at level info.
+        let owner_logs =
             !own && self.registrations.get(&machine.row.owner) == Some(&machine.row.registration);
-        let logged_by_holder = ground == RemovalGround::NotReportedByHolder
-            || ground == RemovalGround::MachineGone && holder_logs;
+        let logged_by_owner =
+            ground == RemovalGround::NotReportedByOwner || ground == RemovalGround::MachineGone && owner_logs;
         for (id, removed) in removed {
-            log_removal(name, id, removed, ground, logged_by_holder);
+            log_removal(name, id, removed, ground, logged_by_owner);
             self.record_conclusion(name, id, removed, ground);
         }
     }
 }
 
-/// Logs a removed task, at level debug if the machine's holder logs the same conclusion (`logged_by_holder`).
+/// Logs a removed task, at level debug if the machine's owner logs the same conclusion (`logged_by_owner`).
 fn log_removal(
     machine: &str,
     id: &TaskId,
     removed: RemovedTask,
     ground: RemovalGround,
-    logged_by_holder: bool,
+    logged_by_owner: bool,
 ) {
     let RemovedTask { attempt, token, session, state, progress } = removed;
     let (task, start, ground_name) = (id.text(), progress.name(), ground.name());
-    if logged_by_holder {
+    if logged_by_owner {
         tracing::debug!(
             task,
             attempt,
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -339,9 +339,9 @@
         for row in changes.changed {
             let supply = self.machine_types.get(&row.kind).map(|t| t.supply()).unwrap_or_default();
             let now = self.now;
-            let holder = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.registration));
+            let owner = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.registration));
             if !self.machines.contains_key(&row.machine) {
-                self.note_first_record(&row.machine, holder.clone(), stamp);
+                self.note_first_record(&row.machine, owner.clone(), stamp);
             }
             let Some(machine) = self.machines.get_mut(&row.machine) else {
                 let machine = Machine::new(row.clone(), shard, stamp, now, supply);
@@ -352,7 +352,7 @@
                 machine.row = row;
                 continue;
             }
-            self.machine_knowledge.machine_granted(&row.machine, holder);
+            self.machine_knowledge.machine_granted(&row.machine, owner);
             tracing::debug!(machine = row.machine, owner = row.owner, token = row.token, "granted");
             self.remote_stops_pending = true;
             // A new token for the same owner keeps the time of the grant. Otherwise a machine that accepts none of its
@@ -386,9 +386,9 @@
     }
 
     /// Records a machine that appears for the first time, in a record of this revision, with its owner if it has one.
-    fn note_first_record(&mut self, name: &str, holder: Option<Incarnation>, revision: u64) {
-        let Some(holder) = holder else { return self.machine_knowledge.machine_granted(name, None) };
-        self.machine_knowledge.machine_discovered(name, holder, revision);
+    fn note_first_record(&mut self, name: &str, owner: Option<Incarnation>, revision: u64) {
+        let Some(owner) = owner else { return self.machine_knowledge.machine_granted(name, None) };
+        self.machine_knowledge.machine_discovered(name, owner, revision);
         // A takeover that is in progress began without this machine, whose record could not be read then.
         if self.takeover_in_progress {
             self.unresolved_machines.insert(name.to_owned());
--- a/src/coordination/worker_lease_expiry.rs
+++ b/src/coordination/worker_lease_expiry.rs
@@ -55,7 +55,7 @@
             tracing::info!(machine = name, "worker lease expired, removing its tasks");
             // Planned starts have not been sent, so they can be planned again in the next session.
             self.replace_tasks(&name, BTreeMap::new(), RemovalGround::LeaseExpired);
-            self.machine_knowledge.holder_reported(&name, &self.incarnation(), true);
+            self.machine_knowledge.owner_reported(&name, &self.incarnation(), true);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.resolved = true;
                 machine.ever_resolved = true;
--- a/src/coordination/worker_reports.rs
+++ b/src/coordination/worker_reports.rs
@@ -235,7 +235,7 @@
             self.handle_task_end(&name, &task, cause);
         }
         if newly_resolved {
-            self.machine_knowledge.holder_reported(&name, &self.incarnation(), true);
+            self.machine_knowledge.owner_reported(&name, &self.incarnation(), true);
             self.check_takeover();
         }
         if state_changed || newly_resolved {
@@ -293,7 +293,7 @@
             .unwrap_or_default();
         self.drop_planned_starts(name, |id| unwanted.contains(id));
         self.drop_disowned_starts(name);
-        self.cancel_unpermitted_starts(name);
+        self.drop_unpermitted_starts(name);
         let live: BTreeMap<String, bool> = self
             .machines
             .get(name)
