--- a/crates/admission/examples/cost.rs
+++ b/crates/admission/examples/cost.rs
@@ -59,7 +59,7 @@
         let class = &names[(id % CLASSES) as usize];
         limiter.decide(Micros::from_millis(id), &format!("j-{id:06}"), "red", class, full);
     });
-    println!("{CLASSES} classes, all turned away: a submission takes {took:.1} us");
+    println!("{CLASSES} classes, all deferred: a submission takes {took:.1} us");
     let now = Micros::from_millis(id);
     let mut planner = Planner::new(Micros::ZERO, 1, Rates { writes: 14_000, calls: 71_000 });
     let members: Vec<(String, u64)> = (0..CONTROLLERS).map(|n| (format!("quarry-{n}"), 1)).collect();
--- a/crates/admission/src/flows.rs
+++ b/crates/admission/src/flows.rs
@@ -15,7 +15,7 @@
 pub const OTHER_FLOWS: &str = "(others)";
 /// The time constant of averaged rates, in seconds.
 const AVERAGING_TIME_S: f64 = 5.0;
-/// A flow with fewer submissions per second than this counts as inactive.
+/// A flow with fewer submissions per second than this counts as idle.
 const MIN_ACTIVE_RATE: f64 = 0.02;
 
 /// A flow: the jobs of one team and class.
--- a/crates/admission/src/pool.rs
+++ b/crates/admission/src/pool.rs
@@ -311,7 +311,7 @@
         }
     }
     let large = large_job_threshold(jobs, flow);
-    // Ordered by the work of all submitted tasks, done or not, so that a job that has started keeps its place.
+    // Ordered by the work of all submitted tasks, done or not, so that a job that has started keeps its position.
     let total_work =
         |i: &usize| jobs[*i].estimated_task_s * f64::from(jobs[*i].total_tasks) * jobs[*i].task_size;
     let mut largest: Vec<usize> = rest.extract_if(.., |i| jobs[*i].total_tasks >= large).collect();
@@ -369,7 +369,7 @@
             last_served = Some((position, i, max_tasks));
         }
     }
-    // A first task keeps its place until it ends. Then the place goes to the next job, by arrival.
+    // A first task keeps its slot until it ends. Then the slot goes to the next job, by arrival.
     let mut first_task_jobs: Vec<usize> =
         unserved.iter().map(|l| l.1).filter(|i| jobs[*i].is_at_first_task()).collect();
     first_task_jobs.sort_unstable_by_key(|i| (!jobs[*i].running, jobs[*i].arrival));
--- a/crates/admission/src/submission_limiter.rs
+++ b/crates/admission/src/submission_limiter.rs
@@ -1,7 +1,7 @@
 //! Rate limiting of job submissions at one controller.
 //!
 //! Without a shortage every submission is admitted. When writes to the state service are short, each flow has a rate,
-//! and a submission that exceeds it is told when to retry: it gets a *retry slot*. The slots are sent to all
+//! and a submission that exceeds it gets a time for its retry, a *retry slot*. The slots are sent to all
 //! controllers, so that each gives the same answer, and a submission that comes back in its slot is admitted before
 //! new ones.
 
@@ -34,7 +34,7 @@
 const MAX_ENTRIES: usize = 8_192;
 const MAX_SLOTS_PER_MESSAGE: usize = 256;
 
-/// Why a submission was turned away.
+/// Why a submission was deferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
     /// Its retry slot is still to come.
@@ -80,7 +80,7 @@
     /// Slots in the order in which they were made.
     slot_order: VecDeque<(Micros, u64)>,
     unsent_slots: VecDeque<u64>,
-    /// Since when users' queries for a job have been turned away, by the hash of its id.
+    /// Since when users' queries for a job have been deferred, by the hash of its id.
     rejected_queries: HashMap<u64, Micros>,
     query_order: VecDeque<(Micros, u64)>,
 }
@@ -216,7 +216,7 @@
             .collect()
     }
 
-    /// Adds another controller's slots. Of two slots of one job the later is kept, as the user was told it last.
+    /// Adds another controller's slots. Of two slots of one job the later is kept, as the user received it last.
     pub fn merge_slots(&mut self, now: Micros, slots: &[RetrySlot]) {
         for slot in slots {
             let due = now + slot.due_in.min(MAX_RETRY_DELAY);
@@ -232,7 +232,7 @@
         self.rejected_queries.get(&xxh3_64(id.as_bytes())).copied().unwrap_or(now)
     }
 
-    /// Notes that a query for a job was turned away.
+    /// Notes that a query for a job was deferred.
     pub fn query_rejected(&mut self, now: Micros, id: &str) {
         self.remove_expired(now);
         let id_hash = xxh3_64(id.as_bytes());
@@ -259,7 +259,7 @@
 
     use super::*;
 
-    /// A user as the protocol describes it: repeats a request after the time it is told, for 60 s.
+    /// A user as the protocol describes it: repeats a request after the time given in the answer, for 60 s.
     struct User {
         id: String,
         class: &'static str,
@@ -339,7 +339,7 @@
             let taken = users.iter().filter(|u| u.taken.is_some()).count();
             assert!(taken * 100 >= users.len() * 97, "seed {seed}: {taken} of {}", users.len());
             for u in users.iter().filter(|u| u.class == "quiet") {
-                assert!(u.rejections <= 3, "seed {seed}: {} was turned away {} times", u.id, u.rejections);
+                assert!(u.rejections <= 3, "seed {seed}: {} was deferred {} times", u.id, u.rejections);
             }
             let frequent = users.iter().filter(|u| u.rejections > 3).count();
             assert!(frequent * 20 <= users.len(), "seed {seed}: {frequent} of {} retried often", users.len());
--- a/crates/recovery/src/machine_knowledge.rs
+++ b/crates/recovery/src/machine_knowledge.rs
@@ -39,7 +39,7 @@
     /// Revision of the record from which this controller learned of the machine, if the machine had an owner by then.
     /// The owners before that revision are unknown.
     first_record_revision: u64,
-    /// Incarnations that have held the machine since, the present owner last.
+    /// Incarnations that have owned the machine since, the present owner last.
     owners: Vec<Incarnation>,
     /// Owners that may have announced something in a missed message since their last status of the machine. The value
     /// is true if such a start may have been ordered all the same, because the owner did not wait for this
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Notes a grant. A machine that is granted to nobody yet is empty.
+    /// Notes a grant. A machine that has never had an owner is empty.
     pub fn machine_granted(&mut self, machine: &str, to: Option<Incarnation>) {
         match to {
             None => {
@@ -207,7 +207,7 @@
         self.is_fully_known_ignoring(machine, |owner| owner == me)
     }
 
-    /// Whether every task that may be on a machine is known, apart from those that the asking controller has ordered
+    /// Whether every task that may be on a machine is known, except those that the asking controller has ordered
     /// there.
     pub fn is_fully_known_except_from(&self, machine: &str, me: &Incarnation, asker: &Incarnation) -> bool {
         self.is_fully_known_ignoring(machine, |owner| owner == me || owner == asker)
@@ -242,8 +242,8 @@
 
     /// Removes ended incarnations that no machine lists as an owner.
     pub fn prune(&mut self, registered: impl Fn(&Incarnation) -> bool) {
-        let held: BTreeSet<&Incarnation> = self.machines.values().flat_map(|s| &s.owners).collect();
-        self.streams.retain(|incarnation, _| registered(incarnation) || held.contains(incarnation));
+        let owners: BTreeSet<&Incarnation> = self.machines.values().flat_map(|s| &s.owners).collect();
+        self.streams.retain(|incarnation, _| registered(incarnation) || owners.contains(incarnation));
     }
 }
 
@@ -255,7 +255,7 @@
         (name.to_owned(), 1)
     }
 
-    /// State of `me`, which has received all messages of `a`; `a` holds the machine m, which is fully known.
+    /// State of `me`, which has received all messages of `a`; `a` owns the machine m, which is fully known.
     fn fully_known_machine() -> (MachineKnowledge, Incarnation, Incarnation) {
         let (mut knowledge, a, me) = (MachineKnowledge::new(), incarnation("a"), incarnation("me"));
         knowledge.set_member_since(Some(10));
@@ -284,7 +284,7 @@
     }
 
     /// Guards against taking a missed message for no news: it may have announced a start, also on a machine that its
-    /// sender no longer holds and so leaves out of its next full status.
+    /// sender no longer owns and so leaves out of its next full status.
     #[test]
     fn a_missed_message_leaves_a_machine_unknown_until_its_owner_reports_again() {
         let (mut knowledge, a, me) = fully_known_machine();
--- a/crates/recovery/src/witness_queries.rs
+++ b/crates/recovery/src/witness_queries.rs
@@ -9,7 +9,7 @@
 
 /// Queries about unresolved machines during one takeover, and the machines on which witnesses have reported.
 ///
-/// A *witness* is any other controller that knows every task that may be on a machine, whether or not it holds the
+/// A *witness* is any other controller that knows every task that may be on a machine, whether or not it owns the
 /// machine. Its answer counts only if the query was sent after every other controller had reported that all it
 /// announced before it applied the present view is confirmed: an earlier answer may lack a start that the witness
 /// has confirmed since.
--- a/src/bookkeeping/blocks.rs
+++ b/src/bookkeeping/blocks.rs
@@ -253,8 +253,8 @@
         (0..rng.random_range(0..300)).map(|n| row(n, rng)).collect()
     }
 
-    /// Guards against a value that outgrows the store's size limit when its machines are granted, and against rows
-    /// that are decoded differently from how they were encoded.
+    /// Guards against a value that outgrows the state service's size limit when its machines are granted, and against
+    /// rows that are decoded differently from how they were encoded.
     #[test]
     fn rows_round_trip_within_their_size_bounds() {
         for seed in 0..200 {
--- a/src/coordination/backfill.rs
+++ b/src/coordination/backfill.rs
@@ -13,7 +13,7 @@
 //! enough room. During the rest of the cycle other jobs pass it, so that no job waits beside idle room for longer than
 //! a cycle and [`BACKFILL_AFTER`].
 //!
-//! Where a team's limit is fully used nothing is idle, and running jobs would take each place that becomes free. An
+//! Where a team's limit is fully used nothing is idle, and running jobs would take each slot that becomes free. An
 //! array that has waited for [`OVERDUE_AFTER`] is backfilled there all the same, and the volumes of its team's running
 //! arrays are lowered by as much: they shrink as their tasks end. Such jobs get at most one part in
 //! [`OVERDUE_LIMIT_DIVISOR`] of the limit, so that other jobs complete.
@@ -40,14 +40,14 @@
 /// limit leaves.
 const GANG_HOLD_CYCLE: Micros = Micros::from_secs(50);
 pub(super) const GANG_HOLD_TIME: Micros = Micros::from_secs(35);
-/// A backfilled job that has found no place within this time gives its room up, and is tried again after
+/// A backfilled job that could not be placed within this time gives its room up, and is tried again after
 /// [`BACKFILL_RETRY_DELAY`].
 pub(super) const BACKFILL_TIMEOUT: Micros = Micros::from_secs(20);
 pub(super) const BACKFILL_RETRY_DELAY: Micros = Micros::from_secs(10);
 /// Beside this many backfilled jobs of a team, none of its gangs is backfilled: gangs would take the room that is left
 /// for gangs that have their turn.
 const MAX_BACKFILLED_IN_GANG_ROOM: usize = 64;
-/// Maximum number of searches among the machines in a round that find no place. The next round continues after the job
+/// Maximum number of searches among the machines in a round that find no slots. The next round continues after the job
 /// of the last one.
 const MAX_FAILED_SEARCHES: usize = 100;
 
@@ -55,7 +55,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Backfill {
     jobs: BTreeMap<String, BackfilledJob>,
-    /// Jobs that found no place, and when each may be tried again.
+    /// Jobs that could not be placed, and when each may be tried again.
     retry_at: BTreeMap<String, Micros>,
     /// The job of the last search in a round that used up [`MAX_FAILED_SEARCHES`].
     resume_after: Option<String>,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Everything that a search for places depends on: if it fails for one job, it fails for all jobs with an equal key.
+/// Everything that a search for slots depends on: if it fails for one job, it fails for all jobs with an equal key.
 #[derive(PartialEq, Eq, Hash)]
 struct SearchKey {
     need: Resources,
@@ -163,7 +163,7 @@
             if failed_searches.contains(&search_key) {
                 continue;
             }
-            if !self.allocate_places(&mut idle.machines, accelerator_policy, &job.spec, u64::from(tasks)) {
+            if !self.allocate_slots(&mut idle.machines, accelerator_policy, &job.spec, u64::from(tasks)) {
                 if holding && job.is_gang() {
                     self.hold_gang_machines(&mut idle.machines, &job.spec);
                 }
@@ -188,7 +188,7 @@
     }
 
     /// Counts by team the jobs that are backfilled into room that a gang of the team could use. Those that wait for the
-    /// limit take places of running arrays instead, and jobs of other teams use nothing of the team's limit.
+    /// limit take slots of running arrays instead, and jobs of other teams use nothing of the team's limit.
     fn backfilled_in_gang_room(&self, backfill: &Backfill) -> HashMap<&str, usize> {
         let mut counts = HashMap::new();
         let in_gang_room = backfill.jobs.iter().filter(|(_, entry)| !entry.waits_for_limit);
@@ -198,7 +198,7 @@
         counts
     }
 
-    /// Keeps each backfilled job until its initial allocation has ended, or until it has found no place for too long.
+    /// Keeps each backfilled job until its initial allocation has ended, or until it could not be placed for too long.
     fn update_backfilled(&self, backfill: &mut Backfill, volumes: &mut Vec<Volume>) {
         let now = self.now;
         backfill.retry_at.retain(|id, until| *until > now && self.jobs.contains_key(id.as_str()));
@@ -359,7 +359,7 @@
                 *zones.entry(zone).or_default() += spec.need().times_in(*room);
             }
         }
-        let most = zones.into_iter().max_by_key(|(_, places)| *places).map(|(zone, _)| zone);
+        let most = zones.into_iter().max_by_key(|(_, slots)| *slots).map(|(zone, _)| zone);
         rooms.retain(|name, room| of_gang(name, *room).is_none_or(|zone| Some(zone) != most));
     }
 
@@ -378,9 +378,9 @@
         }
     }
 
-    /// Takes room for the given number of tasks of a job, whichever members hold the machines. Returns whether there is
+    /// Takes room for the given number of tasks of a job, whichever members own the machines. Returns whether there is
     /// enough.
-    fn allocate_places(
+    fn allocate_slots(
         &self,
         rooms: &mut BTreeMap<String, Resources>,
         accelerator_policy: AcceleratorPolicy,
@@ -396,16 +396,16 @@
                 continue;
             };
             let zone = if spec.one_zone { m.row.zone.as_str() } else { "" };
-            let places = zones.entry(zone).or_default();
-            let before: u64 = places.iter().map(|(_, n)| n).sum();
+            let slots_by_machine = zones.entry(zone).or_default();
+            let before: u64 = slots_by_machine.iter().map(|(_, n)| n).sum();
             let here = accelerator_policy
                 .tasks_that_fit(spec, m, self.room_available_to(spec, name, *room))
                 .min(tasks - before);
             if here > 0 {
-                places.push((name.clone(), here));
+                slots_by_machine.push((name.clone(), here));
             }
             if before + here == tasks {
-                chosen = Some(std::mem::take(places));
+                chosen = Some(std::mem::take(slots_by_machine));
                 break;
             }
         }
--- a/src/coordination/conclusions.rs
+++ b/src/coordination/conclusions.rs
@@ -53,8 +53,8 @@
     OwnerStatus,
     /// The owner's status of a gang's task: a lost member is restarted under the gang's attempt.
     OwnerStatusOfGang,
-    /// The status of an owner that has not heard from the machine under its grant yet: it repeats a former owner's
-    /// status.
+    /// The status of an owner that has received no message of the machine under its grant yet: it repeats a former
+    /// owner's status.
     UnresolvedOwnerStatus,
     /// A report or reply under an older token than the current one.
     OlderToken,
--- a/src/coordination/conclusions/tests.rs
+++ b/src/coordination/conclusions/tests.rs
@@ -54,7 +54,7 @@
     assert!(kept.questioned.is_empty());
 }
 
-/// Guards against false alarms from another attempt, another task, and an end that only the owner had been told of.
+/// Guards against false alarms from another attempt, another task, and an end that only the owner knew.
 #[test]
 fn another_attempt_and_an_end_known_to_the_owner_contradict_nothing() {
     let mut kept = Conclusions::default();
--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -39,12 +39,12 @@
             {
                 continue;
             }
-            // A worker that has never been heard is most likely in its first session. If not, its reply contains the
-            // session.
+            // A worker that has never sent a message is most likely in its first session. If not, its reply contains
+            // the session.
             let (session, token) = (m.session.max(1), m.row.token);
             let mut orders = Vec::new();
-            let unheard = !m.unresponsive && m.last_heard.is_some_and(|at| now.since(at) > overdue);
-            if m.resolved && (unheard || m.delivery.is_not_receiving()) {
+            let silent = !m.unresponsive && m.last_heard.is_some_and(|at| now.since(at) > overdue);
+            if m.resolved && (silent || m.delivery.is_not_receiving()) {
                 // A call without orders probes whether the machine still answers.
                 m.probe_in_flight = true;
                 m.next_call_at = now + Micros::from_secs(1);
@@ -118,10 +118,10 @@
         }
         let asked = std::mem::take(&mut m.probe_in_flight);
         let starting = std::mem::take(&mut m.starts_in_call);
-        let silent = matches!(reply, DirectReply::Unclear | DirectReply::NotSent);
-        m.unanswered_calls = if silent && !m.resolved { m.unanswered_calls + 1 } else { 0 };
+        let no_reply = matches!(reply, DirectReply::Unclear | DirectReply::NotSent);
+        m.unanswered_calls = if no_reply && !m.resolved { m.unanswered_calls + 1 } else { 0 };
         m.unresponsive |=
-            silent && (asked || m.unanswered_calls >= MAX_UNANSWERED_CALLS && m.last_heard.is_none());
+            no_reply && (asked || m.unanswered_calls >= MAX_UNANSWERED_CALLS && m.last_heard.is_none());
         let first_contact = m.session == 0;
         match &reply {
             DirectReply::Done(_) => {}
@@ -140,7 +140,7 @@
                 }
                 self.counters.starts_already_answered += answered_before;
                 if !starting.is_empty() {
-                    let outcome = if silent { "not sent" } else { "rejected" };
+                    let outcome = if no_reply { "not sent" } else { "rejected" };
                     let starts = starting.len();
                     tracing::info!(
                         machine = name,
@@ -151,7 +151,7 @@
                         "direct call with starts was not carried out"
                     );
                 }
-                m.next_call_at = if first_contact && !silent { now } else { now + CALL_RETRY_DELAY };
+                m.next_call_at = if first_contact && !no_reply { now } else { now + CALL_RETRY_DELAY };
                 if m.unresponsive {
                     self.schedule_status();
                 }
--- a/src/coordination/fleet_demand.rs
+++ b/src/coordination/fleet_demand.rs
@@ -42,12 +42,12 @@
         let decay = (-now.since(lead.fleet.demand_updated_at).as_secs_f64() / PEAK_DECAY_S).exp();
         lead.fleet.demand_updated_at = now;
         lead.fleet.demand_margin = lead.fleet.demand_margin.scaled(decay).max(margin);
-        for (ordinary, all) in lead.fleet.peak_demand.values_mut() {
-            (*ordinary, *all) = (ordinary.scaled(decay), all.scaled(decay));
+        for (on_demand, all) in lead.fleet.peak_demand.values_mut() {
+            (*on_demand, *all) = (on_demand.scaled(decay), all.scaled(decay));
         }
-        for (team, (ordinary, all)) in demand {
+        for (team, (on_demand, all)) in demand {
             let peak = lead.fleet.peak_demand.entry(team).or_default();
-            *peak = (peak.0.max(ordinary), peak.1.max(all));
+            *peak = (peak.0.max(on_demand), peak.1.max(all));
         }
     }
 
@@ -112,42 +112,42 @@
         self.machine_types.values().filter(suitable).map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 
-    /// Current demand of each team: of jobs that need ordinary (non-spot) machines, and of all jobs.
+    /// Current demand of each team: of jobs that need on-demand (not spot) machines, and of all jobs.
     pub(super) fn current_demand(&self) -> BTreeMap<&str, (Resources, Resources)> {
         let mut by_team: BTreeMap<&str, (Resources, Resources)> = BTreeMap::new();
         for job in self.jobs.values() {
             let demand = job.spec.need().times(u64::from(job.unfinished()));
-            let (ordinary, all) = by_team.entry(&job.spec.team).or_default();
+            let (on_demand, all) = by_team.entry(&job.spec.team).or_default();
             *all = all.plus(demand);
             if !job.spec.spot {
-                *ordinary = ordinary.plus(demand);
+                *on_demand = on_demand.plus(demand);
             }
         }
         by_team
     }
 
-    /// Capacity to keep available for the guarantees: of ordinary machines, and of all machines. The guarantees may add
-    /// up to more than can be rented, so each counts only up to its team's peak demand.
+    /// Capacity to keep available for the guarantees: of on-demand machines, and of all machines. The guarantees may
+    /// add up to more than can be rented, so each counts only up to its team's peak demand.
     pub(super) fn guarantee_targets(&self) -> (Resources, Resources) {
         let mut sum = (Resources::default(), Resources::default());
         let mut limit = Resources::default();
         let Some(lead) = &self.leader_state else { return sum };
         for team in &self.settings.params.teams {
-            let Some((ordinary, all)) = lead.fleet.peak_demand.get(&team.name) else { continue };
+            let Some((on_demand, all)) = lead.fleet.peak_demand.get(&team.name) else { continue };
             let guarantee = Resources::need(team.cpus, team.gpus, 0.0);
-            sum = (sum.0.plus(ordinary.min(guarantee)), sum.1.plus(all.min(guarantee)));
+            sum = (sum.0.plus(on_demand.min(guarantee)), sum.1.plus(all.min(guarantee)));
             limit = limit.plus(guarantee);
         }
-        let ordinary = sum.0.plus(lead.fleet.demand_margin).min(limit);
-        (ordinary, sum.1.max(ordinary))
+        let on_demand = sum.0.plus(lead.fleet.demand_margin).min(limit);
+        (on_demand, sum.1.max(on_demand))
     }
 
-    /// Capacity of the machines that exist or are booting and are expected to stay: of ordinary ones, and of all.
+    /// Capacity of the machines that exist or are booting and are expected to stay: of on-demand ones, and of all.
     pub(super) fn retained_supply(&self) -> (Resources, Resources) {
         let retained =
             self.machines.values().filter(|m| !m.row.returning && !m.quarantined && !m.preemption_notice);
-        retained.fold(Default::default(), |(ordinary, all): (Resources, Resources), m| {
-            (if m.row.spot { ordinary } else { ordinary.plus(m.supply) }, all.plus(m.supply))
+        retained.fold(Default::default(), |(on_demand, all): (Resources, Resources), m| {
+            (if m.row.spot { on_demand } else { on_demand.plus(m.supply) }, all.plus(m.supply))
         })
     }
 }
--- a/src/coordination/fleet_scaling.rs
+++ b/src/coordination/fleet_scaling.rs
@@ -17,7 +17,7 @@
 
 /// Maximum number of machines in one rental request.
 const MAX_MACHINES_PER_REQUEST: u64 = 50;
-/// Maximum number of rental requests per machine type, zone and pricing (spot or ordinary) in one round.
+/// Maximum number of rental requests per machine type, zone and pricing (spot or on-demand) in one round.
 const MAX_REQUESTS_PER_ROUND: u64 = 4;
 /// How long a new leader collects the state of the fleet before it rents.
 const NEW_LEADER_RENTAL_DELAY: Micros = Micros::from_secs(2);
@@ -69,16 +69,16 @@
     /// Machines that the cloud has listed as failed.
     pub failed: BTreeSet<String>,
     pub last_rental_at: Micros,
-    /// Each team's recent peak demand, which decays: of jobs that need ordinary (non-spot) machines, and of all.
+    /// Each team's recent peak demand, which decays: of jobs that need on-demand (not spot) machines, and of all.
     pub peak_demand: BTreeMap<String, (Resources, Resources)>,
-    /// Likely variation of the demand of jobs that need ordinary machines. A few large jobs vary more than many
+    /// Likely variation of the demand of jobs that need on-demand machines. A few large jobs vary more than many
     /// small ones.
     pub demand_margin: Resources,
     pub demand_updated_at: Micros,
     /// The latest array of each class, and the recent arrivals of the class: time and number of tasks.
     pub recent_arrivals: BTreeMap<String, (JobSpec, VecDeque<(Micros, u32)>)>,
     /// Controllers and zones: when the controller last could not reach most of its machines in that zone.
-    pub last_unreachable: BTreeMap<(String, String), Micros>,
+    pub silent_zones: BTreeMap<(String, String), Micros>,
     /// Since when there has been no live job, if there is none.
     pub no_jobs_since: Option<Micros>,
 }
@@ -201,7 +201,7 @@
     fn is_gone(&self, name: &str, m: &Machine) -> bool {
         let unlisted = self.leader_state.as_ref().is_some_and(|l| l.fleet.unlisted.contains(name));
         let reported_in_time =
-            m.resolved && f64::from(self.seconds_unheard(m)) <= self.max_report_gap().as_secs_f64();
+            m.resolved && f64::from(self.seconds_silent(m)) <= self.max_report_gap().as_secs_f64();
         unlisted && !reported_in_time
     }
 
@@ -218,7 +218,7 @@
             Some("slow to boot")
         } else if m.quarantined {
             Some("faulty")
-        } else if !m.never_granted() && m.resolved && self.seconds_unheard(m) > lease_s + 25 {
+        } else if !m.never_granted() && m.resolved && self.seconds_silent(m) > lease_s + 25 {
             Some("silent")
         } else if !m.never_granted()
             && m.up
@@ -302,9 +302,9 @@
         if self.no_jobs_lately() {
             return idle;
         }
-        let (ordinary, all) = self.guarantee_targets();
-        let (mut has_ordinary, mut has_all) = self.retained_supply();
-        // Ordinary machines cost more than spot ones and are returned first.
+        let (on_demand, all) = self.guarantee_targets();
+        let (mut has_on_demand, mut has_all) = self.retained_supply();
+        // On-demand machines cost more than spot ones and are returned first.
         idle.sort_by_key(|name| self.machines[name].row.spot);
         let mut names = Vec::new();
         for name in idle {
@@ -321,12 +321,12 @@
                 (target.cpu > 0 && m.supply.gpu == 0 && remaining.cpu < target.cpu)
                     || (target.gpu > 0 && m.supply.gpu > 0 && remaining.gpu < target.gpu)
             };
-            if is_short(all, has_all) || !m.row.spot && is_short(ordinary, has_ordinary) {
+            if is_short(all, has_all) || !m.row.spot && is_short(on_demand, has_on_demand) {
                 continue;
             }
             has_all = has_all.minus(m.supply);
             if !m.row.spot {
-                has_ordinary = has_ordinary.minus(m.supply);
+                has_on_demand = has_on_demand.minus(m.supply);
             }
             names.push(name);
         }
@@ -339,7 +339,8 @@
         since.is_some_and(|at| self.now.since(at) > NO_JOBS_PERIOD)
     }
 
-    /// Rents machines for tasks that found no place, for expected arrivals, for room to keep free and for guarantees.
+    /// Rents machines for tasks that could not be placed, for expected arrivals, for room to keep free and for
+    /// guarantees.
     pub(super) fn scale_up(&mut self) {
         let now = self.now;
         self.update_peak_demand();
@@ -564,7 +565,7 @@
         self.jobs.get(&task.job).is_some_and(|j| j.spec.shape == Shape::Service)
     }
 
-    /// Number of slots held by tasks with similar needs. Replicas of services do not count, as they do not end by
+    /// Number of slots occupied by tasks with similar needs. Replicas of services do not count, as they do not end by
     /// themselves.
     fn occupied_slots(&self, spec: &JobSpec) -> usize {
         let need = spec.need();
@@ -608,9 +609,9 @@
                     .filter(|t| (t.gpus > 0.0) == accelerated)
                     .flat_map(|t| t.zones.iter().map(move |z| (t, z)))
                     .flat_map(|(t, z)| {
-                        let ordinary = (t, t.price, (t.name.clone(), z.clone(), false));
+                        let on_demand = (t, t.price, (t.name.clone(), z.clone(), false));
                         let cheap = (t, t.spot_price, (t.name.clone(), z.clone(), true));
-                        spot.then_some(cheap).into_iter().chain([ordinary])
+                        spot.then_some(cheap).into_iter().chain([on_demand])
                     })
                     .filter(|(_, _, key)| !self.is_refused(key))
                     .min_by(|a, b| {
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -71,8 +71,9 @@
     ) -> usize {
         let Some(job) = self.jobs.get(id) else { return 0 };
         let mut attempts = BTreeSet::new();
-        for (index, places) in &job.placements {
-            for t in places.iter().filter_map(|m| self.machines.get(m)?.tasks.get(&TaskId::new(id, *index))) {
+        for (index, machines) in &job.placements {
+            for t in machines.iter().filter_map(|m| self.machines.get(m)?.tasks.get(&TaskId::new(id, *index)))
+            {
                 if !matches!(t.state, TaskState::Fetching | TaskState::Waiting) || t.stop_grace.is_some() {
                     return 0;
                 }
@@ -103,7 +104,7 @@
             let tasks: Vec<(&String, TaskId)> = job
                 .placements
                 .iter()
-                .flat_map(|(i, places)| places.iter().map(|m| (m, TaskId::new(id, *i))))
+                .flat_map(|(i, machines)| machines.iter().map(|m| (m, TaskId::new(id, *i))))
                 .collect();
             let stopped = tasks.iter().any(|(m, t)| {
                 self.machines.get(*m).is_some_and(|m| {
--- a/src/coordination/knowledge.rs
+++ b/src/coordination/knowledge.rs
@@ -58,7 +58,7 @@
     Uncertain,
 }
 
-/// Maximum age of a state service reply on which a user is told that a job is live, or unknown. Replies take
+/// Maximum age of a state service reply on which a user gets the answer that a job is live, or unknown. Replies take
 /// milliseconds, and occasionally a few hundred.
 const MAX_LOOKUP_AGE: Micros = Micros::from_millis(500);
 
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -343,7 +343,7 @@
     pub(super) fn handle_grant_reply(&mut self, reply: StoreReply) {
         let granted = matches!(reply, StoreReply::Committed { .. });
         self.counters.grant_conflicts += u64::from(!granted);
-        // The next grant is computed from the replica, so the store's changes are requested at once.
+        // The next grant is computed from the replica, so the state service's changes are requested at once.
         self.next_follow_at = self.next_follow_at.map(|_| self.now);
         if let Some(lead) = &mut self.leader_state {
             lead.grant_in_flight = false;
@@ -364,7 +364,7 @@
             && self.owner_is_registered(machine)
             && machine.up
             && !machine.unresponsive
-            && self.seconds_unheard(machine) < 10
+            && self.seconds_silent(machine) < 10
     }
 
     /// Logs a summary of the deployment for operators.
@@ -487,7 +487,7 @@
     }
 
     /// Chooses the machines on which room is kept for classes that must start sooner than a machine boots, as pairs
-    /// of machine and class: those that fetch images fastest, of which enough is free or held by tasks of lower
+    /// of machine and class: those that fetch images fastest, of which enough is free or used by tasks of lower
     /// priority.
     fn choose_fast_start_machines(&self) -> Vec<(String, String)> {
         let mut kept: Vec<(String, String)> = Vec::new();
@@ -532,7 +532,7 @@
         self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == node)
     }
 
-    /// Whether every registered controller is known to have applied the store's changes up to this revision.
+    /// Whether every registered controller is known to have applied the state service's changes up to this revision.
     pub(super) fn all_controllers_applied(&self, revision: u64) -> bool {
         let applied = |m: &str, node| self.status_of(m, node).is_some_and(|s| s.applied_revision >= revision);
         self.registrations
--- a/src/coordination/machine_moves.rs
+++ b/src/coordination/machine_moves.rs
@@ -14,8 +14,8 @@
 /// A machine that has just been moved is not moved again for this long.
 pub(super) const MOVE_COOLDOWN: Micros = Micros::from_secs(4);
 
-/// How often a machine is moved to a controller that hears it without being resolved there, before the leader concludes
-/// that it receives no messages.
+/// How often a machine is moved to a controller that receives its reports without being resolved there, before the
+/// leader concludes that it receives no messages.
 pub(super) const MAX_RESCUE_MOVES: u32 = 2;
 
 /// How many more tasks of a job each zone may take; `None` if the job has no constraint on zones.
@@ -27,7 +27,7 @@
     machine: &'a Machine,
     /// Room that the plan leaves.
     room: Resources,
-    /// The member that holds it, or is to hold it by the plan; empty if it has never been granted.
+    /// The member that owns it, or is to own it by the plan; empty if it has never been granted.
     planned_owner: &'a str,
     /// It is up and has never been granted.
     awaiting_first_grant: bool,
@@ -87,8 +87,8 @@
                 &gang_reservations,
                 accelerator_policy,
             ) {
-                Ok(places) => {
-                    for (candidate, n) in places {
+                Ok(slots_by_candidate) => {
+                    for (candidate, n) in slots_by_candidate {
                         let candidate = &mut candidates[candidate];
                         candidate.room = candidate.room.minus(shortfall.job.spec.need().times(n));
                         reserved_by_plan.insert(candidate.name.to_owned());
@@ -116,7 +116,7 @@
             }
             shortfall.missing = 0;
         }
-        // First place tasks on the machines that their owners already hold, then on machines that must change owner.
+        // First place tasks on the machines that their owners already have, then on machines that must change owner.
         for own in [true, false] {
             for shortfall in order.iter_mut().filter(|s| s.missing > 0) {
                 for candidate in self.fill_shortfall(
@@ -214,7 +214,7 @@
         order
     }
 
-    /// Takes room for a job's missing tasks: on the machines that its owner holds if `own`, otherwise on others.
+    /// Takes room for a job's missing tasks: on the machines of its owner if `own`, otherwise on others.
     /// Returns the indices of the machines on which tasks are planned.
     fn fill_shortfall(
         &self,
@@ -360,15 +360,15 @@
         let mut rows = rows.clone();
         rows.sort();
         let mut left = size;
-        let mut places = Vec::new();
+        let mut slots_by_candidate = Vec::new();
         for machine_slots in rows {
             let n = machine_slots.slots.min(left);
             if n > 0 {
-                places.push((machine_slots.candidate, n));
+                slots_by_candidate.push((machine_slots.candidate, n));
                 left -= n;
             }
         }
-        Ok(places)
+        Ok(slots_by_candidate)
     }
 
     /// The machines to keep for a gang while further machines for it are still booting. Returned as idle meanwhile,
@@ -388,9 +388,9 @@
         let mut missing = u64::from(spec.tasks);
         let mut kept = Vec::new();
         for candidate in candidates.iter().filter(|candidate| suitable(candidate.machine)) {
-            let places = spec.need().times_in(candidate.room);
-            if places > 0 && missing > 0 {
-                missing = missing.saturating_sub(places);
+            let slots = spec.need().times_in(candidate.room);
+            if slots > 0 && missing > 0 {
+                missing = missing.saturating_sub(slots);
                 kept.push(candidate.name.to_owned());
             }
         }
@@ -409,7 +409,7 @@
         self.now.since(job.known_since).as_secs_f64() > self.tuning.longest_wait_s
     }
 
-    /// Notes that a machine has reported to a controller that does not hold it.
+    /// Notes that a machine has reported to a controller that does not own it.
     pub(super) fn note_misdirected_report(&mut self, machine: String, by: String) {
         let now = self.now;
         if let Some(lead) = &mut self.leader_state {
@@ -417,12 +417,12 @@
         }
     }
 
-    /// Moves a machine that its owner has not heard from for a while, and another controller has, to that controller:
+    /// Moves a machine that is silent to its owner but has reported to another controller, to that controller:
     /// the connection between machine and owner is cut, and the machine would lose its tasks when its lease expires.
     ///
-    /// A machine that is heard by one controller after another and never confirms a grant of any of them receives no
+    /// A machine that reports to one controller after another and never confirms a grant of any of them receives no
     /// messages. Without [`MAX_RESCUE_MOVES`], such a machine was moved again and again, was neither resolved nor
-    /// returned, and held its tasks forever.
+    /// returned, and kept its tasks forever.
     fn rescue_unreachable(&mut self, moves: &mut BTreeMap<String, String>) {
         let mut rescue_moves =
             self.leader_state.as_mut().map(|l| std::mem::take(&mut l.rescue_moves)).unwrap_or_default();
@@ -447,11 +447,11 @@
             };
             let owner_silence =
                 self.peers.get(&m.row.owner).map_or(Micros::MAX, |p| self.now.since(p.last_heard));
-            let unheard_by_owner = self.seconds_unheard(m) >= silence_limit
+            let silent_to_owner = self.seconds_silent(m) >= silence_limit
                 || owner_silence > Micros::from_secs(u64::from(silence_limit));
             let rescues = rescue_moves.get(name).copied().unwrap_or(0);
             let may_move = m.row.owner != *by && !lead.moved_at.contains_key(name);
-            if recent && unheard_by_owner && may_move && rescues < MAX_RESCUE_MOVES {
+            if recent && silent_to_owner && may_move && rescues < MAX_RESCUE_MOVES {
                 rescue_moves.insert(name.clone(), rescues + 1);
                 moves.insert(name.clone(), by.clone());
             }
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -3,7 +3,7 @@
 //!
 //! One lease of the state service carries both the registration and, for the leader, the leadership. A machine's
 //! grant is valid for as long as the registration that it was made to, so the lease covers the grants as well, and
-//! renewing it takes no write to the store.
+//! renewing it takes no write to the state service.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 
 /// How long a worker's failover from its owner to another controller counts as evidence against the owner.
 const FAILOVER_WINDOW: Micros = Micros::from_secs(5);
-/// How long a worker that was redirected to an unresponsive owner may take to report here again.
+/// How long a worker may take to report here again after it was redirected to an owner that does not answer it.
 const REDIRECT_RETURN_WINDOW: Micros = Micros::from_secs(10);
 /// How long a controller that does not refuse connections may be silent before it is suspected.
 const SILENCE_TIMEOUT: Micros = Micros::from_secs(4);
@@ -23,13 +23,13 @@
 const PAUSE_THRESHOLD: Micros = Micros::from_millis(1_500);
 /// Delay before a failed renewal of the lease is repeated.
 const RENEW_RETRY_DELAY: Micros = Micros::from_millis(400);
-/// How long the store holds a request for changes open if there are none. The replica's age is counted from the last
-/// answered request, so the hold must be short enough that a store without changes does not make the replica seem
-/// older than the last renewal.
+/// How long the state service keeps a request for changes open if there are none. The replica's age is counted from the
+/// last answered request, so the hold must be short enough that a state service without changes does not make the
+/// replica seem older than the last renewal.
 const WATCH_HOLD: Micros = Micros::from_secs(1);
 
 impl Controller {
-    /// Registers if necessary, renews the lease, follows the store's changes, and elects or evicts controllers.
+    /// Registers if necessary, renews the lease, follows the state service's changes, and elects or evicts controllers.
     pub(super) fn membership_tick(&mut self) {
         match self.phase {
             Phase::Unregistered if self.join_backoff.ready(self.now) => {
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -99,21 +99,21 @@
     /// Adds a machine that the task is on or may be on.
     pub fn add_placement(&mut self, index: u32, machine: &str) {
         self.set_ended(index, machine, false);
-        let places = self.placements.entry(index).or_default();
-        if places.is_empty() && !self.done.contains(index) {
+        let machines = self.placements.entry(index).or_default();
+        if machines.is_empty() && !self.done.contains(index) {
             self.placed += 1;
         }
-        if !places.iter().any(|m| m == machine) {
-            places.push(machine.to_owned());
+        if !machines.iter().any(|m| m == machine) {
+            machines.push(machine.to_owned());
         }
     }
 
     /// Removes a machine that the task is certainly not on any more.
     pub fn remove_placement(&mut self, index: u32, machine: &str) {
         self.set_ended(index, machine, false);
-        if let Some(places) = self.placements.get_mut(&index) {
-            places.retain(|m| m != machine);
-            if places.is_empty() {
+        if let Some(machines) = self.placements.get_mut(&index) {
+            machines.retain(|m| m != machine);
+            if machines.is_empty() {
                 self.placements.remove(&index);
                 if !self.done.contains(index) {
                     self.placed -= 1;
@@ -125,11 +125,11 @@
 
     /// Sets whether the machine has reported the task as ended.
     pub fn set_ended(&mut self, index: u32, machine: &str, ended: bool) {
-        let place = (index, machine.to_owned());
+        let placement = (index, machine.to_owned());
         if ended {
-            self.ended_placements.insert(place);
+            self.ended_placements.insert(placement);
         } else if !self.ended_placements.is_empty() {
-            self.ended_placements.remove(&place);
+            self.ended_placements.remove(&placement);
         }
     }
 
@@ -148,8 +148,8 @@
 
     /// Number of placements at which tasks run or may run.
     pub fn placements_in_use(&self) -> u64 {
-        let places: u64 = self.placements.values().map(|places| places.len() as u64).sum();
-        places.saturating_sub(self.ended_placements.len() as u64)
+        let placements: u64 = self.placements.values().map(|machines| machines.len() as u64).sum();
+        placements.saturating_sub(self.ended_placements.len() as u64)
     }
 
     /// Number of tasks that have a placement and are not done.
@@ -165,7 +165,7 @@
     /// How many more tasks the leader's last volume allows the job to have placed.
     pub fn remaining_volume(&self) -> u32 {
         match self.turn {
-            // The volume covers the job's first task only; once that ends, another job uses its place.
+            // The volume covers the job's first task only; once that ends, another job uses its slot.
             Turn::First if self.started() > 0 => 0,
             Turn::Backfill if self.placed > 0 && self.spec.shape == Shape::Array => 0,
             _ => self.volume.saturating_sub(self.placed),
--- a/src/coordination/peer_statuses.rs
+++ b/src/coordination/peer_statuses.rs
@@ -98,28 +98,28 @@
     /// Every machine is compared with what was sent, rather than marked as changed in each place that changes it: there
     /// are many such places, and a missing mark would hide a task from the other controllers.
     fn collect_machine_changes(&mut self, regular: bool) -> (Vec<MachineStatus>, Vec<Tally>) {
-        let mut told = std::mem::take(&mut self.sent_machine_statuses);
-        told.retain(|name, _| self.machines.get(name).is_some_and(|m| self.owns(m)));
+        let mut sent_statuses = std::mem::take(&mut self.sent_machine_statuses);
+        sent_statuses.retain(|name, _| self.machines.get(name).is_some_and(|m| self.owns(m)));
         let mut statuses = Vec::new();
         let mut tallies = Vec::new();
         for (name, m) in self.machines.iter().filter(|(_, m)| self.owns(m)) {
             let read = (m.session, m.tally);
-            let before = told.get_mut(name);
+            let before = sent_statuses.get_mut(name);
             let unchanged = before.as_ref().is_some_and(|(status, _)| self.matches_status(m, status));
             if !unchanged {
                 let status = self.machine_status(m);
                 statuses.push(status.clone());
-                told.insert(name.clone(), (status, (0, 0)));
+                sent_statuses.insert(name.clone(), (status, (0, 0)));
             }
             if (regular || !unchanged)
-                && let Some((_, sent)) = told.get_mut(name)
+                && let Some((_, sent)) = sent_statuses.get_mut(name)
                 && *sent != read
             {
                 *sent = read;
                 tallies.push(Tally { machine: name.clone(), session: read.0, tally: read.1 });
             }
         }
-        self.sent_machine_statuses = told;
+        self.sent_machine_statuses = sent_statuses;
         (statuses, tallies)
     }
 
@@ -147,8 +147,9 @@
         machine.idle().then_some(machine.idle_since)
     }
 
-    /// When an own machine was last heard, if that is longer ago than the longest regular time between reports.
-    fn unheard_since(&self, machine: &Machine) -> Option<Micros> {
+    /// When the last message of an own machine was received, if that is longer ago than the longest regular time
+    /// between reports.
+    fn owner_silent_since(&self, machine: &Machine) -> Option<Micros> {
         let last = machine.last_heard.unwrap_or(machine.known_since);
         (self.now.since(last) > self.max_report_gap()).then_some(last)
     }
@@ -166,7 +167,7 @@
             && status.preemption_notice == m.preemption_notice
             && status.unresponsive == m.unresponsive
             && status.tasks.len() == m.tasks.len()
-            && status.silent_since == self.unheard_since(m)
+            && status.silent_since == self.owner_silent_since(m)
             && status.idle_since == Self::idle_since(m)
             && status.addr == m.addr
             && m.tasks.iter().zip(&status.tasks).all(same_task)
@@ -191,7 +192,7 @@
             preemption_notice: m.preemption_notice,
             unresponsive: m.unresponsive,
             idle_since: Self::idle_since(m),
-            silent_since: self.unheard_since(m),
+            silent_since: self.owner_silent_since(m),
             tasks: tasks.collect(),
         }
     }
@@ -242,7 +243,7 @@
                 self.status_acknowledged((from.clone(), stamp), sequence);
                 self.handle_confirmation((from, stamp), sequence);
             }
-            PeerMessage::LoadReport(word) => self.handle_load_report(&from, word),
+            PeerMessage::LoadReport(report) => self.handle_load_report(&from, report),
             PeerMessage::RatePlan(plan) => self.handle_rate_plan(&plan),
             PeerMessage::Volumes {
                 leader_registration: leader,
@@ -274,15 +275,15 @@
         if self.registrations.get(&from) != Some(&status.registration) {
             return;
         }
-        let life = (from.clone(), status.registration);
-        if !self.machine_knowledge.is_newest(&life, status.position()) {
+        let incarnation = (from.clone(), status.registration);
+        if !self.machine_knowledge.is_newest(&incarnation, status.position()) {
             self.counters.statuses_outdated += 1;
             return;
         }
         let (now, clock) = (self.now, status.clock);
         let to_local_clock = |at: &mut Option<Micros>| *at = at.map(|at| now.since(clock.since(at)));
-        let mut machines_told = std::mem::take(&mut status.machines);
-        for machine_status in &mut machines_told {
+        let mut machine_statuses = std::mem::take(&mut status.machines);
+        for machine_status in &mut machine_statuses {
             to_local_clock(&mut machine_status.idle_since);
             to_local_clock(&mut machine_status.silent_since);
         }
@@ -291,8 +292,9 @@
         // If this controller has read all records that the sender had read, a machine without a record here has been
         // removed since, and its status is dropped.
         let read = status.applied_revision <= self.applied_revision && !self.has_unreadable_blocks();
-        machines_told.retain(|told| !read || self.machines.contains_key(&told.machine));
-        let any_told = !machines_told.is_empty();
+        machine_statuses
+            .retain(|machine_status| !read || self.machines.contains_key(&machine_status.machine));
+        let has_machine_statuses = !machine_statuses.is_empty();
         let peer = self.peers.entry(from.clone()).or_default();
         let before = peer.status.as_ref().filter(|s| s.registration == status.registration);
         if before.is_none() {
@@ -307,13 +309,13 @@
             };
             peer.machine_statuses.retain(|_, status| unread_grant(status));
         }
-        let hearing = self.machine_knowledge.message_received(
-            &life,
+        let sequence_check = self.machine_knowledge.message_received(
+            &incarnation,
             status.sequence,
             status.full,
             status.applied_revision,
         );
-        let reply = match hearing {
+        let reply = match sequence_check {
             SequenceCheck::Contiguous if status.needs_confirmation || status.full => {
                 let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
                 Some(PeerMessage::StatusConfirmation {
@@ -333,11 +335,11 @@
         for stop in stops {
             self.request_stop(&stop.machine, &stop.task, stop.attempt, Micros::from_millis(stop.grace_ms));
         }
-        for told in &machines_told {
-            self.apply_machine_status(&from, told);
+        for machine_status in &machine_statuses {
+            self.apply_machine_status(&from, machine_status);
         }
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.machine_statuses.extend(machines_told.into_iter().map(|m| (m.machine.clone(), m)));
+            peer.machine_statuses.extend(machine_statuses.into_iter().map(|m| (m.machine.clone(), m)));
         }
         for read in tallies {
             if let Some(machine) = self.machines.get_mut(&read.machine).filter(|m| m.row.owner == from) {
@@ -350,7 +352,7 @@
         }
         self.refused_connections.remove(&from);
         self.check_takeover();
-        self.placement_due |= any_told;
+        self.placement_due |= has_machine_statuses;
     }
 
     /// The revision up to which a machine's owner had applied the records as of its last status; 0 unless its statuses
@@ -361,9 +363,12 @@
         else {
             return 0;
         };
-        let told = peer.machine_statuses.get(&machine.row.machine).filter(|m| m.token == machine.row.token);
-        let status =
-            peer.status.as_ref().filter(|s| s.registration == machine.row.registration && told.is_some());
+        let machine_status =
+            peer.machine_statuses.get(&machine.row.machine).filter(|m| m.token == machine.row.token);
+        let status = peer
+            .status
+            .as_ref()
+            .filter(|s| s.registration == machine.row.registration && machine_status.is_some());
         status.map_or(0, |s| s.applied_revision)
     }
 
@@ -371,27 +376,30 @@
     pub(super) fn reapply_machine_status(&mut self, name: &str) {
         let Some(machine) = self.machines.get(name) else { return };
         let owner = machine.row.owner.clone();
-        if let Some(told) = self.peers.get(&owner).and_then(|p| p.machine_statuses.get(name)).cloned() {
-            self.apply_machine_status(&owner, &told);
+        if let Some(machine_status) =
+            self.peers.get(&owner).and_then(|p| p.machine_statuses.get(name)).cloned()
+        {
+            self.apply_machine_status(&owner, &machine_status);
         }
     }
 
     /// Applies the status of a machine that its owner has sent.
-    fn apply_machine_status(&mut self, from: &str, told: &MachineStatus) {
-        let Some(machine) = self.machines.get(&told.machine) else { return };
+    fn apply_machine_status(&mut self, from: &str, machine_status: &MachineStatus) {
+        let Some(machine) = self.machines.get(&machine_status.machine) else { return };
         let node = self.registrations.get(from).copied();
-        if machine.row.token != told.token
+        if machine.row.token != machine_status.token
             || machine.row.owner != from
             || Some(machine.row.registration) != node
         {
-            return self.apply_status_of_other_grant(told);
+            return self.apply_status_of_other_grant(machine_status);
         }
-        let evidence = if told.resolved { Evidence::OwnerStatus } else { Evidence::UnresolvedOwnerStatus };
-        self.check_conclusions(&told.machine, evidence, observed_tasks(told));
-        let Some(machine) = self.machines.get(&told.machine) else { return };
+        let evidence =
+            if machine_status.resolved { Evidence::OwnerStatus } else { Evidence::UnresolvedOwnerStatus };
+        self.check_conclusions(&machine_status.machine, evidence, observed_tasks(machine_status));
+        let Some(machine) = self.machines.get(&machine_status.machine) else { return };
         let mut tasks = BTreeMap::new();
         let mut ended = Vec::new();
-        for t in &told.tasks {
+        for t in &machine_status.tasks {
             let known = machine.tasks.get(&t.task);
             let known_ended = known.is_some_and(|k| k.attempt == t.attempt && k.ended());
             if let (TaskState::Ended, Some(cause)) = (t.state, t.cause) {
@@ -410,42 +418,46 @@
             };
             tasks.insert(t.task.clone(), on);
         }
-        for t in &told.tasks {
+        for t in &machine_status.tasks {
             if let Some(job) = self.jobs.get_mut(&t.task.job) {
                 job.attempt = job.attempt.max(t.attempt);
             }
         }
-        if !told.resolved {
+        if !machine_status.resolved {
             // The owner's list of tasks is not complete yet, so tasks that may be on the machine stay.
             for (id, t) in &machine.tasks {
                 tasks.entry(id.clone()).or_insert_with(|| t.clone());
             }
         }
-        self.replace_tasks(&told.machine, tasks, RemovalGround::NotReportedByOwner);
-        self.record_cached_images(&told.machine);
-        if let Some(machine) = self.machines.get_mut(&told.machine) {
-            machine.resolved = told.resolved;
-            machine.ever_resolved |= told.resolved;
-            machine.token_renewal_needed = told.token_renewal_needed;
-            if !told.addr.is_empty() {
-                machine.addr = told.addr.clone();
+        self.replace_tasks(&machine_status.machine, tasks, RemovalGround::NotReportedByOwner);
+        self.record_cached_images(&machine_status.machine);
+        if let Some(machine) = self.machines.get_mut(&machine_status.machine) {
+            machine.resolved = machine_status.resolved;
+            machine.ever_resolved |= machine_status.resolved;
+            machine.token_renewal_needed = machine_status.token_renewal_needed;
+            if !machine_status.addr.is_empty() {
+                machine.addr = machine_status.addr.clone();
             }
-            machine.up = told.up;
-            machine.quarantined = told.quarantined;
-            machine.preemption_notice = told.preemption_notice;
-            machine.unresponsive = told.unresponsive;
-            machine.silent_since = told.silent_since;
-            machine.idle_since = told.idle_since.unwrap_or(self.now);
+            machine.up = machine_status.up;
+            machine.quarantined = machine_status.quarantined;
+            machine.preemption_notice = machine_status.preemption_notice;
+            machine.unresponsive = machine_status.unresponsive;
+            machine.silent_since = machine_status.silent_since;
+            machine.idle_since = machine_status.idle_since.unwrap_or(self.now);
         }
         if let Some(node) = node {
-            self.machine_knowledge.owner_reported(&told.machine, &(from.to_owned(), node), told.resolved);
+            self.machine_knowledge.owner_reported(
+                &machine_status.machine,
+                &(from.to_owned(), node),
+                machine_status.resolved,
+            );
         }
         for (task, cause, new) in ended {
             if cause == Cause::Done {
                 self.record_completion(&task);
             }
             if new {
-                self.record_outcome(&told.machine, &task, cause);
+                self.record_outcome(&machine_status.machine, &task, cause);
             }
         }
     }
@@ -454,20 +466,24 @@
     ///
     /// A former owner that did not know yet of the machine's new grant may have announced starts there. Until the new
     /// owner knows all tasks on the machine, they may be there.
-    fn apply_status_of_other_grant(&mut self, told: &MachineStatus) {
-        self.check_conclusions(&told.machine, Evidence::StatusOfOtherGrant, observed_tasks(told));
-        let Some(machine) = self.machines.get(&told.machine) else { return };
-        if told.token < machine.row.token && !machine.resolved {
-            self.add_possible_tasks(told);
+    fn apply_status_of_other_grant(&mut self, machine_status: &MachineStatus) {
+        self.check_conclusions(
+            &machine_status.machine,
+            Evidence::StatusOfOtherGrant,
+            observed_tasks(machine_status),
+        );
+        let Some(machine) = self.machines.get(&machine_status.machine) else { return };
+        if machine_status.token < machine.row.token && !machine.resolved {
+            self.add_possible_tasks(machine_status);
         }
     }
 
     /// Adds the tasks of a machine status that may be on a machine, without removing others. For a machine whose owner
     /// does not know all its tasks yet.
-    pub(super) fn add_possible_tasks(&mut self, told: &MachineStatus) {
-        let Some(machine) = self.machines.get(&told.machine) else { return };
+    pub(super) fn add_possible_tasks(&mut self, machine_status: &MachineStatus) {
+        let Some(machine) = self.machines.get(&machine_status.machine) else { return };
         let mut tasks = machine.tasks.clone();
-        for t in &told.tasks {
+        for t in &machine_status.tasks {
             tasks.entry(t.task.clone()).or_insert_with(|| PlacedTask {
                 attempt: t.attempt,
                 state: t.state,
@@ -483,12 +499,17 @@
                 job.attempt = job.attempt.max(t.attempt);
             }
         }
-        self.set_tasks(&told.machine, tasks);
+        self.set_tasks(&machine_status.machine, tasks);
     }
 }
 
 /// The tasks that a machine status shows.
-fn observed_tasks(told: &MachineStatus) -> impl Iterator<Item = ObservedTask<'_>> {
-    let token = told.token;
-    told.tasks.iter().map(move |t| ObservedTask { task: &t.task, attempt: t.attempt, state: t.state, token })
+fn observed_tasks(machine_status: &MachineStatus) -> impl Iterator<Item = ObservedTask<'_>> {
+    let token = machine_status.token;
+    machine_status.tasks.iter().map(move |t| ObservedTask {
+        task: &t.task,
+        attempt: t.attempt,
+        state: t.state,
+        token,
+    })
 }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -78,13 +78,13 @@
 
     /// How many tasks of a job its owner may have placed at a time.
     pub(super) fn target_task_count(&self, job: &Job) -> u32 {
-        // Without volumes from the leader, work goes on within the machines that this controller holds.
+        // Without volumes from the leader, work goes on within the machines that this controller owns.
         let no_recent_volumes = self.leader_silent()
             && self.now.since(job.known_since) > Micros::from_secs_f64(self.tuning.round_s);
         let unfinished = self.tasks_worth_starting(&job.spec.id, job);
         match job.turn {
             _ if no_recent_volumes => unfinished,
-            // The job has had its first task. Once that ends, the place goes to another job.
+            // The job has had its first task. Once that ends, the slot goes to another job.
             Turn::First if job.started() > 0 => job.placed().min(job.volume),
             Turn::Backfill if job.spec.shape == Shape::Array => self.backfill_target(job),
             _ => job.volume.min(unfinished),
@@ -106,7 +106,7 @@
         let mut order: Vec<(Precedence, bool, String)> = Vec::new();
         for (id, job) in &self.jobs {
             // A job that the leader's volumes do not name fails the first check, before its owner is looked up, unless
-            // no leader is heard.
+            // no messages of a leader arrive.
             if job.placed() < self.target_task_count(job) && self.is_placeable(job) && !self.awaits_retry(id)
             {
                 let precedence = self.placement_precedence(job);
@@ -248,8 +248,9 @@
         }
     }
 
-    /// Whether tasks may be started on a machine now: this controller holds it, has heard from it within three report
-    /// intervals, and it receives its answers and is not quarantined, being returned or about to be preempted.
+    /// Whether tasks may be started on a machine now: this controller owns it, has received a message from it within
+    /// three report intervals, and it receives its answers and is not quarantined, being returned or about to be
+    /// preempted.
     fn accepts_starts(&self, machine: &Machine) -> bool {
         let recent = Micros(self.report_every.0 * 3);
         self.owns(machine)
@@ -399,7 +400,7 @@
     /// jobs without a constraint on zones.
     pub(super) fn zone_counts(&self, id: &str) -> BTreeMap<String, u32> {
         let mut counts = BTreeMap::new();
-        // Most jobs have no such constraint, and an array may have a thousand places to count in every pass.
+        // Most jobs have no such constraint, and an array may have a thousand placements to count in every pass.
         if let Some(job) = self.jobs.get(id).filter(|j| j.spec.one_zone || j.spec.spread) {
             for machine in job.placements.values().flatten().filter_map(|name| self.machines.get(name)) {
                 *counts.entry(machine.row.zone.clone()).or_insert(0) += 1;
@@ -491,9 +492,9 @@
             let Some(job) = self.jobs.get(id).filter(|j| self.is_placeable(j)) else { continue };
             let grace = job.spec.save_time() + Micros::from_secs(1);
             let mut tasks: Vec<(Micros, String, TaskId)> = Vec::new();
-            for (index, places) in &job.placements {
+            for (index, machines) in &job.placements {
                 let task = TaskId::new(id, *index);
-                for name in places {
+                for name in machines {
                     if let Some(t) = self.machines.get(name).and_then(|m| m.tasks.get(&task))
                         && !t.ended()
                         && t.stop_grace.is_none()
--- a/src/coordination/removal.rs
+++ b/src/coordination/removal.rs
@@ -62,7 +62,7 @@
     SentBothWays,
     /// The machine has shown the task to this controller, its owner.
     Confirmed,
-    /// Ordered by another controller, and this one has not heard from the machine under a grant of its own.
+    /// Ordered by another controller, and this one has received no message of the machine under a grant of its own.
     Unknown,
 }
 
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -16,7 +16,7 @@
 
 /// Minimum time between two requests for changes.
 const MIN_FOLLOW_INTERVAL: Micros = Micros::from_millis(100);
-/// The part of the store's request limit that all controllers together may use to follow its changes.
+/// The part of the state service's request limit that all controllers together may use to follow its changes.
 const FOLLOW_RATE_SHARE: f64 = 0.25;
 
 /// A stable hash that is the same in every controller: FNV-1a with a final mix.
@@ -82,7 +82,7 @@
         tracing::debug!(job = id, unfinished = job.unfinished(), "job ended");
         let may_use = job.spec.need().times(u64::from(job.unfinished()));
         self.recently_removed.push_back((self.now, job.spec.team.clone(), may_use));
-        // Planned starts must not be sent, as the job's user may have been told that the job has ended. Running tasks
+        // Planned starts must not be sent, as the job's user may know already that the job has ended. Running tasks
         // are marked here, so that direct calls stop them at once rather than the answer to the next report: their
         // resources are needed.
         let tasks = job.spec.tasks;
@@ -90,9 +90,9 @@
         if !on.is_empty() {
             self.retired.insert(id.to_owned(), job);
         }
-        for (index, places) in &on {
+        for (index, machines) in &on {
             let task = TaskId::new(id, *index);
-            for name in places {
+            for name in machines {
                 self.drop_planned_starts(name, |t| t.job == id);
                 if let Some(t) = self.machines.get_mut(name).and_then(|m| m.tasks.get_mut(&task)) {
                     t.stop_grace = Some(Micros::ZERO);
@@ -457,7 +457,8 @@
         }
         let others = self.view.members.iter().filter(|m| m.0 != self.settings.member);
         self.announcements.set_members(self.now, self.view_revision, others.cloned());
-        self.machine_knowledge.prune(|life| self.registrations.get(&life.0) == Some(&life.1));
+        self.machine_knowledge
+            .prune(|incarnation| self.registrations.get(&incarnation.0) == Some(&incarnation.1));
         self.remote_stops_pending = true;
         self.unresolved_machines.clear();
         self.witness_queries.begin();
@@ -515,11 +516,11 @@
         for id in before.keys().filter(|id| !after.contains_key(*id)) {
             if let Some(job) = self.jobs.get_mut(&id.job).or_else(|| self.retired.get_mut(&id.job)) {
                 job.remove_placement(id.index, name);
-            } else if let Some(places) = self.machines_with_unknown_tasks.get_mut(&id.job)
+            } else if let Some(machines) = self.machines_with_unknown_tasks.get_mut(&id.job)
                 && !after.keys().any(|t| t.job == id.job)
             {
-                places.remove(name);
-                if places.is_empty() {
+                machines.remove(name);
+                if machines.is_empty() {
                     self.machines_with_unknown_tasks.remove(&id.job);
                 }
             }
@@ -531,8 +532,8 @@
                 if job.placements[&id.index].len() > 1 {
                     duplicates.push(id.clone());
                 }
-            } else if let Some(places) = self.machines_with_unknown_tasks.get_mut(&id.job) {
-                places.insert(name.to_owned());
+            } else if let Some(machines) = self.machines_with_unknown_tasks.get_mut(&id.job) {
+                machines.insert(name.to_owned());
             } else {
                 self.machines_with_unknown_tasks.insert(id.job.clone(), [name.to_owned()].into());
             }
@@ -551,7 +552,7 @@
         self.jobs.get(job).map(|j| j.spec.need()).unwrap_or_default()
     }
 
-    /// Whether the store has a task's completion. A job without a live record counts as completed.
+    /// Whether the state service has a record of a task's completion. A job without a live record counts as completed.
     pub(super) fn is_stored(&self, task: &TaskId) -> bool {
         let stored = |j: &Job| -> bool { TaskSet::contains(&j.recorded_done, task.index) };
         self.jobs.get(&task.job).map_or_else(|| !self.is_live(&task.job), stored)
--- a/src/coordination/start_gate.rs
+++ b/src/coordination/start_gate.rs
@@ -49,8 +49,8 @@
 
     /// Whether a task may be on another machine than this one.
     fn may_run_elsewhere(&self, machine: &str, id: &TaskId) -> bool {
-        let places = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
-        places.is_some_and(|places| places.iter().any(|place| place != machine))
+        let machines = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
+        machines.is_some_and(|machines| machines.iter().any(|other| other != machine))
     }
 }
 
@@ -58,8 +58,8 @@
     /// Drops the planned starts of tasks that turned out to be on other machines too.
     pub(super) fn drop_duplicate_starts(&mut self, tasks: &[TaskId]) {
         for id in tasks {
-            let places = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
-            for name in places.cloned().unwrap_or_default() {
+            let machines = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
+            for name in machines.cloned().unwrap_or_default() {
                 self.drop_planned_starts(&name, |task| task == id);
             }
         }
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -104,7 +104,7 @@
     ///
     /// A controller that has just registered thus learns which starts the others confirmed before its confirmation
     /// was required, also on the machines of its own former registration. It asks only when no start is in flight
-    /// that it need not have been told of.
+    /// that need not have been announced to it.
     fn query_witnesses(&mut self) {
         let Some(question) = self.witness_queries.next_target(self.now) else { return };
         let view = self.view_revision;
@@ -167,15 +167,21 @@
     }
 
     /// Handles a witness's answer: lists of all tasks that may be on machines.
-    pub(super) fn handle_testimony(&mut self, from: &str, stamp: u64, question: u64, told: &[MachineStatus]) {
+    pub(super) fn handle_testimony(
+        &mut self,
+        from: &str,
+        stamp: u64,
+        question: u64,
+        statuses: &[MachineStatus],
+    ) {
         if self.registrations.get(from) != Some(&stamp)
             || !self.takeover_in_progress
             || !self.witness_queries.is_current(question)
         {
             return;
         }
-        tracing::debug!(from, question, machines = told.len(), "witness answer received");
-        for status in told {
+        tracing::debug!(from, question, machines = statuses.len(), "witness answer received");
+        for status in statuses {
             if self.machines.get(&status.machine).is_none_or(|m| m.resolved) {
                 continue;
             }
@@ -184,8 +190,9 @@
                 m.addr.clone_from(&status.addr);
             }
             let (nodes, members) = (&self.registrations, &self.view.members);
-            let has_ended =
-                |life: &Incarnation| nodes.get(&life.0) != Some(&life.1) && !members.contains(life);
+            let has_ended = |incarnation: &Incarnation| {
+                nodes.get(&incarnation.0) != Some(&incarnation.1) && !members.contains(incarnation)
+            };
             self.machine_knowledge.witness_reported(&status.machine, has_ended);
             self.witness_queries.mark_covered(&status.machine);
         }
@@ -198,8 +205,9 @@
     fn finish_takeover(&mut self, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.takeover_pending = false;
-        let places = job.placements.iter().flat_map(|(index, on)| on.iter().map(move |name| (*index, name)));
-        let completed = places.filter_map(|(index, name)| {
+        let placements =
+            job.placements.iter().flat_map(|(index, on)| on.iter().map(move |name| (*index, name)));
+        let completed = placements.filter_map(|(index, name)| {
             let task = TaskId::new(id, index);
             let on = self.machines.get(name)?.tasks.get(&task)?;
             (on.ended() && on.cause == Some(Cause::Done)).then_some(task)
--- a/src/coordination/task_failures.rs
+++ b/src/coordination/task_failures.rs
@@ -32,15 +32,17 @@
     /// Whether a replica of a service runs well on a machine other than `name`.
     fn replica_runs_elsewhere(&self, job: &Job, task: &TaskId, name: &str) -> bool {
         job.spec.shape == Shape::Service
-            && job.placements.iter().flat_map(|(index, places)| places.iter().map(move |m| (index, m))).any(
-                |(i, m)| {
+            && job
+                .placements
+                .iter()
+                .flat_map(|(index, machines)| machines.iter().map(move |m| (index, m)))
+                .any(|(i, m)| {
                     let other = self.machines.get(m).filter(|_| m != name);
                     let on = other.and_then(|m| m.tasks.get(&TaskId { job: task.job.clone(), index: *i }));
                     on.is_some_and(|t| {
                         t.state == TaskState::Running && self.now.since(t.started_at) > HEALTHY_REPLICA_AGE
                     })
-                },
-            )
+                })
     }
 
     /// Quarantines own machines or ends their quarantine after an outcome on `name`: checks that machine and all
--- a/src/coordination/unreachable_machines.rs
+++ b/src/coordination/unreachable_machines.rs
@@ -6,10 +6,10 @@
 use crate::coordination::machine_moves::MAX_RESCUE_MOVES;
 use crate::protocol::units::Micros;
 
-/// How long after the time for its first report a machine may stay unheard under a new grant.
-const UNHEARD_TIMEOUT: Micros = Micros::from_secs(3);
-/// How long a machine that does not answer direct calls may stay unheard under a new grant if jobs taken over wait for
-/// it.
+/// How long after the time for its first report a machine may be silent under a new grant.
+const FIRST_REPORT_TIMEOUT: Micros = Micros::from_secs(3);
+/// How long a machine that does not answer direct calls may be silent under a new grant if jobs that were taken
+/// over wait for it.
 const UNRESPONSIVE_TIMEOUT: Micros = Micros::from_secs(4);
 
 /// How well an owner reaches its machines.
@@ -20,7 +20,7 @@
     /// Number of machines that it owns.
     machines: usize,
     /// Machines from which no message has arrived since they were granted: zone and name.
-    unheard: Vec<(&'a str, &'a String)>,
+    silent_machines: Vec<(&'a str, &'a String)>,
     zones: BTreeMap<&'a str, ZoneReach<'a>>,
 }
 
@@ -45,14 +45,14 @@
     pub(super) fn unreachable_machines(&mut self) -> BTreeSet<String> {
         // Reports come up to a quarter of their interval late, and a worker tries one controller per second to find its
         // owner.
-        let limit = self.max_report_gap() + UNHEARD_TIMEOUT;
+        let limit = self.max_report_gap() + FIRST_REPORT_TIMEOUT;
         let late = self.max_report_gap().as_secs_f64();
         let mut found = BTreeSet::new();
         let me = self.incarnation();
         let Some(lead) = &self.leader_state else { return found };
-        let mut silent_zones = lead.fleet.last_unreachable.clone();
+        let mut silent_zones = lead.fleet.silent_zones.clone();
         silent_zones.retain(|_, at| self.now.since(*at) < self.worker_lease);
-        let heard =
+        let reports_elsewhere =
             |name: &str| lead.misdirected_reports.get(name).is_some_and(|h| self.now.since(h.1) < limit);
         let is_connected = |member: &str| {
             let age = self.peers.get(member).map_or(Micros::MAX, |p| self.now.since(p.last_heard));
@@ -80,19 +80,24 @@
                 continue;
             }
             let zone = owner.zones.entry(&m.row.zone).or_default();
-            let unheard_s = f64::from(self.seconds_unheard(m));
+            let silence_s = f64::from(self.seconds_silent(m));
             zone.expected += 1;
-            zone.reporting += usize::from(m.resolved && unheard_s <= late);
+            zone.reporting += usize::from(m.resolved && silence_s <= late);
             // A machine that reports to another controller but takes no token for longer than its lease is not
             // receiving.
             let not_receiving = lead.rescue_moves.get(name).is_some_and(|times| *times >= MAX_RESCUE_MOVES)
                 || self.now.since(m.grant_seen_at) > self.worker_lease;
-            if overdue && (not_receiving || !heard(name)) {
-                owner.unheard.push((&m.row.zone, name));
+            if overdue && (not_receiving || !reports_elsewhere(name)) {
+                owner.silent_machines.push((&m.row.zone, name));
             }
             // An unreachable service replica is useless, so the machine's lease is not waited for.
             let replicas = || m.tasks.iter().any(|(id, t)| !t.ended() && self.is_service_task(id));
-            if m.resolved && m.unresponsive && unheard_s >= late * 2.0 + 2.0 && !heard(name) && replicas() {
+            if m.resolved
+                && m.unresponsive
+                && silence_s >= late * 2.0 + 2.0
+                && !reports_elsewhere(name)
+                && replicas()
+            {
                 zone.unresponsive.push(name);
             }
         }
@@ -108,9 +113,9 @@
             }
             let silent = |zone: &str| silent_zones.contains_key(&(member.to_owned(), zone.to_owned()));
             // An owner that misses more than a quarter of its machines is probably cut off itself.
-            if owner.unheard.len() * 4 <= owner.machines.max(8) {
-                let unheard = owner.unheard.into_iter().filter(|(zone, _)| !silent(zone));
-                found.extend(unheard.map(|(_, name)| name.clone()));
+            if owner.silent_machines.len() * 4 <= owner.machines.max(8) {
+                let silent_machines = owner.silent_machines.into_iter().filter(|(zone, _)| !silent(zone));
+                found.extend(silent_machines.map(|(_, name)| name.clone()));
             }
             let gone = owner
                 .zones
@@ -120,7 +125,7 @@
             found.extend(gone.map(|name| (*name).clone()));
         }
         if let Some(lead) = &mut self.leader_state {
-            lead.fleet.last_unreachable = silent_zones;
+            lead.fleet.silent_zones = silent_zones;
         }
         found
     }
--- a/src/coordination/user_requests.rs
+++ b/src/coordination/user_requests.rs
@@ -398,9 +398,9 @@
                 running: 0,
             };
         };
-        let running = job.placements.iter().filter(|(index, places)| {
+        let running = job.placements.iter().filter(|(index, machines)| {
             let task = crate::protocol::worker::TaskId::new(id, **index);
-            let mut tasks = places.iter().filter_map(|m| self.machines.get(m)?.tasks.get(&task));
+            let mut tasks = machines.iter().filter_map(|m| self.machines.get(m)?.tasks.get(&task));
             tasks.any(|t| t.state == TaskState::Running && t.pending.is_none())
         });
         let running = running.count() as u32;
--- a/src/coordination/wait_reasons.rs
+++ b/src/coordination/wait_reasons.rs
@@ -154,9 +154,9 @@
         {
             return None;
         }
-        if let Some((index, places)) = job.placements.first_key_value().filter(|_| job.placed() > 0) {
+        if let Some((index, machines)) = job.placements.first_key_value().filter(|_| job.placed() > 0) {
             let task = crate::protocol::worker::TaskId::new(id, *index);
-            let mut tasks = places.iter().filter_map(|name| self.machines.get(name)?.tasks.get(&task));
+            let mut tasks = machines.iter().filter_map(|name| self.machines.get(name)?.tasks.get(&task));
             return tasks.all(|t| t.planned()).then_some(WaitReason::Unconfirmed);
         }
         if job.takeover_pending {
--- a/src/coordination/worker_lease_expiry.rs
+++ b/src/coordination/worker_lease_expiry.rs
@@ -42,7 +42,7 @@
                 last_renewal = last_renewal.max(sole_owner_since);
             }
             // Another controller may have been granted the machine, and have answered it, after the state that this
-            // controller last read from the store. So the silence is counted only up to that read.
+            // controller last read from the state service. So the silence is counted only up to that read.
             if followed.since(last_renewal) > silence {
                 lapsed.push(name.clone());
             }
--- a/src/coordination/worker_reports.rs
+++ b/src/coordination/worker_reports.rs
@@ -20,7 +20,7 @@
 /// considers at most so many tasks for stops and for starts. With the longest ids so many orders stay far below 64 KiB.
 pub(super) const MAX_ORDERS: usize = 300;
 
-/// How long after a grant a worker may still report to a controller that does not hold it.
+/// How long after a grant a worker may still report to a controller that does not own it.
 const OWNER_DISCOVERY_GRACE: Micros = Micros::from_secs(10);
 
 impl Controller {
@@ -188,9 +188,9 @@
             tasks.insert(id, on);
         }
         // A task that the message does not show may still be started by an order in transit.
-        let heard = WorkerMessage { session: report.session, token: report.token, direct };
+        let message = WorkerMessage { session: report.session, token: report.token, direct };
         for (id, t) in &machine.tasks {
-            if !fenced || t.pending.is_some_and(|pending| pending.may_arrive(heard)) {
+            if !fenced || t.pending.is_some_and(|pending| pending.may_arrive(message)) {
                 tasks.entry(id.clone()).or_insert_with(|| t.clone());
             }
         }
@@ -379,7 +379,7 @@
         proof.answer(machine.row.token, orders)
     }
 
-    /// Whether the store has a live record of a job, even one that this version cannot read.
+    /// Whether the state service has a live record of a job, even one that this version cannot read.
     pub(super) fn is_live(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
             || !self.unreadable_keys.is_empty() && self.unreadable_keys.contains(&records::live_job_key(job))
@@ -405,7 +405,7 @@
         }
     }
 
-    /// Marks a task to be stopped, with `grace` to save its state, if this controller holds its machine.
+    /// Marks a task to be stopped, with `grace` to save its state, if this controller owns its machine.
     pub(super) fn request_stop(&mut self, name: &str, task: &TaskId, attempt: u64, grace: Micros) {
         if let Some(machine) = self.machines.get(name)
             && self.owns(machine)
@@ -418,7 +418,7 @@
         }
     }
 
-    /// Stop requests for tasks of this controller's jobs on machines that other controllers hold. Sent with each status
+    /// Stop requests for tasks of this controller's jobs on machines that other controllers own. Sent with each status
     /// for as long as the tasks are there.
     pub(super) fn take_peer_stop_requests(&mut self) -> Vec<StopRequest> {
         let mut stops = Vec::new();
@@ -445,7 +445,7 @@
     }
 
     /// Seconds since a machine's owner last received a message from it.
-    pub(super) fn seconds_unheard(&self, machine: &Machine) -> u32 {
+    pub(super) fn seconds_silent(&self, machine: &Machine) -> u32 {
         if self.owns(machine) {
             self.now.since(machine.last_heard.unwrap_or(machine.known_since)).as_secs_f64() as u32
         } else {
@@ -469,14 +469,14 @@
         if self.leader_state.is_some() {
             self.note_misdirected_report(machine.to_owned(), me);
         } else if let Some((leader, ..)) = &self.leader {
-            let heard = PeerMessage::MisdirectedReport { machine: machine.to_owned() };
-            self.effects.push(Effect::Send(Some(leader.clone()), heard));
+            let message = PeerMessage::MisdirectedReport { machine: machine.to_owned() };
+            self.effects.push(Effect::Send(Some(leader.clone()), message));
         }
     }
 
     /// Tells the leader that a machine has reported which is in no block, or has no owner.
     fn notify_leader_of_unrecorded_machine(&mut self, report: Report) {
-        let stray = PeerMessage::UnrecordedMachine {
+        let message = PeerMessage::UnrecordedMachine {
             machine: report.machine.clone(),
             kind: report.kind.clone(),
             zone: report.zone.clone(),
@@ -485,7 +485,7 @@
         if self.leader_state.is_some() {
             self.note_unrecorded_machine(report.machine, report.kind, report.zone, report.spot);
         } else if let Some((leader, ..)) = &self.leader {
-            self.effects.push(Effect::Send(Some(leader.clone()), stray));
+            self.effects.push(Effect::Send(Some(leader.clone()), message));
         }
     }
 }
