--- a/crates/recovery/src/machine_knowledge.rs
+++ b/crates/recovery/src/machine_knowledge.rs
@@ -93,34 +93,34 @@
         is_newer
     }
 
-    /// Checks the number of a received message. `whole`: the message lists all of the sender's machines.
+    /// Checks the number of a received message. `full`: the message lists all of the sender's machines.
     pub fn message_received(
         &mut self,
         from: &Incarnation,
         number: u64,
-        whole: bool,
+        full: bool,
         applied_revision: u64,
     ) -> SequenceCheck {
         let stream = self.streams.entry(from.clone()).or_default();
         let next = stream.contiguous && number == stream.last_number + 1;
-        let breaks = stream.contiguous && !next && !whole;
-        stream.contiguous = whole || next;
+        let breaks = stream.contiguous && !next && !full;
+        stream.contiguous = full || next;
         stream.last_number = number;
         stream.applied_revision = stream.applied_revision.max(applied_revision);
         let (contiguous, uninformed) = (stream.contiguous, stream.uninformed);
-        if breaks || whole && !next {
+        if breaks || full && !next {
             self.mark_gap(from, uninformed);
         }
         if contiguous { SequenceCheck::Contiguous } else { SequenceCheck::Gap }
     }
 
     /// Sets whether another controller's record lists this one as uninformed.
-    pub fn set_uninformed(&mut self, by: &Incarnation, named: bool) {
+    pub fn set_uninformed(&mut self, by: &Incarnation, is_uninformed: bool) {
         let stream = self.streams.entry(by.clone()).or_default();
-        stream.uninformed = named;
-        if named {
+        stream.uninformed = is_uninformed;
+        if is_uninformed {
             // From now on the sender may order starts that it never announces here, also on machines it no longer
-            // holds.
+            // owns.
             stream.contiguous = false;
             self.mark_gap(by, true);
         }
@@ -223,7 +223,7 @@
                 .any(|(incarnation, ordered)| !ignored(incarnation) && (*ordered || !has_ended(incarnation)));
             state.baseline_known
                 && !unknown
-                && state.owners.iter().all(|h| ignored(h) || self.announced_everything(h))
+                && state.owners.iter().all(|owner| ignored(owner) || self.announced_everything(owner))
         })
     }
 
--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -25,10 +25,10 @@
         let now = self.now;
         let recent = Micros(self.report_every.0 * 2);
         let overdue = self.max_report_gap() + PROBE_DELAY;
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
         let gate = StartGate::new(self.confirmed_through(), self.active_permit(), &self.jobs);
         for (name, m) in &mut self.machines {
-            let mine = m.row.registration == stamp && m.row.owner == self.settings.member;
+            let mine = m.row.registration == registration && m.row.owner == self.settings.member;
             let known = m.session != 0 || !m.resolved;
             if !mine
                 || m.call_in_flight
--- a/src/coordination/fleet_scaling.rs
+++ b/src/coordination/fleet_scaling.rs
@@ -77,7 +77,8 @@
     pub demand_updated_at: Micros,
     /// The latest array of each class, and the recent arrivals of the class: time and number of tasks.
     pub recent_arrivals: BTreeMap<String, (JobSpec, VecDeque<(Micros, u32)>)>,
-    /// Controllers and zones: when the controller last could not reach most of its machines in that zone.
+    /// Controllers and zones: when the controller last received reports from fewer than half of its machines in that
+    /// zone.
     pub silent_zones: BTreeMap<(String, String), Micros>,
     /// Since when there has been no live job, if there is none.
     pub no_jobs_since: Option<Micros>,
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -15,7 +15,7 @@
     pub(super) fn place_gang(
         &mut self,
         id: &str,
-        rooms: &mut AvailableCapacity,
+        capacity: &mut AvailableCapacity,
     ) -> Result<usize, WaitReason> {
         let Some(job) = self.jobs.get(id) else { return Ok(0) };
         let spec = job.spec.clone();
@@ -23,7 +23,7 @@
             return Err(WaitReason::NotAdmitted);
         }
         if !job.placements.is_empty() {
-            return Ok(self.replace_missing_gang_tasks(id, &spec, rooms));
+            return Ok(self.replace_missing_gang_tasks(id, &spec, capacity));
         }
         let need = spec.need();
         let n = u64::from(spec.tasks);
@@ -34,7 +34,7 @@
         }
         let mut zones: Vec<Option<String>> = vec![None];
         if spec.one_zone {
-            let machines = rooms.free.keys().filter_map(|m| self.machines.get(m));
+            let machines = capacity.free.keys().filter_map(|m| self.machines.get(m));
             let names: BTreeSet<&String> = machines.map(|m| &m.row.zone).collect();
             zones = names.into_iter().map(|z| Some(z.clone())).collect();
         }
@@ -43,9 +43,14 @@
         // come next.
         let mut best: Option<(usize, Vec<String>)> = None;
         for zone in zones {
-            let only = zone.as_deref().map_or(MachineFilter::All, MachineFilter::Zone);
-            let mut names =
-                self.choose_machines(&spec, size.max(MAX_STARTS_PER_PASS), rooms, BTreeMap::new(), &only);
+            let filter = zone.as_deref().map_or(MachineFilter::All, MachineFilter::Zone);
+            let mut names = self.choose_machines(
+                &spec,
+                size.max(MAX_STARTS_PER_PASS),
+                capacity,
+                BTreeMap::new(),
+                &filter,
+            );
             let slots = names.len();
             names.truncate(size);
             if names.len() == size && best.as_ref().is_none_or(|(least, _)| slots < *least) {
@@ -53,7 +58,7 @@
             }
         }
         let Some((_, chosen)) = best else { return Err(WaitReason::NoMachine) };
-        rooms.allocate(&chosen, need);
+        capacity.allocate(&chosen, need);
         let attempt = self.next_attempt(id);
         for (index, name) in chosen.iter().enumerate() {
             self.plan_start(id, index as u32, attempt, name, &mut allowance);
@@ -67,7 +72,7 @@
         &mut self,
         id: &str,
         spec: &JobSpec,
-        rooms: &mut AvailableCapacity,
+        capacity: &mut AvailableCapacity,
     ) -> usize {
         let Some(job) = self.jobs.get(id) else { return 0 };
         let mut attempts = BTreeSet::new();
@@ -84,9 +89,14 @@
         let (Some(attempt), 1) = (attempts.first().copied(), attempts.len()) else { return 0 };
         let mut allowance = self.allowance(spec);
         let max_tasks = spec.need().times_in(allowance.remaining()).min(missing.len() as u64);
-        let names =
-            self.choose_machines(spec, max_tasks as usize, rooms, self.zone_counts(id), &MachineFilter::All);
-        rooms.allocate(&names, spec.need());
+        let names = self.choose_machines(
+            spec,
+            max_tasks as usize,
+            capacity,
+            self.zone_counts(id),
+            &MachineFilter::All,
+        );
+        capacity.allocate(&names, spec.need());
         for (index, name) in missing.iter().zip(&names) {
             self.plan_start(id, *index, attempt, name, &mut allowance);
         }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -107,12 +107,15 @@
 impl Controller {
     /// Starts or ends this controller's leadership after a change of the leader record.
     pub(super) fn leadership_changed(&mut self) {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
-        let mine = self.leader.as_ref().is_some_and(|l| l.0 == self.own_name() && l.1 == stamp && stamp != 0);
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
+        let mine = self
+            .leader
+            .as_ref()
+            .is_some_and(|l| l.0 == self.own_name() && l.1 == registration && registration != 0);
         if mine && self.leader_state.is_none() {
             tracing::info!("became leader");
-            let stamp = self.leader.as_ref().map_or(0, |l| l.2);
-            let planner = Some(Planner::new(self.now, stamp, self.leased_rates()));
+            let leader_revision = self.leader.as_ref().map_or(0, |l| l.2);
+            let planner = Some(Planner::new(self.now, leader_revision, self.leased_rates()));
             self.leader_state = Some(LeaderState { since: self.now, planner, ..Default::default() });
             self.volumes_received_at = self.now;
             self.resume_rentals();
@@ -216,7 +219,7 @@
     ) -> bool {
         let max_ops = self.settings.params.state.txn_ops;
         let value_limit = ((self.settings.params.state.value_kb * 1024.0) as usize - 64).min(MAX_GRANT_BYTES);
-        let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
+        let Some(leader_revision) = self.leader.as_ref().map(|l| l.2) else { return false };
         // One grant at a time, and an update of the view takes precedence: on a large fleet there is always a
         // machine to return, and a controller that had registered again waited 1.4 s for its view behind such grants.
         if self.leader_state.as_ref().is_none_or(|l| l.grant_in_flight)
@@ -297,14 +300,14 @@
         }
         let mut transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::LEADER_KEY, leader_revision),
                 self.registration_condition(),
             ],
             writes: Vec::new(),
         };
         for n in changed {
-            let stamp = self.shards.get(&n).map_or(0, |s| s.1);
-            transaction.conditions.push(Condition::new(records::block_key(n), stamp));
+            let revision = self.shards.get(&n).map_or(0, |s| s.1);
+            transaction.conditions.push(Condition::new(records::block_key(n), revision));
             if let Ok(value) = blocks::encode(&shards[&n]) {
                 transaction.writes.push(Write::put(records::block_key(n), value));
             }
@@ -528,16 +531,22 @@
     }
 
     /// The last status that a member sent under its present registration, if any.
-    pub(super) fn status_of(&self, member: &str, node: u64) -> Option<&crate::protocol::peer::Status> {
-        self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == node)
+    pub(super) fn status_of(
+        &self,
+        member: &str,
+        registration: u64,
+    ) -> Option<&crate::protocol::peer::Status> {
+        self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == registration)
     }
 
     /// Whether every registered controller is known to have applied the state service's changes up to this revision.
     pub(super) fn all_controllers_applied(&self, revision: u64) -> bool {
-        let applied = |m: &str, node| self.status_of(m, node).is_some_and(|s| s.applied_revision >= revision);
-        self.registrations
-            .iter()
-            .all(|(m, node)| (m == self.own_name() && self.applied_revision >= revision) || applied(m, *node))
+        let applied = |m: &str, registration| {
+            self.status_of(m, registration).is_some_and(|s| s.applied_revision >= revision)
+        };
+        self.registrations.iter().all(|(m, registration)| {
+            (m == self.own_name() && self.applied_revision >= revision) || applied(m, *registration)
+        })
     }
 
     /// Deletes a batch of completion records whose jobs have ended.
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -132,15 +132,15 @@
             .map(|(m, _)| m.clone())
             .filter(|m| self.registrations.contains_key(m) && silent(m))
             .collect();
-        let timed_out = self.registrations.iter().filter(|(member, node)| {
+        let timed_out = self.registrations.iter().filter(|(member, registration)| {
             // A controller that has just registered may take long to load the records before its first status.
-            let heard = self
+            let peer = self
                 .peers
                 .get(*member)
-                .filter(|p| p.status.as_ref().is_some_and(|s| s.registration == **node));
-            let heard_at = heard.map(|p| p.last_heard.max(self.resumed_at));
+                .filter(|p| p.status.as_ref().is_some_and(|s| s.registration == **registration));
+            let last_message_at = peer.map(|p| p.last_heard.max(self.resumed_at));
             **member != self.settings.member
-                && heard_at.is_some_and(|at| self.now.since(at) > SILENCE_TIMEOUT)
+                && last_message_at.is_some_and(|at| self.now.since(at) > SILENCE_TIMEOUT)
         });
         for (member, _) in timed_out {
             if !suspects.contains(member) {
@@ -218,7 +218,7 @@
         let min_interval = Micros::from_secs(30);
         let not_recently_evicted =
             |m: &String| self.evictions.get(m).is_none_or(|(at, _)| self.now.since(*at) > min_interval);
-        let Some((leader, _, leader_stamp)) = self.leader.clone() else { return };
+        let Some((leader, _, leader_revision)) = self.leader.clone() else { return };
         // The leader evicts. If it is a suspect itself, the first of the other members evicts it and takes over.
         let takes_over = suspects.contains(&leader);
         if if takes_over { others().next() != Some(&me) } else { leader != me } {
@@ -232,16 +232,18 @@
         let Some(member) = candidate.filter(|m| not_recently_evicted(m) && agreed(m)).cloned() else {
             return;
         };
-        let (Some(node), Some(lease)) = (self.registrations.get(&member), &self.lease) else { return };
+        let (Some(registration), Some(lease)) = (self.registrations.get(&member), &self.lease) else {
+            return;
+        };
         let mut transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER_KEY, leader_stamp),
-                Condition::new(records::registration_key(&member), *node),
+                Condition::new(records::LEADER_KEY, leader_revision),
+                Condition::new(records::registration_key(&member), *registration),
                 self.registration_condition(),
             ],
             writes: vec![
                 Write::delete(records::registration_key(&member)),
-                Write::put(records::eviction_key(&member), (*node).into()),
+                Write::put(records::eviction_key(&member), (*registration).into()),
             ],
         };
         if takes_over {
@@ -256,9 +258,9 @@
 
     /// The condition that every transaction of this controller carries: its registration is still in force.
     pub(super) fn registration_condition(&self) -> Condition {
-        // No registration has this stamp. Without a registration every transaction fails.
-        let stamp = self.lease.as_ref().map_or(u64::MAX >> 1, |l| l.registration);
-        Condition::new(records::registration_key(self.own_name()), stamp)
+        // No registration record has this revision. Without a registration every transaction fails.
+        let registration = self.lease.as_ref().map_or(u64::MAX >> 1, |l| l.registration);
+        Condition::new(records::registration_key(self.own_name()), registration)
     }
 
     /// Handles replies to the calls of registration, loading, renewal, election and eviction.
@@ -404,8 +406,8 @@
 
     /// Tells users who asked about live jobs to retry later.
     fn defer_polls(&mut self, polls: Vec<super::JobQuery>) {
-        for question in polls {
-            self.answer(question.request, super::Answer::RetryLater(1));
+        for query in polls {
+            self.answer(query.request, super::Answer::RetryLater(1));
         }
     }
 }
--- a/src/coordination/peer_statuses.rs
+++ b/src/coordination/peer_statuses.rs
@@ -54,16 +54,16 @@
         if regular {
             self.last_regular_status_at = self.now;
         }
-        let whole = self.sent_machine_statuses.is_empty();
+        let full = self.sent_machine_statuses.is_empty();
         self.status_sequence += 1;
         self.unicast_statuses = 0;
         let (machines, tallies) = self.collect_machine_changes(regular);
-        let over = if whole { self.all_ends_for_broadcast() } else { self.ends_to_announce(regular) };
+        let over = if full { self.all_ends_for_broadcast() } else { self.ends_to_announce(regular) };
         let confirm = self.mark_starts_announced()
             || self.announcements.has_unconfirmed()
             || self.has_unconfirmed_withdrawals();
         let status = Status {
-            full: whole,
+            full,
             needs_confirmation: confirm,
             machines,
             tallies,
@@ -125,9 +125,10 @@
 
     /// Marks all planned starts on own machines as announced by the current status. Returns whether any was new.
     fn mark_starts_announced(&mut self) -> bool {
-        let (me, node) = self.incarnation();
+        let (me, registration) = self.incarnation();
         let mut any = false;
-        for machine in self.machines.values_mut().filter(|m| m.row.registration == node && m.row.owner == me)
+        for machine in
+            self.machines.values_mut().filter(|m| m.row.registration == registration && m.row.owner == me)
         {
             for t in machine.tasks.values_mut() {
                 if t.planned() && t.announced_in_status == 0 {
@@ -233,15 +234,15 @@
         match message {
             PeerMessage::Status(status) => self.handle_peer_status(from, status),
             PeerMessage::ResyncRequest => self.send_full_status(from),
-            PeerMessage::WitnessQuery { registration: stamp, query: question } => {
-                self.answer_witness_query((from, stamp), question)
+            PeerMessage::WitnessQuery { registration, query } => {
+                self.answer_witness_query((from, registration), query)
             }
-            PeerMessage::Testimony { registration: stamp, query: question, machines, .. } => {
-                self.handle_testimony(&from, stamp, question, &machines);
+            PeerMessage::WitnessAnswer { registration, query, machines, .. } => {
+                self.handle_witness_answer(&from, registration, query, &machines);
             }
-            PeerMessage::StatusConfirmation { registration: stamp, sequence, .. } => {
-                self.status_acknowledged((from.clone(), stamp), sequence);
-                self.handle_confirmation((from, stamp), sequence);
+            PeerMessage::StatusConfirmation { registration, sequence, .. } => {
+                self.status_acknowledged((from.clone(), registration), sequence);
+                self.handle_confirmation((from, registration), sequence);
             }
             PeerMessage::LoadReport(report) => self.handle_load_report(&from, report),
             PeerMessage::RatePlan(plan) => self.handle_rate_plan(&plan),
@@ -317,9 +318,9 @@
         );
         let reply = match sequence_check {
             SequenceCheck::Contiguous if status.needs_confirmation || status.full => {
-                let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
+                let registration = self.lease.as_ref().map_or(0, |l| l.registration);
                 Some(PeerMessage::StatusConfirmation {
-                    registration: stamp,
+                    registration,
                     requester_registration: status.registration,
                     sequence: status.sequence,
                 })
@@ -386,10 +387,10 @@
     /// Applies the status of a machine that its owner has sent.
     fn apply_machine_status(&mut self, from: &str, machine_status: &MachineStatus) {
         let Some(machine) = self.machines.get(&machine_status.machine) else { return };
-        let node = self.registrations.get(from).copied();
+        let registration = self.registrations.get(from).copied();
         if machine.row.token != machine_status.token
             || machine.row.owner != from
-            || Some(machine.row.registration) != node
+            || Some(machine.row.registration) != registration
         {
             return self.apply_status_of_other_grant(machine_status);
         }
@@ -445,10 +446,10 @@
             machine.silent_since = machine_status.silent_since;
             machine.idle_since = machine_status.idle_since.unwrap_or(self.now);
         }
-        if let Some(node) = node {
+        if let Some(registration) = registration {
             self.machine_knowledge.owner_reported(
                 &machine_status.machine,
-                &(from.to_owned(), node),
+                &(from.to_owned(), registration),
                 machine_status.resolved,
             );
         }
--- a/src/coordination/quota/shares.rs
+++ b/src/coordination/quota/shares.rs
@@ -64,11 +64,11 @@
         if record == self.quota_record.0 {
             return false;
         }
-        let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
+        let Some(leader_revision) = self.leader.as_ref().map(|l| l.2) else { return false };
         let Ok(value) = serde_json::to_value(record) else { return false };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::LEADER_KEY, leader_revision),
                 Condition::new(records::QUOTA_KEY, self.quota_record.1),
                 Condition::new(records::VIEW_KEY, self.view_revision),
                 self.registration_condition(),
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -38,16 +38,16 @@
     /// Stores a rental. It is requested once it is stored, so that a later leader knows which rentals may be pending.
     /// Returns whether the write was sent.
     pub(super) fn rent(&mut self, kind: String, zone: String, spot: bool, count: u32) -> bool {
-        let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
+        let Some(leader_revision) = self.leader.as_ref().map(|l| l.2) else { return false };
         let Some(lead) = &mut self.leader_state else { return false };
         lead.fleet.requests_named += 1;
-        let request = format!("r-{leader_stamp}-{}", lead.fleet.requests_named);
+        let request = format!("r-{leader_revision}-{}", lead.fleet.requests_named);
         let rental = Rental { request: request.clone(), kind, zone, spot, count };
         lead.fleet.pending_rentals.insert(request.clone(), rental.clone());
         let Ok(value) = serde_json::to_value(&rental) else { return false };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::LEADER_KEY, leader_revision),
                 Condition::new(records::rental_key(&request), 0),
                 self.registration_condition(),
             ],
@@ -216,7 +216,7 @@
     pub(super) fn handle_machine_list(&mut self, list: MachineList) {
         let lag = Micros::from_secs_f64(self.settings.params.cloud.list_lag_s * 2.0 + 5.0);
         let last = list.machines.last().map(|m| m.id.clone());
-        let blind = self.has_unreadable_blocks();
+        let some_unreadable = self.has_unreadable_blocks();
         let without_address = list.machines.iter().filter(|l| {
             let lacks_address = |m: &Machine| m.addr.is_empty() && !m.never_granted();
             !l.addr.is_empty() && self.machines.get(&l.id).is_some_and(lacks_address)
@@ -249,7 +249,7 @@
             // list: those older than its lag, or any machine if no rental is pending.
             let may_record = Micros::from_secs_f64(m.age_s) > lag || lead.fleet.pending_rentals.is_empty();
             if !known
-                && !blind
+                && !some_unreadable
                 && may_record
                 && !lead.fleet.machines_to_record.iter().any(|r| r.machine == m.id)
             {
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -170,7 +170,7 @@
     }
 
     /// Applies a record that was loaded or changed.
-    fn apply_put(&mut self, key: &str, value: &RawJson, stamp: u64) {
+    fn apply_put(&mut self, key: &str, value: &RawJson, revision: u64) {
         if !self.unreadable_keys.is_empty() {
             self.unreadable_keys.remove(key);
         }
@@ -181,14 +181,14 @@
                     Ok(spec) => spec,
                     Err(problem) => return self.mark_unreadable(key, &problem),
                 };
-                // No room is kept for jobs that may displace others.
+                // No room is kept for jobs that may preempt others.
                 if self.needs_fast_start(&spec.class) && !self.may_preempt(&spec) {
                     self.fast_start_jobs.insert(spec.class.clone(), spec.clone());
                 }
                 if self.phase == Phase::Active {
                     self.record_arrival(&spec);
                 }
-                let mut job_state = Job::new(spec, stamp, self.now);
+                let mut job_state = Job::new(spec, revision, self.now);
                 job_state.owner = self.owner_of(job);
                 // Another controller may have reported tasks of the job before its record arrived.
                 let (first, need) = (TaskId::new(job, 0), job_state.spec.need());
@@ -207,32 +207,33 @@
         } else if let Some(rest) = key.strip_prefix(records::COMPLETIONS_PREFIX) {
             let Some((job, chunk)) = rest.rsplit_once('/') else { return };
             let Ok(chunk) = chunk.parse::<usize>() else { return };
-            self.done_keys.entry(job.to_owned()).or_default().insert(chunk, stamp);
+            self.done_keys.entry(job.to_owned()).or_default().insert(chunk, revision);
             if let Some(j) = self.jobs.get_mut(job) {
                 j.merge_recorded(chunk, &value.parse().unwrap_or_default());
             }
         } else if let Some(member) = key.strip_prefix(records::REGISTRATIONS_PREFIX) {
             // Changes are followed from the revision of the list's first page, so they may replay a registration that
             // is older than the one that a later page showed.
-            if self.registrations.get(member).is_some_and(|known| *known > stamp) {
+            if self.registrations.get(member).is_some_and(|known| *known > revision) {
                 return;
             }
-            if let Some(former) = self.registrations.insert(member.to_owned(), stamp).filter(|s| *s != stamp)
+            if let Some(former) =
+                self.registrations.insert(member.to_owned(), revision).filter(|s| *s != revision)
             {
                 self.machine_knowledge.incarnation_ended(&(member.to_owned(), former));
             }
             self.schedule_round();
         } else if let Some(member) = key.strip_prefix(records::EVICTIONS_PREFIX) {
             // The evicted controller may not know yet, and may go on answering workers until its lease expires.
-            self.evictions.insert(member.to_owned(), (self.now, stamp));
+            self.evictions.insert(member.to_owned(), (self.now, revision));
         } else if let Some(shard) = key.strip_prefix(records::BLOCKS_PREFIX) {
             match shard.parse() {
-                Ok(shard) => self.apply_block(shard, key, value.text(), stamp),
+                Ok(shard) => self.apply_block(shard, key, value.text(), revision),
                 Err(problem) => self.mark_unreadable(key, &problem),
             }
         } else if let Some(request) = key.strip_prefix(records::RENTALS_PREFIX) {
             if let Ok(rental) = value.parse() {
-                self.rentals.insert(request.to_owned(), (rental, stamp));
+                self.rentals.insert(request.to_owned(), (rental, revision));
             }
             // The write of this rental's record had no reply and was given up, but was carried out after all. Unless
             // the record is deleted, each new leader would rent the machines again.
@@ -242,30 +243,30 @@
                 lead.fleet.rentals_to_delete.insert(request.to_owned());
             }
         } else if let Some(member) = key.strip_prefix(records::UNINFORMED_PREFIX) {
-            self.apply_uninformed_record(member, value, stamp);
+            self.apply_uninformed_record(member, value, revision);
         } else if key == records::LEADER_KEY {
             if let Ok(l) = value.parse::<LeaderRecord>() {
-                self.leader = Some((l.member, l.registration, stamp));
+                self.leader = Some((l.member, l.registration, revision));
                 self.leadership_changed();
             }
         } else if key == records::VIEW_KEY {
             if let Ok(view) = value.parse() {
                 self.view = view;
-                self.view_revision = stamp;
+                self.view_revision = revision;
                 self.view_changed();
             }
         } else if key == records::TOKEN_COUNTER_KEY {
-            self.token_counter = (value.parse().unwrap_or(0), stamp);
+            self.token_counter = (value.parse().unwrap_or(0), revision);
         } else if key == records::QUOTA_KEY
             && let Ok(quota) = value.parse()
         {
-            self.quota_record = (quota, stamp);
+            self.quota_record = (quota, revision);
             self.check_shares();
         }
     }
 
     /// Applies the deletion of a record.
-    fn apply_delete(&mut self, key: &str, stamp: u64) {
+    fn apply_delete(&mut self, key: &str, revision: u64) {
         self.unreadable_keys.remove(key);
         if let Some(job) = key.strip_prefix(records::LIVE_JOBS_PREFIX) {
             // A deleted live record never comes back, since job ids are never accepted twice.
@@ -281,7 +282,7 @@
                 }
             }
         } else if let Some(member) = key.strip_prefix(records::REGISTRATIONS_PREFIX) {
-            if let Some(former) = self.registrations.get(member).copied().filter(|s| *s < stamp) {
+            if let Some(former) = self.registrations.get(member).copied().filter(|s| *s < revision) {
                 self.registrations.remove(member);
                 self.machine_knowledge.incarnation_ended(&(member.to_owned(), former));
                 if member == self.own_name() {
@@ -294,35 +295,35 @@
             if let Ok(shard) = shard.parse()
                 && let Some(block) = self.shards.get_mut(&shard)
             {
-                block.1 = stamp;
+                block.1 = revision;
                 let changes = block.0.clear();
-                self.apply_block_changes(shard, changes, stamp);
+                self.apply_block_changes(shard, changes, revision);
             }
         } else if let Some(request) = key.strip_prefix(records::RENTALS_PREFIX) {
             self.rentals.remove(request);
-        } else if key == records::LEADER_KEY && self.leader.as_ref().is_some_and(|l| l.2 < stamp) {
+        } else if key == records::LEADER_KEY && self.leader.as_ref().is_some_and(|l| l.2 < revision) {
             self.leader = None;
             self.leadership_changed();
         }
     }
 
     /// Applies a block that was written, unless a newer version was applied before.
-    fn apply_block(&mut self, shard: usize, key: &str, text: &str, stamp: u64) {
+    fn apply_block(&mut self, shard: usize, key: &str, text: &str, revision: u64) {
         let (block, written) = self.shards.entry(shard).or_default();
-        if *written >= stamp {
+        if *written >= revision {
             return;
         }
         match block.update(text) {
             Ok(changes) => {
-                *written = stamp;
-                self.apply_block_changes(shard, changes, stamp);
+                *written = revision;
+                self.apply_block_changes(shard, changes, revision);
             }
             Err(problem) => self.mark_unreadable(key, &problem),
         }
     }
 
     /// Applies the rows of a block that are new, changed or gone.
-    fn apply_block_changes(&mut self, shard: usize, changes: BlockChanges, stamp: u64) {
+    fn apply_block_changes(&mut self, shard: usize, changes: BlockChanges, revision: u64) {
         let any_gone = !changes.removed.is_empty();
         for gone in changes.removed {
             // A row is removed only after the cloud has confirmed that the machine is gone.
@@ -341,10 +342,10 @@
             let now = self.now;
             let owner = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.registration));
             if !self.machines.contains_key(&row.machine) {
-                self.note_first_record(&row.machine, owner.clone(), stamp);
+                self.note_first_record(&row.machine, owner.clone(), revision);
             }
             let Some(machine) = self.machines.get_mut(&row.machine) else {
-                let machine = Machine::new(row.clone(), shard, stamp, now, supply);
+                let machine = Machine::new(row.clone(), shard, revision, now, supply);
                 self.machines.insert_sorted(row.machine, machine);
                 continue;
             };
@@ -360,7 +361,7 @@
             let renewed = (&machine.row.owner, machine.row.registration) == (&row.owner, row.registration)
                 && !machine.resolved;
             machine.row = row;
-            machine.grant_revision = stamp;
+            machine.grant_revision = revision;
             machine.grant_seen_at = if renewed { machine.grant_seen_at } else { now };
             machine.resolved = false;
             machine.last_heard = None;
@@ -412,15 +413,15 @@
 
     /// Whether this controller is in the view under its current registration.
     pub(super) fn in_view(&self) -> bool {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
-        self.view.members.iter().any(|(m, s)| m == self.own_name() && *s == stamp)
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
+        self.view.members.iter().any(|(m, s)| m == self.own_name() && *s == registration)
     }
 
     /// Applies a new view: reassigns all jobs, and begins a takeover if jobs of former members are now this
     /// controller's.
     pub(super) fn view_changed(&mut self) {
         let me = self.settings.member.clone();
-        let view_stamp = self.view_revision;
+        let view_revision = self.view_revision;
         let members: Vec<String> = self.view.members.iter().map(|m| m.0.clone()).collect();
         let mut taken = false;
         let mut lost = Vec::new();
@@ -429,7 +430,7 @@
             let mine = owner.as_deref() == Some(&me);
             // Jobs of this controller's former registrations count as another controller's.
             let was_mine = self.is_view_member && job.owner.as_deref() == Some(&me);
-            if mine && !was_mine && job.accepted_revision < view_stamp {
+            if mine && !was_mine && job.accepted_revision < view_revision {
                 job.takeover_pending = true;
             }
             taken |= mine && job.takeover_pending;
@@ -465,7 +466,7 @@
         // Tasks of ended jobs still count against their team's limit, so with limited teams the machines must be
         // accounted for even if no live job is taken over. Otherwise a controller that registered again at once
         // reported no usage, while forty processors of a withdrawn job of its own were in use on machines that it had
-        // not heard from yet.
+        // received no messages from yet.
         self.takeover_in_progress = taken || member && self.any_team_limited();
         if self.takeover_in_progress {
             // Machines without an owner cannot run any task.
@@ -481,10 +482,10 @@
 
     /// Whether a machine is granted to this controller's current registration.
     pub(super) fn owns(&self, machine: &Machine) -> bool {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
         // The cheap comparison comes first, as this is called for every machine very often: the registration differs
         // for nearly all machines of other controllers.
-        machine.row.registration == stamp && machine.row.owner == self.settings.member
+        machine.row.registration == registration && machine.row.owner == self.settings.member
     }
 
     /// Replaces the known tasks of a machine. `ground`: the reason for which missing tasks are taken to be gone.
--- a/src/coordination/simulation/former_lives.rs
+++ b/src/coordination/simulation/former_lives.rs
@@ -93,7 +93,7 @@
         let open = asker.unresolved_machine_count();
         let words = asker.machines.values().map(|m| asker.machine_status(m)).collect();
         let former = asker.incarnation().1 - 1;
-        let late = PeerMessage::Testimony {
+        let late = PeerMessage::WitnessAnswer {
             registration: witness.1,
             requester_registration: former,
             query: u64::MAX,
--- a/src/coordination/simulation/newcomer_orders.rs
+++ b/src/coordination/simulation/newcomer_orders.rs
@@ -69,7 +69,7 @@
     world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(node)] });
     let testimony = |what: &Happening| {
         let Happening::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
-        *node == heir && matches!(message, PeerMessage::Testimony { .. })
+        *node == heir && matches!(message, PeerMessage::WitnessAnswer { .. })
     };
     let end = world.now + Micros::from_secs(4);
     while world.now < end {
--- a/src/coordination/simulation/replaced_links.rs
+++ b/src/coordination/simulation/replaced_links.rs
@@ -72,7 +72,7 @@
         comes_again(&mut world, heir, &told);
         let taken_for_gone = forgotten(&world, heir, &begun);
         statuses += count(&told, |m| matches!(m, PeerMessage::Status(_)));
-        testimonies += count(&told, |m| matches!(m, PeerMessage::Testimony { .. }));
+        testimonies += count(&told, |m| matches!(m, PeerMessage::WitnessAnswer { .. }));
         confirmations += count(&told, |m| matches!(m, PeerMessage::StatusConfirmation { .. }));
         cut_off(&mut world, owner, &begun);
         world.crash_for(owner, Micros::from_secs(60));
--- a/src/coordination/start_gate.rs
+++ b/src/coordination/start_gate.rs
@@ -13,15 +13,15 @@
 /// The state that decides whether a planned start may be sent now.
 pub(super) struct StartGate<'a> {
     /// All controllers that must know have confirmed the starts announced by statuses up to this number.
-    confirmed_up_to: u64,
-    in_force: ActivePermit,
+    confirmed_through: u64,
+    active_permit: ActivePermit,
     jobs: &'a SortedMap<Job>,
 }
 
 impl<'a> StartGate<'a> {
     /// Creates a gate for starts that are sent in the same step.
-    pub(super) fn new(confirmed_up_to: u64, in_force: ActivePermit, jobs: &'a SortedMap<Job>) -> Self {
-        StartGate { confirmed_up_to, in_force, jobs }
+    pub(super) fn new(confirmed_through: u64, active_permit: ActivePermit, jobs: &'a SortedMap<Job>) -> Self {
+        StartGate { confirmed_through, active_permit, jobs }
     }
 
     /// The permit under which a task's start may be sent to a machine now; none if it may not be sent.
@@ -32,7 +32,7 @@
         task: &PlacedTask,
         counters: &mut Counters,
     ) -> Option<Permit> {
-        let permit = task.startable_permit(self.confirmed_up_to, self.in_force)?;
+        let permit = task.startable_permit(self.confirmed_through, self.active_permit)?;
         if self.may_run_elsewhere(machine, id) {
             counters.starts_held_back += 1;
             let attempt = task.attempt;
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -106,38 +106,39 @@
     /// was required, also on the machines of its own former registration. It asks only when no start is in flight
     /// that need not have been announced to it.
     fn query_witnesses(&mut self) {
-        let Some(question) = self.witness_queries.next_target(self.now) else { return };
+        let Some(target) = self.witness_queries.next_target(self.now) else { return };
         let view = self.view_revision;
-        let status = |member: &String, node: u64| {
-            self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == node)
+        let status = |member: &String, registration: u64| {
+            self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == registration)
         };
         let others = || self.registrations.iter().filter(|(member, _)| **member != self.settings.member);
-        if !others()
-            .all(|(member, node)| status(member, *node).is_some_and(|s| s.confirmed_before_view >= view))
-        {
+        if !others().all(|(member, registration)| {
+            status(member, *registration).is_some_and(|s| s.confirmed_before_view >= view)
+        }) {
             return;
         }
-        let witnesses: Vec<Option<String>> = match question {
+        let witnesses: Vec<Option<String>> = match target {
             QueryTarget::All => vec![None],
             // A controller that takes no jobs over has been a member before. If there is none, any may know something.
             QueryTarget::One => others()
-                .max_by_key(|(member, node)| status(member, **node).is_some_and(|s| s.takeover_complete))
+                .max_by_key(|(member, registration)| {
+                    status(member, **registration).is_some_and(|s| s.takeover_complete)
+                })
                 .map(|(member, _)| Some(member.clone()))
                 .into_iter()
                 .collect(),
         };
-        let question = self.witness_queries.record_query(self.now);
-        let stamp = self.incarnation().1;
-        tracing::debug!(question, to = ?witnesses, open = self.unresolved_machines.len(), "querying witnesses");
+        let query = self.witness_queries.record_query(self.now);
+        let registration = self.incarnation().1;
+        tracing::debug!(question = query, to = ?witnesses, open = self.unresolved_machines.len(), "querying witnesses");
         for to in witnesses {
-            self.effects
-                .push(Effect::Send(to, PeerMessage::WitnessQuery { registration: stamp, query: question }));
+            self.effects.push(Effect::Send(to, PeerMessage::WitnessQuery { registration, query }));
         }
     }
 
     /// Answers a witness query: tells a controller that takes jobs over what is known here about machines whose owners
     /// cannot tell it everything yet.
-    pub(super) fn answer_witness_query(&mut self, asker: Incarnation, question: u64) {
+    pub(super) fn answer_witness_query(&mut self, asker: Incarnation, query: u64) {
         // The asker knows what it has ordered itself. Under a later registration it would not, so the query must come
         // from its present one.
         if self.registrations.get(&asker.0) != Some(&asker.1) {
@@ -157,30 +158,30 @@
         let fully_known =
             open.filter(|(name, _)| self.machine_knowledge.is_fully_known_except_from(name, &me, &asker));
         let machines = fully_known.map(|(_, m)| self.machine_status(m)).collect();
-        let testimony = PeerMessage::Testimony {
+        let answer = PeerMessage::WitnessAnswer {
             registration: me.1,
             requester_registration: asker.1,
-            query: question,
+            query,
             machines,
         };
-        self.effects.push(Effect::Send(Some(asker.0), testimony));
+        self.effects.push(Effect::Send(Some(asker.0), answer));
     }
 
     /// Handles a witness's answer: lists of all tasks that may be on machines.
-    pub(super) fn handle_testimony(
+    pub(super) fn handle_witness_answer(
         &mut self,
         from: &str,
-        stamp: u64,
-        question: u64,
+        registration: u64,
+        query: u64,
         statuses: &[MachineStatus],
     ) {
-        if self.registrations.get(from) != Some(&stamp)
+        if self.registrations.get(from) != Some(&registration)
             || !self.takeover_in_progress
-            || !self.witness_queries.is_current(question)
+            || !self.witness_queries.is_current(query)
         {
             return;
         }
-        tracing::debug!(from, question, machines = statuses.len(), "witness answer received");
+        tracing::debug!(from, question = query, machines = statuses.len(), "witness answer received");
         for status in statuses {
             if self.machines.get(&status.machine).is_none_or(|m| m.resolved) {
                 continue;
@@ -189,9 +190,9 @@
             if let Some(m) = self.machines.get_mut(&status.machine).filter(|m| m.addr.is_empty()) {
                 m.addr.clone_from(&status.addr);
             }
-            let (nodes, members) = (&self.registrations, &self.view.members);
+            let (registrations, members) = (&self.registrations, &self.view.members);
             let has_ended = |incarnation: &Incarnation| {
-                nodes.get(&incarnation.0) != Some(&incarnation.1) && !members.contains(incarnation)
+                registrations.get(&incarnation.0) != Some(&incarnation.1) && !members.contains(incarnation)
             };
             self.machine_knowledge.witness_reported(&status.machine, has_ended);
             self.witness_queries.mark_covered(&status.machine);
@@ -246,16 +247,16 @@
     }
 
     /// Applies a controller's record of the uninformed controllers, whose confirmations it does not wait for.
-    pub(super) fn apply_uninformed_record(&mut self, member: &str, value: &RawJson, stamp: u64) {
+    pub(super) fn apply_uninformed_record(&mut self, member: &str, value: &RawJson, revision: u64) {
         let Ok(record) = value.parse::<UninformedRecord>() else {
             // A record that cannot be read may name this controller.
-            if let Some(node) = self.registrations.get(member) {
-                self.machine_knowledge.set_uninformed(&(member.to_owned(), *node), true);
+            if let Some(registration) = self.registrations.get(member) {
+                self.machine_knowledge.set_uninformed(&(member.to_owned(), *registration), true);
             }
             return;
         };
         if member == self.own_name() {
-            self.uninformed_record = (record, stamp);
+            self.uninformed_record = (record, revision);
         } else {
             let named = record.peers.contains(&self.incarnation());
             self.machine_knowledge.set_uninformed(&(member.to_owned(), record.registration), named);
@@ -272,9 +273,9 @@
         if self.uninformed_write_in_flight || !self.entitled() {
             return;
         }
-        let (me, node) = self.incarnation();
+        let (me, registration) = self.incarnation();
         let stored: BTreeSet<Incarnation> = match &self.uninformed_record.0 {
-            record if record.registration == node => record.peers.iter().cloned().collect(),
+            record if record.registration == registration => record.peers.iter().cloned().collect(),
             _ => BTreeSet::new(),
         };
         let desired = self.announcements.desired_record(self.now, CONFIRMATION_TIMEOUT);
@@ -283,7 +284,7 @@
             || (stored != self.announcements.uninformed()).then(|| self.announcements.uninformed());
         let Some(record) = desired.or_else(unconfirmed_write) else { return };
         let peers = record.iter().cloned().collect();
-        let Ok(value) = serde_json::to_value(UninformedRecord { registration: node, peers }) else { return };
+        let Ok(value) = serde_json::to_value(UninformedRecord { registration, peers }) else { return };
         let key = records::uninformed_key(&me);
         let transaction = Transaction {
             conditions: vec![
@@ -306,9 +307,9 @@
     pub(super) fn handle_uninformed_reply(&mut self, record: BTreeSet<Incarnation>, reply: StoreReply) {
         self.uninformed_write_in_flight = false;
         if let StoreReply::Committed { revision } = reply {
-            let (node, peers) = (self.incarnation().1, record.iter().cloned().collect());
+            let (registration, peers) = (self.incarnation().1, record.iter().cloned().collect());
             if self.uninformed_record.1 < revision {
-                self.uninformed_record = (UninformedRecord { registration: node, peers }, revision);
+                self.uninformed_record = (UninformedRecord { registration, peers }, revision);
             }
             self.announcements.record_committed(self.now, &record);
             self.send_direct_calls();
--- a/src/coordination/user_requests.rs
+++ b/src/coordination/user_requests.rs
@@ -47,9 +47,9 @@
     }
 
     /// Answers with the job's final state if it is known. Returns whether it is.
-    fn answer_if_ended(&mut self, question: &JobQuery) -> bool {
-        let Some((state, tasks)) = self.final_states.get(&question.job) else { return false };
-        self.answer_end(question.request, &question.job, state, tasks, question.deadline);
+    fn answer_if_ended(&mut self, query: &JobQuery) -> bool {
+        let Some((state, tasks)) = self.final_states.get(&query.job) else { return false };
+        self.answer_end(query.request, &query.job, state, tasks, query.deadline);
         true
     }
 
@@ -81,8 +81,8 @@
             return self.answer(request, Answer::Rejected("the description is too long to keep"));
         }
         let capacity = self.capacity();
-        let verdict = self.submission_limiter.decide(self.now, &spec.id, &spec.team, &spec.class, capacity);
-        if let SubmissionDecision::RetryLater(reason, wait) = verdict {
+        let decision = self.submission_limiter.decide(self.now, &spec.id, &spec.team, &spec.class, capacity);
+        if let SubmissionDecision::RetryLater(reason, wait) = decision {
             tracing::debug!(job = spec.id, class = spec.class, ?reason, "submission deferred");
             let seconds = (wait.as_secs_f64().ceil() as u32).clamp(1, 30);
             return self.answer(request, Answer::RetryLater(seconds));
@@ -262,7 +262,7 @@
         self.enqueue_store_call(urgency, Purpose::LookUpLive { query, goal }, StoreCall::Get { key });
     }
 
-    /// Reads a job's final record. `missing` tells what it means if there is none.
+    /// Reads a job's final record. `if_not_found` selects the answer if there is none.
     fn look_up_final(&mut self, query: JobQuery, if_not_found: IfNotFound) {
         let key = records::final_state_key(&query.job);
         self.enqueue_store_call(
--- a/src/coordination/worker_lease_expiry.rs
+++ b/src/coordination/worker_lease_expiry.rs
@@ -20,10 +20,11 @@
         let silence = self.worker_lease + self.worker_lease.mul_f64(CLOCK_DRIFT) + LEASE_SLACK + LEASE_SLACK;
         let min_applied = self.min_revision_of_others();
         let (now, followed) = (self.now, self.replica_as_of);
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
         let mut lapsed = Vec::new();
         for (name, machine) in &mut self.machines {
-            let is_own = machine.row.registration == stamp && machine.row.owner == self.settings.member;
+            let is_own =
+                machine.row.registration == registration && machine.row.owner == self.settings.member;
             if !is_own || machine.resolved && machine.tasks.is_empty() {
                 continue;
             }
@@ -81,9 +82,9 @@
         }
         let others = self.registrations.iter().filter(|(member, _)| *member != self.own_name());
         others
-            .map(|(member, node)| {
+            .map(|(member, registration)| {
                 let status = self.peers.get(member)?.status.as_ref()?;
-                (status.registration == *node).then_some(status.applied_revision)
+                (status.registration == *registration).then_some(status.applied_revision)
             })
             .try_fold(u64::MAX, |least, applied| Some(least.min(applied?)))
     }
--- a/src/coordination/worker_reports.rs
+++ b/src/coordination/worker_reports.rs
@@ -53,7 +53,8 @@
             return self.answer(request, Answer::RetryLater(1));
         }
         if !self.owns(machine) {
-            // Redirecting a worker to a controller that is no longer registered would only make it go round in circles.
+            // Redirecting a worker to a controller that is no longer registered would only make it try every controller
+            // again.
             let owner = machine.row.owner.clone();
             let owner_registered =
                 owner != self.own_name() && self.registrations.get(&owner) == Some(&machine.row.registration);
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -40,7 +40,7 @@
     pub quarantined: bool,
     /// The cloud has given notice that it will take the machine back.
     pub preemption_notice: bool,
-    /// The machine neither sends reports nor answers direct calls.
+    /// The machine did not answer direct calls, and none of its reports has arrived since; or it is not receiving.
     pub unresponsive: bool,
     /// Since when the machine has no tasks, on the sender's clock.
     pub idle_since: Option<Micros>,
@@ -153,7 +153,7 @@
     },
     /// The answer to a `WitnessQuery`: machines of which the sender knows every task that may be there, though their
     /// owners have not reported them in full.
-    Testimony {
+    WitnessAnswer {
         /// Registration of the sender.
         registration: u64,
         /// Registration under which the query was sent.
@@ -213,7 +213,7 @@
     pub fn target_registration(&self) -> Option<u64> {
         match self {
             PeerMessage::StatusConfirmation { requester_registration, .. }
-            | PeerMessage::Testimony { requester_registration, .. } => Some(*requester_registration),
+            | PeerMessage::WitnessAnswer { requester_registration, .. } => Some(*requester_registration),
             _ => None,
         }
     }
