--- a/crates/admission/src/flows.rs
+++ b/crates/admission/src/flows.rs
@@ -49,8 +49,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct FlowCounters {
     pub offered: u64,
-    pub taken: u64,
-    pub turned_away: u64,
+    pub admitted: u64,
+    pub deferred: u64,
     /// New submissions per second, without retries.
     pub rate: DecayingRate,
     /// When the next submission conforms to the flow's rate, during a shortage (the theoretical arrival time of the
@@ -83,8 +83,8 @@
             && let Some((_, old)) = self.counters.pop_lru()
         {
             self.others.offered += old.offered;
-            self.others.taken += old.taken;
-            self.others.turned_away += old.turned_away;
+            self.others.admitted += old.admitted;
+            self.others.deferred += old.deferred;
         }
         self.counters.get_or_insert_mut(flow, FlowCounters::default)
     }
--- a/crates/admission/src/submission_limiter.rs
+++ b/crates/admission/src/submission_limiter.rs
@@ -28,15 +28,15 @@
 const USABLE_RATE_FRACTION: f64 = 0.85;
 /// How much earlier than its slot a retry is accepted, to allow for clock differences and rounding.
 const EARLY_TOLERANCE: Micros = Micros::from_millis(1_200);
-/// How long a retry slot is kept after its time, and a rejected query after it was made.
+/// How long a retry slot is kept after its time, and a deferred query after it was made.
 const RETENTION: Micros = Micros::from_secs(60);
-/// The most retry slots and the most rejected queries that are kept, and the most slots sent in one message.
+/// The most retry slots and the most deferred queries that are kept, and the most slots sent in one message.
 const MAX_ENTRIES: usize = 8_192;
 const MAX_SLOTS_PER_MESSAGE: usize = 256;
 
 /// Why a submission was deferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RejectionReason {
+pub enum DeferralReason {
     /// Its retry slot is still to come.
     Early,
     /// Its flow has used up its share.
@@ -50,7 +50,7 @@
 pub enum SubmissionDecision {
     Admit,
     /// Not admitted: the submission may be retried after this time.
-    RetryLater(RejectionReason, Micros),
+    RetryLater(DeferralReason, Micros),
 }
 
 /// What this controller can admit at present.
@@ -81,7 +81,7 @@
     slot_order: VecDeque<(Micros, u64)>,
     unsent_slots: VecDeque<u64>,
     /// Since when users' queries for a job have been deferred, by the hash of its id.
-    rejected_queries: HashMap<u64, Micros>,
+    deferred_queries: HashMap<u64, Micros>,
     query_order: VecDeque<(Micros, u64)>,
 }
 
@@ -111,12 +111,12 @@
         }
         let decision = match due {
             Some(due) if now + EARLY_TOLERANCE < due => {
-                SubmissionDecision::RetryLater(RejectionReason::Early, due.since(now))
+                SubmissionDecision::RetryLater(DeferralReason::Early, due.since(now))
             }
             // It comes back in its retry slot.
             Some(_) if capacity.queue_delay <= MAX_QUEUE_DELAY => SubmissionDecision::Admit,
             Some(_) => SubmissionDecision::RetryLater(
-                RejectionReason::Behind,
+                DeferralReason::Behind,
                 MIN_RETRY_DELAY.max(capacity.queue_delay),
             ),
             None => {
@@ -137,9 +137,9 @@
                         conforming_at.max(now + capacity.queue_delay).min(now + MAX_RETRY_DELAY);
                     counters.next_conforming = conforming_at + interval;
                     let reason = if capacity.queue_delay <= max_delay {
-                        RejectionReason::Share
+                        DeferralReason::Share
                     } else {
-                        RejectionReason::Behind
+                        DeferralReason::Behind
                     };
                     SubmissionDecision::RetryLater(reason, conforming_at.since(now).max(MIN_RETRY_DELAY))
                 }
@@ -147,11 +147,11 @@
         };
         match decision {
             SubmissionDecision::Admit => {
-                counters.taken += 1;
+                counters.admitted += 1;
                 self.slots.remove(&id_hash);
             }
             SubmissionDecision::RetryLater(_, wait) => {
-                counters.turned_away += 1;
+                counters.deferred += 1;
                 if due.is_none() {
                     self.add_slot(id_hash, now + wait);
                     self.unsent_slots.push_back(id_hash);
@@ -200,9 +200,9 @@
         }
         while self.query_order.front().is_some_and(|(at, _)| *at + RETENTION < now) {
             if let Some((at, id)) = self.query_order.pop_front()
-                && self.rejected_queries.get(&id) == Some(&at)
+                && self.deferred_queries.get(&id) == Some(&at)
             {
-                self.rejected_queries.remove(&id);
+                self.deferred_queries.remove(&id);
             }
         }
     }
@@ -229,22 +229,22 @@
     /// Since when a job's user has queried it without an answer; now, if this is the first query. When there are more
     /// queries than can be answered, those that have waited longest go first.
     pub fn first_asked(&self, now: Micros, id: &str) -> Micros {
-        self.rejected_queries.get(&xxh3_64(id.as_bytes())).copied().unwrap_or(now)
+        self.deferred_queries.get(&xxh3_64(id.as_bytes())).copied().unwrap_or(now)
     }
 
     /// Notes that a query for a job was deferred.
-    pub fn query_rejected(&mut self, now: Micros, id: &str) {
+    pub fn query_deferred(&mut self, now: Micros, id: &str) {
         self.remove_expired(now);
         let id_hash = xxh3_64(id.as_bytes());
-        if self.rejected_queries.len() < MAX_ENTRIES && !self.rejected_queries.contains_key(&id_hash) {
-            self.rejected_queries.insert(id_hash, now);
+        if self.deferred_queries.len() < MAX_ENTRIES && !self.deferred_queries.contains_key(&id_hash) {
+            self.deferred_queries.insert(id_hash, now);
             self.query_order.push_back((now, id_hash));
         }
     }
 
     /// Notes that a query for a job was answered.
     pub fn query_answered(&mut self, id: &str) {
-        self.rejected_queries.remove(&xxh3_64(id.as_bytes()));
+        self.deferred_queries.remove(&xxh3_64(id.as_bytes()));
     }
 
     /// The number of retry slots still to come.
@@ -265,8 +265,8 @@
         class: &'static str,
         first: Micros,
         next: Micros,
-        rejections: u32,
-        taken: Option<Micros>,
+        deferrals: u32,
+        admitted_at: Option<Micros>,
     }
 
     /// Simulates several controllers, which restart now and then, under ten times the submissions that they can record.
@@ -282,7 +282,7 @@
             for (class, probability) in [("flood", if rush { 0.99 } else { 0.0 }), ("quiet", 0.025)] {
                 if ms < 80_000 && rng.random_bool(probability) {
                     let id = format!("j-{:06}", users.len());
-                    users.push(User { id, class, first: now, next: now, rejections: 0, taken: None });
+                    users.push(User { id, class, first: now, next: now, deferrals: 0, admitted_at: None });
                 }
             }
             for q in &mut queue_lengths {
@@ -299,7 +299,8 @@
                 }
             }
             let still_trying = |u: &User| now.since(u.first) < Micros::from_secs(60);
-            for u in users.iter_mut().filter(|u| u.taken.is_none() && u.next <= now && still_trying(u)) {
+            for u in users.iter_mut().filter(|u| u.admitted_at.is_none() && u.next <= now && still_trying(u))
+            {
                 let n = rng.random_range(0..4);
                 let capacity = Capacity {
                     submissions_per_s,
@@ -308,14 +309,14 @@
                 match limiters[n].decide(now, &u.id, "red", u.class, capacity) {
                     SubmissionDecision::Admit => {
                         queue_lengths[n] += 1.0;
-                        u.taken = Some(now);
+                        u.admitted_at = Some(now);
                     }
                     SubmissionDecision::RetryLater(_, wait) => {
                         assert!(
                             wait >= MIN_RETRY_DELAY && wait <= MAX_RETRY_DELAY + MAX_QUEUE_DELAY,
                             "{wait:?}"
                         );
-                        u.rejections += 1;
+                        u.deferrals += 1;
                         u.next = now + wait;
                     }
                 }
@@ -336,12 +337,12 @@
     fn a_rush_of_one_class_does_not_starve_others_and_few_retry_often() {
         for seed in 0..20 {
             let users = simulate_rush(seed);
-            let taken = users.iter().filter(|u| u.taken.is_some()).count();
-            assert!(taken * 100 >= users.len() * 97, "seed {seed}: {taken} of {}", users.len());
+            let admitted = users.iter().filter(|u| u.admitted_at.is_some()).count();
+            assert!(admitted * 100 >= users.len() * 97, "seed {seed}: {admitted} of {}", users.len());
             for u in users.iter().filter(|u| u.class == "quiet") {
-                assert!(u.rejections <= 3, "seed {seed}: {} was deferred {} times", u.id, u.rejections);
+                assert!(u.deferrals <= 3, "seed {seed}: {} was deferred {} times", u.id, u.deferrals);
             }
-            let frequent = users.iter().filter(|u| u.rejections > 3).count();
+            let frequent = users.iter().filter(|u| u.deferrals > 3).count();
             assert!(frequent * 20 <= users.len(), "seed {seed}: {frequent} of {} retried often", users.len());
         }
     }
@@ -354,7 +355,7 @@
             [SubmissionLimiter::default(), SubmissionLimiter::default(), SubmissionLimiter::default()];
         let now = Micros::from_secs(100);
         let full = Capacity { submissions_per_s: 2.0, queue_delay: Micros::from_secs(3) };
-        let SubmissionDecision::RetryLater(RejectionReason::Behind, wait) =
+        let SubmissionDecision::RetryLater(DeferralReason::Behind, wait) =
             limiters[0].decide(now, "j-1", "red", "any", full)
         else {
             panic!("admitted");
@@ -367,7 +368,7 @@
             let decision = limiter.decide(later, "j-1", "red", "any", free);
             assert_eq!(
                 decision,
-                SubmissionDecision::RetryLater(RejectionReason::Early, wait - Micros::from_millis(500))
+                SubmissionDecision::RetryLater(DeferralReason::Early, wait - Micros::from_millis(500))
             );
             // In its slot it is admitted, where a new submission is not.
             let busy = Capacity { submissions_per_s: 2.0, queue_delay: MAX_QUEUE_DELAY };
@@ -380,19 +381,19 @@
         }
     }
 
-    /// Guards against unbounded memory: retry slots and rejected queries are bounded, and past ones are removed.
+    /// Guards against unbounded memory: retry slots and deferred queries are bounded, and past ones are removed.
     #[test]
-    fn slots_and_rejected_queries_stay_bounded() {
+    fn slots_and_deferred_queries_stay_bounded() {
         let mut limiter = SubmissionLimiter::default();
         let full = Capacity { submissions_per_s: 1.0, queue_delay: Micros::from_secs(3) };
         for n in 0..50_000u64 {
             let now = Micros::from_millis(n);
             limiter.decide(now, &format!("j-{n}"), "red", &format!("c-{}", n % 1_000), full);
-            limiter.query_rejected(now, &format!("j-{n}"));
+            limiter.query_deferred(now, &format!("j-{n}"));
             assert!(limiter.retry_slot_count() <= MAX_ENTRIES);
         }
-        assert!(limiter.rejected_queries.len() <= MAX_ENTRIES && limiter.unsent_slots.len() <= MAX_ENTRIES);
+        assert!(limiter.deferred_queries.len() <= MAX_ENTRIES && limiter.unsent_slots.len() <= MAX_ENTRIES);
         limiter.decide(Micros::from_secs(400), "j-1", "red", "any", full);
-        assert_eq!((limiter.retry_slot_count(), limiter.rejected_queries.len()), (1, 0));
+        assert_eq!((limiter.retry_slot_count(), limiter.deferred_queries.len()), (1, 0));
     }
 }
--- a/crates/recovery/src/announcements.rs
+++ b/crates/recovery/src/announcements.rs
@@ -117,10 +117,10 @@
     }
 
     /// The controllers that the record should name: those already uninformed that are not to be waited for again yet,
-    /// and those with an announcement unconfirmed for longer than `patience`. None if the record is as it should be.
-    pub fn desired_record(&self, now: Micros, patience: Micros) -> Option<BTreeSet<Incarnation>> {
+    /// and those with an announcement unconfirmed for longer than `timeout`. None if the record is as it should be.
+    pub fn desired_record(&self, now: Micros, timeout: Micros) -> Option<BTreeSet<Incarnation>> {
         let overdue =
-            |peer: &PeerConfirmation| peer.unconfirmed_since.is_some_and(|since| now.since(since) > patience);
+            |peer: &PeerConfirmation| peer.unconfirmed_since.is_some_and(|since| now.since(since) > timeout);
         let reinstatable = |peer: &PeerConfirmation| {
             peer.unconfirmed_since.is_none() && now.since(peer.all_confirmed_since) > REINSTATE_AFTER
         };
--- a/src/coordination/call_purposes.rs
+++ b/src/coordination/call_purposes.rs
@@ -25,8 +25,8 @@
     State,
     /// To withdraw the job.
     Withdrawal,
-    /// To check whether a submission that cannot run was accepted before. If not, it is refused with this reason.
-    Refusal(&'static str),
+    /// To check whether a submission that cannot run was accepted before. If not, it is rejected with this reason.
+    Rejection(&'static str),
 }
 
 /// The meaning of a job's missing final record.
--- a/src/coordination/counters.rs
+++ b/src/coordination/counters.rs
@@ -13,7 +13,7 @@
     pub stops: u64,
     pub completions: u64,
     pub task_errors: u64,
-    pub lapses: u64,
+    pub lease_expirations: u64,
     pub accepted: u64,
     pub deferred: u64,
     pub grants: u64,
--- a/src/coordination/final_states.rs
+++ b/src/coordination/final_states.rs
@@ -136,7 +136,9 @@
         let received = |member: &String, registration: u64| {
             let status = announced_in_status.filter(|n| *n > 0);
             status.is_some_and(|n| {
-                self.status_acks.get(member).is_some_and(|ack| ack.0 == registration && ack.1 >= n)
+                self.status_confirmations
+                    .get(member)
+                    .is_some_and(|confirmed| confirmed.0 == registration && confirmed.1 >= n)
             })
         };
         let mut others = self.registrations.iter().filter(|(member, _)| *member != self.own_name());
@@ -253,19 +255,23 @@
             .any(|s| s.announce && s.state == FinalState::Withdrawn && !self.is_end_settled(s))
     }
 
-    /// Another controller has received this one's statuses up to `sequence`.
-    pub(super) fn status_acknowledged(&mut self, (member, registration): (String, u64), sequence: u64) {
-        let ack = self.status_acks.entry(member).or_insert((registration, 0));
-        *ack = if ack.0 == registration {
-            (registration, ack.1.max(sequence))
+    /// Records that another controller has received this one's statuses up to `sequence`.
+    pub(super) fn record_status_confirmation(
+        &mut self,
+        (member, registration): (String, u64),
+        sequence: u64,
+    ) {
+        let confirmed = self.status_confirmations.entry(member).or_insert((registration, 0));
+        *confirmed = if confirmed.0 == registration {
+            (registration, confirmed.1.max(sequence))
         } else {
             (registration, sequence)
         };
     }
 
-    /// Resets announcements and acknowledgements, which do not carry over to the next registration.
+    /// Resets announcements and confirmations, which do not carry over to the next registration.
     pub(super) fn reset_end_announcements(&mut self) {
-        self.status_acks.clear();
+        self.status_confirmations.clear();
         self.unsettled_ends.retain(|_, s| s.state == FinalState::Withdrawn && s.settled_at > self.now);
         self.unsettled_ends.values_mut().for_each(|s| s.announced_in_status = 0);
     }
@@ -273,10 +279,10 @@
     /// Requests the next page of the final states that were recorded before this controller joined, unless the cache is
     /// full.
     pub(super) fn read_final_states(&mut self) {
-        let reading = &self.final_states_scan;
-        if reading.finished
-            || reading.in_flight
-            || self.now < reading.next_read_at
+        let scan = &self.final_states_scan;
+        if scan.finished
+            || scan.in_flight
+            || self.now < scan.next_read_at
             || !self.entitled()
             || self.final_states.is_full()
         {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -258,7 +258,7 @@
     /// Ends of jobs that some other controllers may not know of, by job.
     pub(crate) unsettled_ends: IndexMap<String, final_states::UnsettledEnd>,
     /// By controller: its registration, and the last of this controller's statuses up to which it has received all.
-    pub(crate) status_acks: BTreeMap<String, (u64, u64)>,
+    pub(crate) status_confirmations: BTreeMap<String, (u64, u64)>,
     /// Users' requests that wait until an end is settled.
     pub(crate) end_waiters: Vec<final_states::EndWaiter>,
     pub(crate) next_end_check_at: Micros,
@@ -377,7 +377,7 @@
             final_states: FinalStateCache::new(tuning.final_cache),
             final_states_scan: Default::default(),
             unsettled_ends: IndexMap::new(),
-            status_acks: BTreeMap::new(),
+            status_confirmations: BTreeMap::new(),
             end_waiters: Vec::new(),
             next_end_check_at: Micros::ZERO,
             leader_state: None,
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -250,12 +250,12 @@
     pub(in crate::coordination) fn startable_permit(
         &self,
         confirmed_through: u64,
-        in_force: ActivePermit,
+        active_permit: ActivePermit,
     ) -> Option<Permit> {
         let announced = self.announced_in_status != 0 && self.announced_in_status <= confirmed_through;
         match self.pending {
             Some(PendingStart::Planned(permit)) if announced && self.stop_grace.is_none() => {
-                in_force.covers(permit).then_some(permit)
+                active_permit.covers(permit).then_some(permit)
             }
             _ => None,
         }
@@ -285,7 +285,7 @@
     /// Number of the worker's last message in that session, report or reply to direct orders.
     pub tally: u64,
     /// When a message of the present session was first received, which is no earlier than the session began. `None` if
-    /// the previous session has lapsed and no message of its successor has arrived yet.
+    /// the previous session has ended and no message of its successor has arrived yet.
     pub session_seen_at: Option<Micros>,
     /// Number of the worker's last report. Unlike `tally` it ignores replies to direct orders.
     pub last_report_tally: u64,
--- a/src/coordination/peer_statuses.rs
+++ b/src/coordination/peer_statuses.rs
@@ -241,7 +241,7 @@
                 self.handle_witness_answer(&from, registration, query, &machines);
             }
             PeerMessage::StatusConfirmation { registration, sequence, .. } => {
-                self.status_acknowledged((from.clone(), registration), sequence);
+                self.record_status_confirmation((from.clone(), registration), sequence);
                 self.handle_confirmation((from, registration), sequence);
             }
             PeerMessage::LoadReport(report) => self.handle_load_report(&from, report),
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -45,7 +45,7 @@
         spec: &JobSpec,
         mut missing: u64,
         zones: &mut BTreeMap<String, u32>,
-        rooms: &mut AvailableCapacity,
+        capacity: &mut AvailableCapacity,
         cached_only: bool,
     ) -> u64 {
         let requested = missing;
@@ -55,14 +55,14 @@
         let need = spec.need();
         let max_per_zone = spec.tasks.div_ceil(2);
         let mut options: Vec<(Micros, u64, String)> = Vec::new();
-        for name in rooms.free_after_stops.keys() {
+        for name in capacity.free_after_stops.keys() {
             let Some(m) = self.machines.get(name).filter(|m| allows(spec, m)) else { continue };
             let fetch = self.fetch_time(spec, m);
             if cached_only && fetch > Micros::ZERO {
                 continue;
             }
             let preemptible = self.preemptible_tasks(spec, m).count();
-            if preemptible > 0 || need.fits(rooms.free_after_stops[name]) {
+            if preemptible > 0 || need.fits(capacity.free_after_stops[name]) {
                 options.push((fetch, preemptible as u64, name.clone()));
             }
         }
@@ -73,7 +73,7 @@
             let here = zones.entry(m.row.zone.clone()).or_default();
             let mut preemptible: Vec<(&TaskId, &PlacedTask)> = self.preemptible_tasks(spec, m).collect();
             preemptible.sort_by_key(|(task, t)| (t.started_at, *task));
-            let mut room = rooms.free_after_stops[&name];
+            let mut room = capacity.free_after_stops[&name];
             while missing > 0 && (!spec.spread || *here < max_per_zone) {
                 let mut preempted = Vec::new();
                 let mut room_after = room;
@@ -90,7 +90,7 @@
                 (*here, missing) = (*here + 1, missing - 1);
                 stops.extend(preempted.into_iter().map(|t| (name.clone(), t)));
             }
-            rooms.free_after_stops.insert(name, room);
+            capacity.free_after_stops.insert(name, room);
             if missing == 0 {
                 break;
             }
--- a/src/coordination/quota/permit.rs
+++ b/src/coordination/quota/permit.rs
@@ -141,19 +141,20 @@
     }
 
     /// Handles starts that were planned in an earlier view and not sent. Where the team's limit is not binding, their
-    /// permits are renewed. Where it is, the starts are cancelled, since the share that they were planned within is
+    /// permits are renewed. Where it is, the starts are dropped, since the share that they were planned within is
     /// void.
     pub(in crate::coordination) fn renew_permits(&mut self) {
         let permit = self.active_permit().0;
         let binding =
             if self.is_view_member { self.find_teams_with_binding_limit() } else { BTreeSet::new() };
-        let goes_on =
+        let keeps_permit =
             |task: &TaskId| self.jobs.get(&task.job).is_some_and(|j| !binding.contains(&j.spec.team));
-        let mut lapsed: Vec<(String, TaskId)> = Vec::new();
+        let mut invalid: Vec<(String, TaskId)> = Vec::new();
         let mut renewed: Vec<(String, TaskId)> = Vec::new();
         for (name, machine) in &self.machines {
             for (task, placed_task) in machine.tasks.iter().filter(|(_, t)| t.planned()) {
-                let list = if self.is_view_member && goes_on(task) { &mut renewed } else { &mut lapsed };
+                let list =
+                    if self.is_view_member && keeps_permit(task) { &mut renewed } else { &mut invalid };
                 list.push((name.clone(), task.clone()));
                 debug_assert!(placed_task.pending.is_some());
             }
@@ -163,21 +164,21 @@
                 placed_task.pending = Some(PendingStart::Planned(permit));
             }
         }
-        for (name, task) in lapsed {
+        for (name, task) in invalid {
             self.drop_planned_starts(&name, |t| *t == task);
         }
     }
 
-    /// Cancels planned starts on a machine whose permits are no longer valid: a direct call that was not carried out
+    /// Drops planned starts on a machine whose permits are no longer valid: a direct call that was not carried out
     /// may have carried them while the view changed.
     pub(in crate::coordination) fn drop_unpermitted_starts(&mut self, name: &str) {
         let active_permit = self.active_permit();
         let Some(machine) = self.machines.get(name) else { return };
-        let lapsed = |pending: Option<PendingStart>| match pending {
+        let invalid = |pending: Option<PendingStart>| match pending {
             Some(PendingStart::Planned(permit)) => !active_permit.covers(permit),
             _ => false,
         };
-        let tasks = machine.tasks.iter().filter(|(_, t)| lapsed(t.pending));
+        let tasks = machine.tasks.iter().filter(|(_, t)| invalid(t.pending));
         let tasks: BTreeSet<TaskId> = tasks.map(|(id, _)| id.clone()).collect();
         if !tasks.is_empty() {
             self.drop_planned_starts(name, |id| tasks.contains(id));
--- a/src/coordination/quota/shares.rs
+++ b/src/coordination/quota/shares.rs
@@ -83,7 +83,7 @@
     }
 
     /// Whether every member has accounted for what it took over in the current view.
-    fn all_members_adopted(&self) -> bool {
+    fn all_takeovers_complete(&self) -> bool {
         let done = |m: &str, registration| {
             self.status_of(m, registration)
                 .is_some_and(|s| s.takeover_complete && s.applied_revision >= self.view_revision)
@@ -93,7 +93,7 @@
 
     /// Whether every member has applied the record in force and accounted for what it took over.
     pub(in crate::coordination) fn may_divide_limits(&self) -> bool {
-        self.all_members_adopted() && self.all_controllers_applied(self.quota_record.1)
+        self.all_takeovers_complete() && self.all_controllers_applied(self.quota_record.1)
     }
 
     /// A member's share of a team's limit in the record in force: processors and accelerators.
--- a/src/coordination/simulation/fleets.rs
+++ b/src/coordination/simulation/fleets.rs
@@ -132,7 +132,8 @@
         world.submit(JobSpec { tasks: 400, team: "green".into(), ..job });
     }
     world.run(Micros::from_secs(30));
-    let lapses = |w: &World| w.controllers.iter().flatten().map(|c| c.counters.lapses).sum::<u64>();
+    let lapses =
+        |w: &World| w.controllers.iter().flatten().map(|c| c.counters.lease_expirations).sum::<u64>();
     assert_eq!(lapses(&world), 0);
     let busy = world.workers.iter().find(|(_, w)| !w.tasks.is_empty()).unwrap().0.clone();
     world.workers.get_mut(&busy).unwrap().cut_until = Micros::from_secs(90);
--- a/src/coordination/simulation/meetings_jobs.rs
+++ b/src/coordination/simulation/meetings_jobs.rs
@@ -24,7 +24,7 @@
         most("done_keys", c.done_keys.len());
         most("unsettled ends", c.unsettled_ends.len());
         most("end waiters", c.end_waiters.len());
-        most("status acks", c.status_acks.len());
+        most("status acks", c.status_confirmations.len());
         most("read history", c.read_history.len());
         most("refused connections", c.refused_connections.len());
         most("worker failovers", c.worker_failovers.len());
--- a/src/coordination/user_requests.rs
+++ b/src/coordination/user_requests.rs
@@ -69,7 +69,7 @@
             tracing::debug!(job = spec.id, why, "rejected: the job can never run");
             // If another controller has accepted the job, it must not be rejected here, even if settings have changed.
             if self.accepts_reads() {
-                return self.look_up_live(query, LookupGoal::Refusal(why));
+                return self.look_up_live(query, LookupGoal::Rejection(why));
             }
             return self.answer(request, Answer::RetryLater(1));
         }
@@ -186,7 +186,7 @@
             .max_by_key(|i| (self.submission_limiter.first_asked(self.now, &self.pending_polls[*i].job), *i));
         if let Some(i) = newest {
             let JobQuery { request, job, .. } = self.pending_polls.swap_remove(i);
-            self.submission_limiter.query_rejected(self.now, &job);
+            self.submission_limiter.query_deferred(self.now, &job);
             self.answer(request, Answer::RetryLater(1));
         }
     }
@@ -236,7 +236,7 @@
                 // A failed transaction shows nothing about the jobs that it does not name; they are checked again.
                 StoreReply::Conflict { .. } => self.pending_polls.push(query),
                 _ => {
-                    self.submission_limiter.query_rejected(self.now, &query.job);
+                    self.submission_limiter.query_deferred(self.now, &query.job);
                     self.answer(query.request, Answer::RetryLater(1));
                 }
             }
@@ -336,7 +336,7 @@
                 // 404.
                 IfNotFound::NeverAccepted { as_of, goal } if self.is_recent(as_of) => {
                     let answer = match goal {
-                        LookupGoal::Refusal(why) => Answer::Rejected(why),
+                        LookupGoal::Rejection(why) => Answer::Rejected(why),
                         _ => Answer::NotFound,
                     };
                     self.answer(query.request, answer);
--- a/src/coordination/worker_lease_expiry.rs
+++ b/src/coordination/worker_lease_expiry.rs
@@ -21,7 +21,7 @@
         let min_applied = self.min_revision_of_others();
         let (now, followed) = (self.now, self.replica_as_of);
         let registration = self.lease.as_ref().map_or(0, |l| l.registration);
-        let mut lapsed = Vec::new();
+        let mut expired = Vec::new();
         for (name, machine) in &mut self.machines {
             let is_own =
                 machine.row.registration == registration && machine.row.owner == self.settings.member;
@@ -45,14 +45,14 @@
             // Another controller may have been granted the machine, and have answered it, after the state that this
             // controller last read from the state service. So the silence is counted only up to that read.
             if followed.since(last_renewal) > silence {
-                lapsed.push(name.clone());
+                expired.push(name.clone());
             }
         }
-        if lapsed.is_empty() {
+        if expired.is_empty() {
             return;
         }
-        for name in lapsed {
-            self.counters.lapses += 1;
+        for name in expired {
+            self.counters.lease_expirations += 1;
             tracing::info!(machine = name, "worker lease expired, removing its tasks");
             // Planned starts have not been sent, so they can be planned again in the next session.
             self.replace_tasks(&name, BTreeMap::new(), RemovalGround::LeaseExpired);
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -105,7 +105,7 @@
     pub zone: String,
     #[serde(rename = "Standby", default)]
     pub spot: bool,
-    /// Number of the worker's session: when its lease lapses or it restarts, it ends all tasks and begins a new
+    /// Number of the worker's session: when its lease expires or it restarts, it ends all tasks and begins a new
     /// session.
     #[serde(rename = "Watch")]
     pub session: u64,
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -156,7 +156,7 @@
         ("task_stops_total", counters.stops),
         ("task_completions_total", counters.completions),
         ("task_errors_total", counters.task_errors),
-        ("machine_lapses_total", counters.lapses),
+        ("machine_lapses_total", counters.lease_expirations),
         ("jobs_accepted_total", counters.accepted),
         ("requests_deferred_total", counters.deferred),
         ("grants_total", counters.grants),
@@ -187,8 +187,8 @@
         let labels = format!("team=\"{}\",class=\"{}\"", escape(&flow.team), escape(&flow.class));
         for (outcome, count) in [
             ("offered", flow_counters.offered),
-            ("taken", flow_counters.taken),
-            ("turned_away", flow_counters.turned_away),
+            ("taken", flow_counters.admitted),
+            ("turned_away", flow_counters.deferred),
         ] {
             text += &format!("marblewalk_submissions_{outcome}_total{{{labels}}} {count}\n");
         }
