--- a/src/coordination/admission.rs
+++ b/src/coordination/admission.rs
@@ -31,7 +31,7 @@
 
 impl Controller {
     /// For the metrics: whether a rate plan is in force here, the number of open retry slots, and by team and class how
-    /// many submissions were offered, accepted and deferred.
+    /// many submissions were offered, admitted and deferred.
     pub fn admission_metrics(&self) -> (bool, usize, Vec<(Flow, FlowCounters)>) {
         let rows = self.submission_limiter.flows.iter().map(|(flow, row)| (flow, row.clone()));
         (
@@ -112,7 +112,7 @@
     }
 
     fn build_load_report(&mut self) -> LoadReport {
-        let (calls, changes) = self.store_calls.wanted_rates(self.now);
+        let (calls, writes) = self.store_calls.wanted_rates(self.now);
         let beyond = |wanted: f64, own: f64| ((wanted - own).max(0.0) * 1e3) as u64;
         LoadReport {
             registration: self.lease.as_ref().map_or(0, |l| l.registration),
@@ -120,7 +120,7 @@
             plan_id: self.held_rate_lease.plan_id(),
             held: self.held_rate_lease.rates(self.now),
             wanted: Rates {
-                writes: beyond(changes, self.base_rates.1),
+                writes: beyond(writes, self.base_rates.1),
                 calls: beyond(calls, self.base_rates.0),
             },
             offered_rates: self.submission_limiter.flows.offered_rates(self.now),
--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -14,7 +14,7 @@
 /// Delay of the next direct call after one that was not answered or not carried out.
 const CALL_RETRY_DELAY: Micros = Micros::from_secs(1);
 
-/// Number of consecutive unanswered calls after which a machine that has sent no message counts as lost.
+/// Number of consecutive unanswered calls after which a machine that has sent no message counts as unresponsive.
 const MAX_UNANSWERED_CALLS: u32 = 2;
 
 impl Controller {
@@ -43,13 +43,13 @@
             // the session.
             let (session, token) = (m.session.max(1), m.row.token);
             let mut orders = Vec::new();
-            let silent = !m.unresponsive && m.last_heard.is_some_and(|at| now.since(at) > overdue);
+            let silent = !m.unresponsive && m.last_received_at.is_some_and(|at| now.since(at) > overdue);
             if m.resolved && (silent || m.delivery.is_not_receiving()) {
                 // A call without orders probes whether the machine still answers.
                 m.probe_in_flight = true;
                 m.next_call_at = now + Micros::from_secs(1);
             } else if m.resolved {
-                if m.session_seen_at.is_none() || m.last_heard.is_none_or(|at| now.since(at) > recent) {
+                if m.session_seen_at.is_none() || m.last_received_at.is_none_or(|at| now.since(at) > recent) {
                     continue;
                 }
                 // Stops come before starts, to free the resources that the starts need. A stop that arrives late has no
@@ -121,7 +121,7 @@
         let no_reply = matches!(reply, DirectReply::Unclear | DirectReply::NotSent);
         m.unanswered_calls = if no_reply && !m.resolved { m.unanswered_calls + 1 } else { 0 };
         m.unresponsive |=
-            no_reply && (asked || m.unanswered_calls >= MAX_UNANSWERED_CALLS && m.last_heard.is_none());
+            no_reply && (asked || m.unanswered_calls >= MAX_UNANSWERED_CALLS && m.last_received_at.is_none());
         let first_contact = m.session == 0;
         match &reply {
             DirectReply::Done(_) => {}
--- a/src/coordination/machine_moves.rs
+++ b/src/coordination/machine_moves.rs
@@ -446,7 +446,7 @@
                 continue;
             };
             let owner_silence =
-                self.peers.get(&m.row.owner).map_or(Micros::MAX, |p| self.now.since(p.last_heard));
+                self.peers.get(&m.row.owner).map_or(Micros::MAX, |p| self.now.since(p.last_received_at));
             let silent_to_owner = self.seconds_silent(m) >= silence_limit
                 || owner_silence > Micros::from_secs(u64::from(silence_limit));
             let rescues = rescue_moves.get(name).copied().unwrap_or(0);
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -123,7 +123,7 @@
     pub(super) fn suspects(&self) -> Vec<String> {
         let short_silence = Micros::from_millis(1_200);
         let silent =
-            |m: &String| self.peers.get(m).is_none_or(|p| self.now.since(p.last_heard) > short_silence);
+            |m: &String| self.peers.get(m).is_none_or(|p| self.now.since(p.last_received_at) > short_silence);
         let refused = self
             .refused_connections
             .iter()
@@ -138,7 +138,7 @@
                 .peers
                 .get(*member)
                 .filter(|p| p.status.as_ref().is_some_and(|s| s.registration == **registration));
-            let last_message_at = peer.map(|p| p.last_heard.max(self.resumed_at));
+            let last_message_at = peer.map(|p| p.last_received_at.max(self.resumed_at));
             **member != self.settings.member
                 && last_message_at.is_some_and(|at| self.now.since(at) > SILENCE_TIMEOUT)
         });
@@ -205,7 +205,8 @@
         let others = || self.registrations.keys().filter(|m| !suspects.contains(*m));
         let other_statuses = || {
             others().filter(|m| **m != me).map(|m| {
-                let peer = self.peers.get(m).filter(|p| self.now.since(p.last_heard) < Micros::from_secs(3));
+                let peer =
+                    self.peers.get(m).filter(|p| self.now.since(p.last_received_at) < Micros::from_secs(3));
                 peer.and_then(|p| p.status.as_ref())
             })
         };
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -122,7 +122,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Peer {
     /// When its last status was received.
-    pub last_heard: Micros,
+    pub last_received_at: Micros,
     pub status: Option<Status>,
     /// Its last status of each machine, with times converted to this controller's clock.
     pub machine_statuses: FxHashMap<String, MachineStatus>,
@@ -565,7 +565,7 @@
         let fresh = Micros::from_secs(3);
         let reached_lately = self.now.since(self.last_store_reply_at) < fresh + Micros::from_secs(6);
         let reached_by_others = self.peers.values().any(|p| {
-            self.now.since(p.last_heard) < fresh && p.status.as_ref().is_some_and(|s| s.store_reachable)
+            self.now.since(p.last_received_at) < fresh && p.status.as_ref().is_some_and(|s| s.store_reachable)
         });
         reached_lately && self.now.since(self.last_store_reply_at) < fresh
             || !reached_by_others
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -309,7 +309,7 @@
     /// worker is not ordered to forget tasks and gets no direct calls.
     pub token_renewal_needed: bool,
     /// When a report, or the first message under the present grant, was last received.
-    pub last_heard: Option<Micros>,
+    pub last_received_at: Option<Micros>,
     /// When a report was last answered under the present grant.
     pub last_answered: Option<Micros>,
     /// Time from which on no former owner can answer the machine's reports.
@@ -356,7 +356,7 @@
             call_in_flight: false,
             next_call_at: Micros::ZERO,
             token_renewal_needed: false,
-            last_heard: None,
+            last_received_at: None,
             last_answered: None,
             former_owners_gone_since: None,
             resolved: false,
--- a/src/coordination/peer_statuses.rs
+++ b/src/coordination/peer_statuses.rs
@@ -73,7 +73,7 @@
         if self.leader_state.is_some() {
             let own = self.settings.member.clone();
             let status = Some(Status { machines: Vec::new(), tallies: Vec::new(), ..status.clone() });
-            self.peers.insert(own, Peer { last_heard: self.now, status, ..Default::default() });
+            self.peers.insert(own, Peer { last_received_at: self.now, status, ..Default::default() });
         }
         self.effects.push(Effect::Send(None, PeerMessage::Status(status)));
     }
@@ -95,8 +95,8 @@
 
     /// The own machines that changed since the last broadcast, and the last reports read of them.
     ///
-    /// Every machine is compared with what was sent, rather than marked as changed in each place that changes it: there
-    /// are many such places, and a missing mark would hide a task from the other controllers.
+    /// Every machine is compared with what was sent, rather than marked as changed by the code that changes it: many
+    /// functions do, and a missing mark would hide a task from the other controllers.
     fn collect_machine_changes(&mut self, regular: bool) -> (Vec<MachineStatus>, Vec<Tally>) {
         let mut sent_statuses = std::mem::take(&mut self.sent_machine_statuses);
         sent_statuses.retain(|name, _| self.machines.get(name).is_some_and(|m| self.owns(m)));
@@ -151,7 +151,7 @@
     /// When the last message of an own machine was received, if that is longer ago than the longest regular time
     /// between reports.
     fn owner_silent_since(&self, machine: &Machine) -> Option<Micros> {
-        let last = machine.last_heard.unwrap_or(machine.known_since);
+        let last = machine.last_received_at.unwrap_or(machine.known_since);
         (self.now.since(last) > self.max_report_gap()).then_some(last)
     }
 
@@ -331,7 +331,7 @@
             }
             _ => None,
         };
-        peer.last_heard = now;
+        peer.last_received_at = now;
         peer.status = Some(status);
         for stop in stops {
             self.request_stop(&stop.machine, &stop.task, stop.attempt, Micros::from_millis(stop.grace_ms));
--- a/src/coordination/pending_start/tests.rs
+++ b/src/coordination/pending_start/tests.rs
@@ -29,7 +29,7 @@
 struct Message {
     tally: u64,
     token: u64,
-    there: bool,
+    has_task: bool,
 }
 
 /// An answer in transit: the report that it answers, its token, and whether it contains the start.
@@ -48,10 +48,10 @@
     /// The token of the grant that the controller knows.
     grant: u64,
     /// The newest message and the newest report from the worker that the controller has applied.
-    heard: u64,
-    reported: u64,
+    last_tally: u64,
+    last_report_tally: u64,
     /// The worker's state: whether the task is there, the highest token seen, and the number of its last message.
-    there: bool,
+    has_task: bool,
     token: u64,
     tally: u64,
     /// The report whose answer the worker waits for.
@@ -81,9 +81,9 @@
         World {
             start: Start::Pending(PendingStart::Planned(Permit::default())),
             grant: CALL_TOKEN,
-            heard: 0,
-            reported: 0,
-            there: false,
+            last_tally: 0,
+            last_report_tally: 0,
+            has_task: false,
             token: CALL_TOKEN,
             tally: 0,
             awaited: None,
@@ -97,18 +97,18 @@
     /// The worker's next message.
     fn message(&mut self) -> Message {
         self.tally += 1;
-        Message { tally: self.tally, token: self.token, there: self.there }
+        Message { tally: self.tally, token: self.token, has_task: self.has_task }
     }
 
     /// The controller applies a message.
     fn apply(&mut self, message: Message, direct: bool) {
-        if message.tally <= self.heard || message.token > self.grant {
+        if message.tally <= self.last_tally || message.token > self.grant {
             return;
         }
-        self.heard = message.tally;
+        self.last_tally = message.tally;
         let worker_message = WorkerMessage { session: SESSION, token: message.token, direct };
         self.start = match self.start {
-            Start::Pending(_) if message.there => Start::Confirmed,
+            Start::Pending(_) if message.has_task => Start::Confirmed,
             Start::Pending(pending) if message.token >= self.grant && !pending.may_arrive(worker_message) => {
                 Start::Gone
             }
@@ -156,7 +156,7 @@
                 let mut arrived = self.clone();
                 // The call has the token of the grant under which it was sent.
                 let done = self.token <= CALL_TOKEN;
-                arrived.there |= done;
+                arrived.has_task |= done;
                 let message = arrived.message();
                 arrived.call = Call::Replied { done, message };
                 add("the call arrives", arrived);
@@ -221,7 +221,7 @@
                 world.awaited = None;
                 if answer.token >= world.token {
                     world.token = answer.token;
-                    world.there |= answer.start;
+                    world.has_task |= answer.start;
                 }
             }
             add("the answer arrives", world);
@@ -233,11 +233,11 @@
     /// controller's token.
     fn after_report(&self, message: Message) -> World {
         let mut world = World { report: None, ..self.clone() };
-        if message.tally <= world.reported || message.token > world.grant {
+        if message.tally <= world.last_report_tally || message.token > world.grant {
             return world;
         }
         world.apply(message, false);
-        world.reported = message.tally;
+        world.last_report_tally = message.tally;
         let (tally, token) = (message.tally, world.grant);
         let mut start = false;
         if let Start::Pending(pending) = &mut world.start {
@@ -256,7 +256,7 @@
         let call = self.call == Call::InTransit && self.token <= CALL_TOKEN;
         let answer =
             self.answer.is_some_and(|a| a.start && self.awaited == Some(a.tally) && a.token >= self.token);
-        self.there || call || answer
+        self.has_task || call || answer
     }
 }
 
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -258,7 +258,7 @@
             && !machine.quarantined
             && !machine.preemption_notice
             && !machine.delivery.is_not_receiving()
-            && machine.last_heard.is_some_and(|at| self.now.since(at) < recent)
+            && machine.last_received_at.is_some_and(|at| self.now.since(at) < recent)
     }
 
     /// Plans starts of tasks of an array or a service, as many as its target, the team's quota and the machines allow.
@@ -475,11 +475,11 @@
         let volume_by_job: HashMap<&str, (u32, Turn)> =
             volumes.iter().map(|v| (v.job.as_str(), (v.tasks, v.turn))).collect();
         #[cfg(test)]
-        let alone = self.ignore_leader_volumes;
+        let ignore_leader = self.ignore_leader_volumes;
         for (id, job) in &mut self.jobs {
             (job.volume, job.turn) = volume_by_job.get(id.as_str()).copied().unwrap_or_default();
             #[cfg(test)]
-            if alone {
+            if ignore_leader {
                 (job.volume, job.turn) = (job.unfinished(), Turn::Usual);
             }
         }
--- a/src/coordination/quota/division/tests.rs
+++ b/src/coordination/quota/division/tests.rs
@@ -35,7 +35,7 @@
 }
 
 /// Guards against shares that add up to more than a limit. After a new view each controller was given the usage that it
-/// counted as its share, with tasks that may be in two places counted twice. When the count fell, the controller
+/// counted as its share, with tasks that may be on two machines counted twice. When the count fell, the controller
 /// started as many more: 41 of 40.
 #[test]
 fn shares_never_add_up_to_more_than_the_limit() {
@@ -47,7 +47,7 @@
             let undivided = members.iter().all(|m| m.granted == Resources::default());
             for m in &mut members {
                 m.units = random_units(&mut rng);
-                // Tasks end, and while jobs change owner a task may count in several places.
+                // Tasks end, and while jobs change owner a task may count more than once.
                 let most = if undivided { amount(20_000, 4_000) } else { m.granted.max(m.used) };
                 m.used = up_to(&mut rng, most);
             }
@@ -75,7 +75,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let limit = amount(40_000, 40_000);
         let n = rng.random_range(2..8);
-        // What is really running, and what else is counted while some of it may be in two places.
+        // The usage of running tasks, and what is counted in addition while tasks may be on two machines.
         let mut left = limit;
         let mut share = || {
             let running_usage = up_to(&mut rng, left);
@@ -98,7 +98,7 @@
                 if rng.random_bool(0.4) {
                     running_usage[i] = running_usage[i].minus(up_to(&mut rng, running_usage[i]));
                 }
-                // Each resource by itself, which is more than starts of tasks would use.
+                // Grows to the share in each resource independently, which is more than starts of tasks would use.
                 if rng.random_bool(0.8) {
                     let more = m.granted.minus(running_usage[i].plus(double_counted[i]));
                     running_usage[i] = running_usage[i].plus(more);
--- a/src/coordination/quota/invariants.rs
+++ b/src/coordination/quota/invariants.rs
@@ -94,7 +94,7 @@
 
     /// Checks, for each team and resource of which something has been planned in this pass, that this controller's
     /// usage is within its share. Usage of a resource of which nothing was planned may exceed the share while tasks
-    /// count in several places.
+    /// count more than once.
     pub(in crate::coordination) fn check_planned(&mut self, planned: &BTreeMap<String, Resources>) {
         let binding = planned.iter().filter(|(team, _)| self.teams_with_binding_limit.contains(*team));
         let exceeding = binding.filter(|(team, amount)| !self.within_share(team, **amount));
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -364,7 +364,7 @@
             machine.grant_revision = revision;
             machine.grant_seen_at = if renewed { machine.grant_seen_at } else { now };
             machine.resolved = false;
-            machine.last_heard = None;
+            machine.last_received_at = None;
             machine.last_answered = None;
             machine.former_owners_gone_since = None;
             machine.unresponsive = false;
--- a/src/coordination/simulation/deafness.rs
+++ b/src/coordination/simulation/deafness.rs
@@ -48,7 +48,7 @@
                         m.unresponsive,
                         m.resolved,
                         m.delivery.clone(),
-                        m.last_heard,
+                        m.last_received_at,
                         m.grant_seen_at,
                         c.now,
                     )
--- a/src/coordination/unreachable_machines.rs
+++ b/src/coordination/unreachable_machines.rs
@@ -55,7 +55,7 @@
         let reports_elsewhere =
             |name: &str| lead.misdirected_reports.get(name).is_some_and(|h| self.now.since(h.1) < limit);
         let is_connected = |member: &str| {
-            let age = self.peers.get(member).map_or(Micros::MAX, |p| self.now.since(p.last_heard));
+            let age = self.peers.get(member).map_or(Micros::MAX, |p| self.now.since(p.last_received_at));
             member == self.own_name() || age <= Micros::from_secs(3)
         };
         let members = self.registrations.iter().filter(|(member, _)| is_connected(member));
--- a/src/coordination/worker_lease_expiry.rs
+++ b/src/coordination/worker_lease_expiry.rs
@@ -61,7 +61,7 @@
                 machine.resolved = true;
                 machine.ever_resolved = true;
                 // Late reports of the ended session are ignored.
-                if machine.last_heard.is_some() {
+                if machine.last_received_at.is_some() {
                     machine.session += 1;
                     machine.session_seen_at = None;
                     machine.tally = 0;
--- a/src/coordination/worker_reports.rs
+++ b/src/coordination/worker_reports.rs
@@ -83,7 +83,7 @@
         }
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.last_report_tally = tally;
-            machine.last_heard = Some(self.now);
+            machine.last_received_at = Some(self.now);
             machine.unresponsive = machine.delivery.is_not_receiving();
         }
         if self.is_abandoned_as_not_receiving(&name) {
@@ -159,7 +159,7 @@
         let mut ended = Vec::new();
         let Some(machine) = self.machines.get(&name) else { return };
         let was_idle = machine.idle();
-        let was_ready = machine.last_heard.is_some();
+        let was_ready = machine.last_received_at.is_some();
         // Until the worker has seen the current token, its report may be older than the known state, and orders of a
         // former owner may still arrive.
         let fenced = report.token >= machine.row.token;
@@ -215,7 +215,7 @@
         if !report.addr.is_empty() {
             machine.addr = report.addr;
         }
-        machine.last_heard = machine.last_heard.filter(|_| direct).or(Some(now));
+        machine.last_received_at = machine.last_received_at.filter(|_| direct).or(Some(now));
         machine.up = true;
         machine.unresponsive = machine.delivery.is_not_receiving();
         machine.preemption_notice = noticed;
@@ -448,7 +448,7 @@
     /// Seconds since a machine's owner last received a message from it.
     pub(super) fn seconds_silent(&self, machine: &Machine) -> u32 {
         if self.owns(machine) {
-            self.now.since(machine.last_heard.unwrap_or(machine.known_since)).as_secs_f64() as u32
+            self.now.since(machine.last_received_at.unwrap_or(machine.known_since)).as_secs_f64() as u32
         } else {
             machine.silent_since.map_or(0, |at| self.now.since(at).as_secs_f64() as u32)
         }
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -117,7 +117,7 @@
     pub stop_requests: Vec<StopRequest>,
     /// Jobs whose end the sender has recorded or found recorded.
     pub ended_jobs: Vec<EndedJob>,
-    /// Controllers that the sender suspects to have ended, because they refuse its connections or send no messages.
+    /// Controllers that the sender suspects to have failed, because they refuse its connections or send no messages.
     pub suspects: Vec<String>,
     /// Controllers whose workers have started to report to the sender instead.
     pub deserted_controllers: Vec<String>,
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -216,26 +216,27 @@
 
 /// Serves connections until `stop` is cancelled. While `max_connections` are open, new ones are closed at once.
 pub async fn serve(listener: TcpListener, router: Router, max_connections: usize, stop: CancellationToken) {
-    let slots = Arc::new(Semaphore::new(max_connections));
+    let connection_permits = Arc::new(Semaphore::new(max_connections));
     loop {
         let Some(accepted) = stop.run_until_cancelled(listener.accept()).await else { return };
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let Ok(slot) = slots.clone().try_acquire_owned() else { continue };
+        let Ok(permit) = connection_permits.clone().try_acquire_owned() else { continue };
         let _ = stream.set_nodelay(true);
         let service = TowerToHyperService::new(router.clone());
         let stop = stop.clone();
         tokio::spawn(async move {
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
-                // Closes connections that send no request or only a part of its head, so that they don't keep a slot.
+                // Closes connections that send no request or only a part of its head, so that they do not occupy a
+                // permit.
                 .header_read_timeout(Duration::from_secs(30))
                 .max_buf_size(MAX_BODY_BYTES)
                 .serve_connection(TokioIo::new(stream), service);
             stop.run_until_cancelled(connection).await;
-            drop(slot);
+            drop(permit);
         });
     }
 }
