--- a/src/coordination/direct_calls.rs
+++ b/src/coordination/direct_calls.rs
@@ -14,7 +14,7 @@
 /// Delay of the next direct call after one that was not answered or not carried out.
 const CALL_RETRY_DELAY: Micros = Micros::from_secs(1);
 
-/// Number of consecutive unanswered calls after which a machine that has sent no message counts as lost.
+/// Number of consecutive unanswered calls after which a machine that has sent no message counts as unresponsive.
 const MAX_UNANSWERED_CALLS: u32 = 2;
 
 impl Controller {
@@ -25,10 +25,10 @@
         let now = self.now;
         let recent = Micros(self.report_every.0 * 2);
         let overdue = self.max_report_gap() + PROBE_DELAY;
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
         let gate = StartGate::new(self.confirmed_through(), self.active_permit(), &self.jobs);
         for (name, m) in &mut self.machines {
-            let mine = m.row.registration == stamp && m.row.owner == self.settings.member;
+            let mine = m.row.registration == registration && m.row.owner == self.settings.member;
             let known = m.session != 0 || !m.resolved;
             if !mine
                 || m.call_in_flight
@@ -39,17 +39,17 @@
             {
                 continue;
             }
-            // A worker that has never been heard is most likely in its first session. If not, its reply contains the
-            // session.
+            // A worker that has never sent a message is most likely in its first session. If not, its reply contains
+            // the session.
             let (session, token) = (m.session.max(1), m.row.token);
             let mut orders = Vec::new();
-            let unheard = !m.unresponsive && m.last_heard.is_some_and(|at| now.since(at) > overdue);
-            if m.resolved && (unheard || m.delivery.is_not_receiving()) {
+            let silent = !m.unresponsive && m.last_received_at.is_some_and(|at| now.since(at) > overdue);
+            if m.resolved && (silent || m.delivery.is_not_receiving()) {
                 // A call without orders probes whether the machine still answers.
                 m.probe_in_flight = true;
                 m.next_call_at = now + Micros::from_secs(1);
             } else if m.resolved {
-                if m.session_seen_at.is_none() || m.last_heard.is_none_or(|at| now.since(at) > recent) {
+                if m.session_seen_at.is_none() || m.last_received_at.is_none_or(|at| now.since(at) > recent) {
                     continue;
                 }
                 // Stops come before starts, to free the resources that the starts need. A stop that arrives late has no
@@ -118,10 +118,10 @@
         }
         let asked = std::mem::take(&mut m.probe_in_flight);
         let starting = std::mem::take(&mut m.starts_in_call);
-        let silent = matches!(reply, DirectReply::Unclear | DirectReply::NotSent);
-        m.unanswered_calls = if silent && !m.resolved { m.unanswered_calls + 1 } else { 0 };
+        let no_reply = matches!(reply, DirectReply::Unclear | DirectReply::NotSent);
+        m.unanswered_calls = if no_reply && !m.resolved { m.unanswered_calls + 1 } else { 0 };
         m.unresponsive |=
-            silent && (asked || m.unanswered_calls >= MAX_UNANSWERED_CALLS && m.last_heard.is_none());
+            no_reply && (asked || m.unanswered_calls >= MAX_UNANSWERED_CALLS && m.last_received_at.is_none());
         let first_contact = m.session == 0;
         match &reply {
             DirectReply::Done(_) => {}
@@ -140,7 +140,7 @@
                 }
                 self.counters.starts_already_answered += answered_before;
                 if !starting.is_empty() {
-                    let outcome = if silent { "not sent" } else { "rejected" };
+                    let outcome = if no_reply { "not sent" } else { "rejected" };
                     let starts = starting.len();
                     tracing::info!(
                         machine = name,
@@ -151,12 +151,12 @@
                         "direct call with starts was not carried out"
                     );
                 }
-                m.next_call_at = if first_contact && !silent { now } else { now + CALL_RETRY_DELAY };
+                m.next_call_at = if first_contact && !no_reply { now } else { now + CALL_RETRY_DELAY };
                 if m.unresponsive {
                     self.schedule_status();
                 }
                 self.drop_disowned_starts(name);
-                self.cancel_unpermitted_starts(name);
+                self.drop_unpermitted_starts(name);
             }
             DirectReply::Unclear if asked => self.schedule_status(),
             DirectReply::Unclear => {
--- a/src/coordination/quota/shares.rs
+++ b/src/coordination/quota/shares.rs
@@ -64,11 +64,11 @@
         if record == self.quota_record.0 {
             return false;
         }
-        let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
+        let Some(leader_revision) = self.leader.as_ref().map(|l| l.2) else { return false };
         let Ok(value) = serde_json::to_value(record) else { return false };
         let transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::LEADER_KEY, leader_revision),
                 Condition::new(records::QUOTA_KEY, self.quota_record.1),
                 Condition::new(records::VIEW_KEY, self.view_revision),
                 self.registration_condition(),
@@ -83,7 +83,7 @@
     }
 
     /// Whether every member has accounted for what it took over in the current view.
-    fn all_members_adopted(&self) -> bool {
+    fn all_takeovers_complete(&self) -> bool {
         let done = |m: &str, registration| {
             self.status_of(m, registration)
                 .is_some_and(|s| s.takeover_complete && s.applied_revision >= self.view_revision)
@@ -93,7 +93,7 @@
 
     /// Whether every member has applied the record in force and accounted for what it took over.
     pub(in crate::coordination) fn may_divide_limits(&self) -> bool {
-        self.all_members_adopted() && self.all_controllers_applied(self.quota_record.1)
+        self.all_takeovers_complete() && self.all_controllers_applied(self.quota_record.1)
     }
 
     /// A member's share of a team's limit in the record in force: processors and accelerators.
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -16,7 +16,7 @@
 
 /// Minimum time between two requests for changes.
 const MIN_FOLLOW_INTERVAL: Micros = Micros::from_millis(100);
-/// The part of the store's request limit that all controllers together may use to follow its changes.
+/// The part of the state service's request limit that all controllers together may use to follow its changes.
 const FOLLOW_RATE_SHARE: f64 = 0.25;
 
 /// A stable hash that is the same in every controller: FNV-1a with a final mix.
@@ -82,7 +82,7 @@
         tracing::debug!(job = id, unfinished = job.unfinished(), "job ended");
         let may_use = job.spec.need().times(u64::from(job.unfinished()));
         self.recently_removed.push_back((self.now, job.spec.team.clone(), may_use));
-        // Planned starts must not be sent, as the job's user may have been told that the job has ended. Running tasks
+        // Planned starts must not be sent, as the job's user may know already that the job has ended. Running tasks
         // are marked here, so that direct calls stop them at once rather than the answer to the next report: their
         // resources are needed.
         let tasks = job.spec.tasks;
@@ -90,9 +90,9 @@
         if !on.is_empty() {
             self.retired.insert(id.to_owned(), job);
         }
-        for (index, places) in &on {
+        for (index, machines) in &on {
             let task = TaskId::new(id, *index);
-            for name in places {
+            for name in machines {
                 self.drop_planned_starts(name, |t| t.job == id);
                 if let Some(t) = self.machines.get_mut(name).and_then(|m| m.tasks.get_mut(&task)) {
                     t.stop_grace = Some(Micros::ZERO);
@@ -170,7 +170,7 @@
     }
 
     /// Applies a record that was loaded or changed.
-    fn apply_put(&mut self, key: &str, value: &RawJson, stamp: u64) {
+    fn apply_put(&mut self, key: &str, value: &RawJson, revision: u64) {
         if !self.unreadable_keys.is_empty() {
             self.unreadable_keys.remove(key);
         }
@@ -181,14 +181,14 @@
                     Ok(spec) => spec,
                     Err(problem) => return self.mark_unreadable(key, &problem),
                 };
-                // No room is kept for jobs that may displace others.
+                // No room is kept for jobs that may preempt others.
                 if self.needs_fast_start(&spec.class) && !self.may_preempt(&spec) {
                     self.fast_start_jobs.insert(spec.class.clone(), spec.clone());
                 }
                 if self.phase == Phase::Active {
                     self.record_arrival(&spec);
                 }
-                let mut job_state = Job::new(spec, stamp, self.now);
+                let mut job_state = Job::new(spec, revision, self.now);
                 job_state.owner = self.owner_of(job);
                 // Another controller may have reported tasks of the job before its record arrived.
                 let (first, need) = (TaskId::new(job, 0), job_state.spec.need());
@@ -207,32 +207,33 @@
         } else if let Some(rest) = key.strip_prefix(records::COMPLETIONS_PREFIX) {
             let Some((job, chunk)) = rest.rsplit_once('/') else { return };
             let Ok(chunk) = chunk.parse::<usize>() else { return };
-            self.done_keys.entry(job.to_owned()).or_default().insert(chunk, stamp);
+            self.done_keys.entry(job.to_owned()).or_default().insert(chunk, revision);
             if let Some(j) = self.jobs.get_mut(job) {
                 j.merge_recorded(chunk, &value.parse().unwrap_or_default());
             }
         } else if let Some(member) = key.strip_prefix(records::REGISTRATIONS_PREFIX) {
             // Changes are followed from the revision of the list's first page, so they may replay a registration that
             // is older than the one that a later page showed.
-            if self.registrations.get(member).is_some_and(|known| *known > stamp) {
+            if self.registrations.get(member).is_some_and(|known| *known > revision) {
                 return;
             }
-            if let Some(former) = self.registrations.insert(member.to_owned(), stamp).filter(|s| *s != stamp)
+            if let Some(former) =
+                self.registrations.insert(member.to_owned(), revision).filter(|s| *s != revision)
             {
                 self.machine_knowledge.incarnation_ended(&(member.to_owned(), former));
             }
             self.schedule_round();
         } else if let Some(member) = key.strip_prefix(records::EVICTIONS_PREFIX) {
             // The evicted controller may not know yet, and may go on answering workers until its lease expires.
-            self.evictions.insert(member.to_owned(), (self.now, stamp));
+            self.evictions.insert(member.to_owned(), (self.now, revision));
         } else if let Some(shard) = key.strip_prefix(records::BLOCKS_PREFIX) {
             match shard.parse() {
-                Ok(shard) => self.apply_block(shard, key, value.text(), stamp),
+                Ok(shard) => self.apply_block(shard, key, value.text(), revision),
                 Err(problem) => self.mark_unreadable(key, &problem),
             }
         } else if let Some(request) = key.strip_prefix(records::RENTALS_PREFIX) {
             if let Ok(rental) = value.parse() {
-                self.rentals.insert(request.to_owned(), (rental, stamp));
+                self.rentals.insert(request.to_owned(), (rental, revision));
             }
             // The write of this rental's record had no reply and was given up, but was carried out after all. Unless
             // the record is deleted, each new leader would rent the machines again.
@@ -242,30 +243,30 @@
                 lead.fleet.rentals_to_delete.insert(request.to_owned());
             }
         } else if let Some(member) = key.strip_prefix(records::UNINFORMED_PREFIX) {
-            self.apply_uninformed_record(member, value, stamp);
+            self.apply_uninformed_record(member, value, revision);
         } else if key == records::LEADER_KEY {
             if let Ok(l) = value.parse::<LeaderRecord>() {
-                self.leader = Some((l.member, l.registration, stamp));
+                self.leader = Some((l.member, l.registration, revision));
                 self.leadership_changed();
             }
         } else if key == records::VIEW_KEY {
             if let Ok(view) = value.parse() {
                 self.view = view;
-                self.view_revision = stamp;
+                self.view_revision = revision;
                 self.view_changed();
             }
         } else if key == records::TOKEN_COUNTER_KEY {
-            self.token_counter = (value.parse().unwrap_or(0), stamp);
+            self.token_counter = (value.parse().unwrap_or(0), revision);
         } else if key == records::QUOTA_KEY
             && let Ok(quota) = value.parse()
         {
-            self.quota_record = (quota, stamp);
+            self.quota_record = (quota, revision);
             self.check_shares();
         }
     }
 
     /// Applies the deletion of a record.
-    fn apply_delete(&mut self, key: &str, stamp: u64) {
+    fn apply_delete(&mut self, key: &str, revision: u64) {
         self.unreadable_keys.remove(key);
         if let Some(job) = key.strip_prefix(records::LIVE_JOBS_PREFIX) {
             // A deleted live record never comes back, since job ids are never accepted twice.
@@ -281,7 +282,7 @@
                 }
             }
         } else if let Some(member) = key.strip_prefix(records::REGISTRATIONS_PREFIX) {
-            if let Some(former) = self.registrations.get(member).copied().filter(|s| *s < stamp) {
+            if let Some(former) = self.registrations.get(member).copied().filter(|s| *s < revision) {
                 self.registrations.remove(member);
                 self.machine_knowledge.incarnation_ended(&(member.to_owned(), former));
                 if member == self.own_name() {
@@ -294,35 +295,35 @@
             if let Ok(shard) = shard.parse()
                 && let Some(block) = self.shards.get_mut(&shard)
             {
-                block.1 = stamp;
+                block.1 = revision;
                 let changes = block.0.clear();
-                self.apply_block_changes(shard, changes, stamp);
+                self.apply_block_changes(shard, changes, revision);
             }
         } else if let Some(request) = key.strip_prefix(records::RENTALS_PREFIX) {
             self.rentals.remove(request);
-        } else if key == records::LEADER_KEY && self.leader.as_ref().is_some_and(|l| l.2 < stamp) {
+        } else if key == records::LEADER_KEY && self.leader.as_ref().is_some_and(|l| l.2 < revision) {
             self.leader = None;
             self.leadership_changed();
         }
     }
 
     /// Applies a block that was written, unless a newer version was applied before.
-    fn apply_block(&mut self, shard: usize, key: &str, text: &str, stamp: u64) {
+    fn apply_block(&mut self, shard: usize, key: &str, text: &str, revision: u64) {
         let (block, written) = self.shards.entry(shard).or_default();
-        if *written >= stamp {
+        if *written >= revision {
             return;
         }
         match block.update(text) {
             Ok(changes) => {
-                *written = stamp;
-                self.apply_block_changes(shard, changes, stamp);
+                *written = revision;
+                self.apply_block_changes(shard, changes, revision);
             }
             Err(problem) => self.mark_unreadable(key, &problem),
         }
     }
 
     /// Applies the rows of a block that are new, changed or gone.
-    fn apply_block_changes(&mut self, shard: usize, changes: BlockChanges, stamp: u64) {
+    fn apply_block_changes(&mut self, shard: usize, changes: BlockChanges, revision: u64) {
         let any_gone = !changes.removed.is_empty();
         for gone in changes.removed {
             // A row is removed only after the cloud has confirmed that the machine is gone.
@@ -339,12 +340,12 @@
         for row in changes.changed {
             let supply = self.machine_types.get(&row.kind).map(|t| t.supply()).unwrap_or_default();
             let now = self.now;
-            let holder = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.registration));
+            let owner = (!row.owner.is_empty()).then(|| (row.owner.clone(), row.registration));
             if !self.machines.contains_key(&row.machine) {
-                self.note_first_record(&row.machine, holder.clone(), stamp);
+                self.note_first_record(&row.machine, owner.clone(), revision);
             }
             let Some(machine) = self.machines.get_mut(&row.machine) else {
-                let machine = Machine::new(row.clone(), shard, stamp, now, supply);
+                let machine = Machine::new(row.clone(), shard, revision, now, supply);
                 self.machines.insert_sorted(row.machine, machine);
                 continue;
             };
@@ -352,7 +353,7 @@
                 machine.row = row;
                 continue;
             }
-            self.machine_knowledge.machine_granted(&row.machine, holder);
+            self.machine_knowledge.machine_granted(&row.machine, owner);
             tracing::debug!(machine = row.machine, owner = row.owner, token = row.token, "granted");
             self.remote_stops_pending = true;
             // A new token for the same owner keeps the time of the grant. Otherwise a machine that accepts none of its
@@ -360,10 +361,10 @@
             let renewed = (&machine.row.owner, machine.row.registration) == (&row.owner, row.registration)
                 && !machine.resolved;
             machine.row = row;
-            machine.grant_revision = stamp;
+            machine.grant_revision = revision;
             machine.grant_seen_at = if renewed { machine.grant_seen_at } else { now };
             machine.resolved = false;
-            machine.last_heard = None;
+            machine.last_received_at = None;
             machine.last_answered = None;
             machine.former_owners_gone_since = None;
             machine.unresponsive = false;
@@ -386,9 +387,9 @@
     }
 
     /// Records a machine that appears for the first time, in a record of this revision, with its owner if it has one.
-    fn note_first_record(&mut self, name: &str, holder: Option<Incarnation>, revision: u64) {
-        let Some(holder) = holder else { return self.machine_knowledge.machine_granted(name, None) };
-        self.machine_knowledge.machine_discovered(name, holder, revision);
+    fn note_first_record(&mut self, name: &str, owner: Option<Incarnation>, revision: u64) {
+        let Some(owner) = owner else { return self.machine_knowledge.machine_granted(name, None) };
+        self.machine_knowledge.machine_discovered(name, owner, revision);
         // A takeover that is in progress began without this machine, whose record could not be read then.
         if self.takeover_in_progress {
             self.unresolved_machines.insert(name.to_owned());
@@ -412,15 +413,15 @@
 
     /// Whether this controller is in the view under its current registration.
     pub(super) fn in_view(&self) -> bool {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
-        self.view.members.iter().any(|(m, s)| m == self.own_name() && *s == stamp)
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
+        self.view.members.iter().any(|(m, s)| m == self.own_name() && *s == registration)
     }
 
     /// Applies a new view: reassigns all jobs, and begins a takeover if jobs of former members are now this
     /// controller's.
     pub(super) fn view_changed(&mut self) {
         let me = self.settings.member.clone();
-        let view_stamp = self.view_revision;
+        let view_revision = self.view_revision;
         let members: Vec<String> = self.view.members.iter().map(|m| m.0.clone()).collect();
         let mut taken = false;
         let mut lost = Vec::new();
@@ -429,7 +430,7 @@
             let mine = owner.as_deref() == Some(&me);
             // Jobs of this controller's former registrations count as another controller's.
             let was_mine = self.is_view_member && job.owner.as_deref() == Some(&me);
-            if mine && !was_mine && job.accepted_revision < view_stamp {
+            if mine && !was_mine && job.accepted_revision < view_revision {
                 job.takeover_pending = true;
             }
             taken |= mine && job.takeover_pending;
@@ -457,14 +458,15 @@
         }
         let others = self.view.members.iter().filter(|m| m.0 != self.settings.member);
         self.announcements.set_members(self.now, self.view_revision, others.cloned());
-        self.machine_knowledge.prune(|life| self.registrations.get(&life.0) == Some(&life.1));
+        self.machine_knowledge
+            .prune(|incarnation| self.registrations.get(&incarnation.0) == Some(&incarnation.1));
         self.remote_stops_pending = true;
         self.unresolved_machines.clear();
         self.witness_queries.begin();
         // Tasks of ended jobs still count against their team's limit, so with limited teams the machines must be
         // accounted for even if no live job is taken over. Otherwise a controller that registered again at once
         // reported no usage, while forty processors of a withdrawn job of its own were in use on machines that it had
-        // not heard from yet.
+        // received no messages from yet.
         self.takeover_in_progress = taken || member && self.any_team_limited();
         if self.takeover_in_progress {
             // Machines without an owner cannot run any task.
@@ -480,10 +482,10 @@
 
     /// Whether a machine is granted to this controller's current registration.
     pub(super) fn owns(&self, machine: &Machine) -> bool {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
         // The cheap comparison comes first, as this is called for every machine very often: the registration differs
         // for nearly all machines of other controllers.
-        machine.row.registration == stamp && machine.row.owner == self.settings.member
+        machine.row.registration == registration && machine.row.owner == self.settings.member
     }
 
     /// Replaces the known tasks of a machine. `ground`: the reason for which missing tasks are taken to be gone.
@@ -515,11 +517,11 @@
         for id in before.keys().filter(|id| !after.contains_key(*id)) {
             if let Some(job) = self.jobs.get_mut(&id.job).or_else(|| self.retired.get_mut(&id.job)) {
                 job.remove_placement(id.index, name);
-            } else if let Some(places) = self.machines_with_unknown_tasks.get_mut(&id.job)
+            } else if let Some(machines) = self.machines_with_unknown_tasks.get_mut(&id.job)
                 && !after.keys().any(|t| t.job == id.job)
             {
-                places.remove(name);
-                if places.is_empty() {
+                machines.remove(name);
+                if machines.is_empty() {
                     self.machines_with_unknown_tasks.remove(&id.job);
                 }
             }
@@ -531,8 +533,8 @@
                 if job.placements[&id.index].len() > 1 {
                     duplicates.push(id.clone());
                 }
-            } else if let Some(places) = self.machines_with_unknown_tasks.get_mut(&id.job) {
-                places.insert(name.to_owned());
+            } else if let Some(machines) = self.machines_with_unknown_tasks.get_mut(&id.job) {
+                machines.insert(name.to_owned());
             } else {
                 self.machines_with_unknown_tasks.insert(id.job.clone(), [name.to_owned()].into());
             }
@@ -551,7 +553,7 @@
         self.jobs.get(job).map(|j| j.spec.need()).unwrap_or_default()
     }
 
-    /// Whether the store has a task's completion. A job without a live record counts as completed.
+    /// Whether the state service has a record of a task's completion. A job without a live record counts as completed.
     pub(super) fn is_stored(&self, task: &TaskId) -> bool {
         let stored = |j: &Job| -> bool { TaskSet::contains(&j.recorded_done, task.index) };
         self.jobs.get(&task.job).map_or_else(|| !self.is_live(&task.job), stored)
--- a/src/coordination/simulation/cluster_sizes.rs
+++ b/src/coordination/simulation/cluster_sizes.rs
@@ -144,7 +144,8 @@
         world.submit(JobSpec { tasks: 400, team: "green".into(), ..job });
     }
     world.run(Micros::from_secs(30));
-    let lapses = |w: &World| w.controllers.iter().flatten().map(|c| c.counters.lapses).sum::<u64>();
+    let lapses =
+        |w: &World| w.controllers.iter().flatten().map(|c| c.counters.lease_expirations).sum::<u64>();
     assert_eq!(lapses(&world), 0);
     let busy = world.workers.iter().find(|(_, w)| !w.tasks.is_empty()).unwrap().0.clone();
     world.workers.get_mut(&busy).unwrap().partitioned_until = Micros::from_secs(90);
--- a/src/coordination/simulation/former_incarnations.rs
+++ b/src/coordination/simulation/former_incarnations.rs
@@ -109,7 +109,7 @@
         let unresolved = requester.unresolved_machine_count();
         let statuses = requester.machines.values().map(|m| requester.machine_status(m)).collect();
         let former = requester.incarnation().1 - 1;
-        let late_testimony = PeerMessage::Testimony {
+        let late_testimony = PeerMessage::WitnessAnswer {
             registration: witness.1,
             requester_registration: former,
             query: u64::MAX,
--- a/src/coordination/simulation/job_combinations.rs
+++ b/src/coordination/simulation/job_combinations.rs
@@ -25,7 +25,7 @@
         record("completion keys", c.done_keys.len());
         record("unsettled ends", c.unsettled_ends.len());
         record("end waiters", c.end_waiters.len());
-        record("status acks", c.status_acks.len());
+        record("status acks", c.status_confirmations.len());
         record("read history", c.read_history.len());
         record("refused connections", c.refused_connections.len());
         record("worker failovers", c.worker_failovers.len());
--- a/src/coordination/simulation/newcomer_message_orderings.rs
+++ b/src/coordination/simulation/newcomer_message_orderings.rs
@@ -84,7 +84,7 @@
     world.store.commit(Transaction { conditions: Vec::new(), writes: vec![Write::delete(key)] });
     let testimony = |what: &SimEvent| {
         let SimEvent::ToController { node, event: Event::Peer(_, message), .. } = what else { return false };
-        *node == successor && matches!(message, PeerMessage::Testimony { .. })
+        *node == successor && matches!(message, PeerMessage::WitnessAnswer { .. })
     };
     let end = world.now + Micros::from_secs(4);
     while world.now < end {
--- a/src/coordination/simulation/not_receiving.rs
+++ b/src/coordination/simulation/not_receiving.rs
@@ -54,7 +54,7 @@
                         m.unresponsive,
                         m.resolved,
                         m.delivery.clone(),
-                        m.last_heard,
+                        m.last_received_at,
                         m.grant_seen_at,
                         c.now,
                     )
--- a/src/coordination/simulation/replaced_links.rs
+++ b/src/coordination/simulation/replaced_links.rs
@@ -83,7 +83,7 @@
         redeliver(&mut world, successor, &messages);
         let taken_for_gone = tasks_taken_for_gone(&world, successor, &started);
         statuses += count_messages(&messages, |m| matches!(m, PeerMessage::Status(_)));
-        testimonies += count_messages(&messages, |m| matches!(m, PeerMessage::Testimony { .. }));
+        testimonies += count_messages(&messages, |m| matches!(m, PeerMessage::WitnessAnswer { .. }));
         confirmations += count_messages(&messages, |m| matches!(m, PeerMessage::StatusConfirmation { .. }));
         cut_off_machines(&mut world, owner, &started);
         world.crash_for(owner, Micros::from_secs(60));
--- a/src/coordination/start_gate.rs
+++ b/src/coordination/start_gate.rs
@@ -13,15 +13,15 @@
 /// The state that decides whether a planned start may be sent now.
 pub(super) struct StartGate<'a> {
     /// All controllers that must know have confirmed the starts announced by statuses up to this number.
-    confirmed_up_to: u64,
-    in_force: ActivePermit,
+    confirmed_through: u64,
+    active_permit: ActivePermit,
     jobs: &'a SortedMap<Job>,
 }
 
 impl<'a> StartGate<'a> {
     /// Creates a gate for starts that are sent in the same step.
-    pub(super) fn new(confirmed_up_to: u64, in_force: ActivePermit, jobs: &'a SortedMap<Job>) -> Self {
-        StartGate { confirmed_up_to, in_force, jobs }
+    pub(super) fn new(confirmed_through: u64, active_permit: ActivePermit, jobs: &'a SortedMap<Job>) -> Self {
+        StartGate { confirmed_through, active_permit, jobs }
     }
 
     /// The permit under which a task's start may be sent to a machine now; none if it may not be sent.
@@ -32,7 +32,7 @@
         task: &PlacedTask,
         counters: &mut Counters,
     ) -> Option<Permit> {
-        let permit = task.startable_permit(self.confirmed_up_to, self.in_force)?;
+        let permit = task.startable_permit(self.confirmed_through, self.active_permit)?;
         if self.may_run_elsewhere(machine, id) {
             counters.starts_held_back += 1;
             let attempt = task.attempt;
@@ -49,8 +49,8 @@
 
     /// Whether a task may be on another machine than this one.
     fn may_run_elsewhere(&self, machine: &str, id: &TaskId) -> bool {
-        let places = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
-        places.is_some_and(|places| places.iter().any(|place| place != machine))
+        let machines = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
+        machines.is_some_and(|machines| machines.iter().any(|other| other != machine))
     }
 }
 
@@ -58,8 +58,8 @@
     /// Drops the planned starts of tasks that turned out to be on other machines too.
     pub(super) fn drop_duplicate_starts(&mut self, tasks: &[TaskId]) {
         for id in tasks {
-            let places = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
-            for name in places.cloned().unwrap_or_default() {
+            let machines = self.jobs.get(&id.job).and_then(|job| job.placements.get(&id.index));
+            for name in machines.cloned().unwrap_or_default() {
                 self.drop_planned_starts(&name, |task| task == id);
             }
         }
--- a/src/coordination/worker_lease_expiry.rs
+++ b/src/coordination/worker_lease_expiry.rs
@@ -20,10 +20,11 @@
         let silence = self.worker_lease + self.worker_lease.mul_f64(CLOCK_DRIFT) + LEASE_SLACK + LEASE_SLACK;
         let min_applied = self.min_revision_of_others();
         let (now, followed) = (self.now, self.replica_as_of);
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
-        let mut lapsed = Vec::new();
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
+        let mut expired = Vec::new();
         for (name, machine) in &mut self.machines {
-            let is_own = machine.row.registration == stamp && machine.row.owner == self.settings.member;
+            let is_own =
+                machine.row.registration == registration && machine.row.owner == self.settings.member;
             if !is_own || machine.resolved && machine.tasks.is_empty() {
                 continue;
             }
@@ -42,25 +43,25 @@
                 last_renewal = last_renewal.max(sole_owner_since);
             }
             // Another controller may have been granted the machine, and have answered it, after the state that this
-            // controller last read from the store. So the silence is counted only up to that read.
+            // controller last read from the state service. So the silence is counted only up to that read.
             if followed.since(last_renewal) > silence {
-                lapsed.push(name.clone());
+                expired.push(name.clone());
             }
         }
-        if lapsed.is_empty() {
+        if expired.is_empty() {
             return;
         }
-        for name in lapsed {
-            self.counters.lapses += 1;
+        for name in expired {
+            self.counters.lease_expirations += 1;
             tracing::info!(machine = name, "worker lease expired, removing its tasks");
             // Planned starts have not been sent, so they can be planned again in the next session.
             self.replace_tasks(&name, BTreeMap::new(), RemovalGround::LeaseExpired);
-            self.machine_knowledge.holder_reported(&name, &self.incarnation(), true);
+            self.machine_knowledge.owner_reported(&name, &self.incarnation(), true);
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.resolved = true;
                 machine.ever_resolved = true;
                 // Late reports of the ended session are ignored.
-                if machine.last_heard.is_some() {
+                if machine.last_received_at.is_some() {
                     machine.session += 1;
                     machine.session_seen_at = None;
                     machine.tally = 0;
@@ -81,9 +82,9 @@
         }
         let others = self.registrations.iter().filter(|(member, _)| *member != self.own_name());
         others
-            .map(|(member, node)| {
+            .map(|(member, registration)| {
                 let status = self.peers.get(member)?.status.as_ref()?;
-                (status.registration == *node).then_some(status.applied_revision)
+                (status.registration == *registration).then_some(status.applied_revision)
             })
             .try_fold(u64::MAX, |least, applied| Some(least.min(applied?)))
     }
