--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -107,12 +107,15 @@
 impl Controller {
     /// Starts or ends this controller's leadership after a change of the leader record.
     pub(super) fn leadership_changed(&mut self) {
-        let stamp = self.lease.as_ref().map_or(0, |l| l.registration);
-        let mine = self.leader.as_ref().is_some_and(|l| l.0 == self.own_name() && l.1 == stamp && stamp != 0);
+        let registration = self.lease.as_ref().map_or(0, |l| l.registration);
+        let mine = self
+            .leader
+            .as_ref()
+            .is_some_and(|l| l.0 == self.own_name() && l.1 == registration && registration != 0);
         if mine && self.leader_state.is_none() {
             tracing::info!("became leader");
-            let stamp = self.leader.as_ref().map_or(0, |l| l.2);
-            let planner = Some(Planner::new(self.now, stamp, self.leased_rates()));
+            let leader_revision = self.leader.as_ref().map_or(0, |l| l.2);
+            let planner = Some(Planner::new(self.now, leader_revision, self.leased_rates()));
             self.leader_state = Some(LeaderState { since: self.now, planner, ..Default::default() });
             self.volumes_received_at = self.now;
             self.resume_rentals();
@@ -216,7 +219,7 @@
     ) -> bool {
         let max_ops = self.settings.params.state.txn_ops;
         let value_limit = ((self.settings.params.state.value_kb * 1024.0) as usize - 64).min(MAX_GRANT_BYTES);
-        let Some(leader_stamp) = self.leader.as_ref().map(|l| l.2) else { return false };
+        let Some(leader_revision) = self.leader.as_ref().map(|l| l.2) else { return false };
         // One grant at a time, and an update of the view takes precedence: on a large fleet there is always a
         // machine to return, and a controller that had registered again waited 1.4 s for its view behind such grants.
         if self.leader_state.as_ref().is_none_or(|l| l.grant_in_flight)
@@ -297,14 +300,14 @@
         }
         let mut transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER_KEY, leader_stamp),
+                Condition::new(records::LEADER_KEY, leader_revision),
                 self.registration_condition(),
             ],
             writes: Vec::new(),
         };
         for n in changed {
-            let stamp = self.shards.get(&n).map_or(0, |s| s.1);
-            transaction.conditions.push(Condition::new(records::block_key(n), stamp));
+            let revision = self.shards.get(&n).map_or(0, |s| s.1);
+            transaction.conditions.push(Condition::new(records::block_key(n), revision));
             if let Ok(value) = blocks::encode(&shards[&n]) {
                 transaction.writes.push(Write::put(records::block_key(n), value));
             }
@@ -343,7 +346,7 @@
     pub(super) fn handle_grant_reply(&mut self, reply: StoreReply) {
         let granted = matches!(reply, StoreReply::Committed { .. });
         self.counters.grant_conflicts += u64::from(!granted);
-        // The next grant is computed from the replica, so the store's changes are requested at once.
+        // The next grant is computed from the replica, so the state service's changes are requested at once.
         self.next_follow_at = self.next_follow_at.map(|_| self.now);
         if let Some(lead) = &mut self.leader_state {
             lead.grant_in_flight = false;
@@ -364,7 +367,7 @@
             && self.owner_is_registered(machine)
             && machine.up
             && !machine.unresponsive
-            && self.seconds_unheard(machine) < 10
+            && self.seconds_silent(machine) < 10
     }
 
     /// Logs a summary of the deployment for operators.
@@ -487,7 +490,7 @@
     }
 
     /// Chooses the machines on which room is kept for classes that must start sooner than a machine boots, as pairs
-    /// of machine and class: those that fetch images fastest, of which enough is free or held by tasks of lower
+    /// of machine and class: those that fetch images fastest, of which enough is free or used by tasks of lower
     /// priority.
     fn choose_fast_start_machines(&self) -> Vec<(String, String)> {
         let mut kept: Vec<(String, String)> = Vec::new();
@@ -528,16 +531,22 @@
     }
 
     /// The last status that a member sent under its present registration, if any.
-    pub(super) fn status_of(&self, member: &str, node: u64) -> Option<&crate::protocol::peer::Status> {
-        self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == node)
+    pub(super) fn status_of(
+        &self,
+        member: &str,
+        registration: u64,
+    ) -> Option<&crate::protocol::peer::Status> {
+        self.peers.get(member).and_then(|p| p.status.as_ref()).filter(|s| s.registration == registration)
     }
 
-    /// Whether every registered controller is known to have applied the store's changes up to this revision.
+    /// Whether every registered controller is known to have applied the state service's changes up to this revision.
     pub(super) fn all_controllers_applied(&self, revision: u64) -> bool {
-        let applied = |m: &str, node| self.status_of(m, node).is_some_and(|s| s.applied_revision >= revision);
-        self.registrations
-            .iter()
-            .all(|(m, node)| (m == self.own_name() && self.applied_revision >= revision) || applied(m, *node))
+        let applied = |m: &str, registration| {
+            self.status_of(m, registration).is_some_and(|s| s.applied_revision >= revision)
+        };
+        self.registrations.iter().all(|(m, registration)| {
+            (m == self.own_name() && self.applied_revision >= revision) || applied(m, *registration)
+        })
     }
 
     /// Deletes a batch of completion records whose jobs have ended.
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -3,7 +3,7 @@
 //!
 //! One lease of the state service carries both the registration and, for the leader, the leadership. A machine's
 //! grant is valid for as long as the registration that it was made to, so the lease covers the grants as well, and
-//! renewing it takes no write to the store.
+//! renewing it takes no write to the state service.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 
 /// How long a worker's failover from its owner to another controller counts as evidence against the owner.
 const FAILOVER_WINDOW: Micros = Micros::from_secs(5);
-/// How long a worker that was redirected to an unresponsive owner may take to report here again.
+/// How long a worker may take to report here again after it was redirected to an owner that does not answer it.
 const REDIRECT_RETURN_WINDOW: Micros = Micros::from_secs(10);
 /// How long a controller that does not refuse connections may be silent before it is suspected.
 const SILENCE_TIMEOUT: Micros = Micros::from_secs(4);
@@ -23,13 +23,13 @@
 const PAUSE_THRESHOLD: Micros = Micros::from_millis(1_500);
 /// Delay before a failed renewal of the lease is repeated.
 const RENEW_RETRY_DELAY: Micros = Micros::from_millis(400);
-/// How long the store holds a request for changes open if there are none. The replica's age is counted from the last
-/// answered request, so the hold must be short enough that a store without changes does not make the replica seem
-/// older than the last renewal.
+/// How long the state service keeps a request for changes open if there are none. The replica's age is counted from the
+/// last answered request, so the hold must be short enough that a state service without changes does not make the
+/// replica seem older than the last renewal.
 const WATCH_HOLD: Micros = Micros::from_secs(1);
 
 impl Controller {
-    /// Registers if necessary, renews the lease, follows the store's changes, and elects or evicts controllers.
+    /// Registers if necessary, renews the lease, follows the state service's changes, and elects or evicts controllers.
     pub(super) fn membership_tick(&mut self) {
         match self.phase {
             Phase::Unregistered if self.join_backoff.ready(self.now) => {
@@ -123,7 +123,7 @@
     pub(super) fn suspects(&self) -> Vec<String> {
         let short_silence = Micros::from_millis(1_200);
         let silent =
-            |m: &String| self.peers.get(m).is_none_or(|p| self.now.since(p.last_heard) > short_silence);
+            |m: &String| self.peers.get(m).is_none_or(|p| self.now.since(p.last_received_at) > short_silence);
         let refused = self
             .refused_connections
             .iter()
@@ -132,15 +132,15 @@
             .map(|(m, _)| m.clone())
             .filter(|m| self.registrations.contains_key(m) && silent(m))
             .collect();
-        let timed_out = self.registrations.iter().filter(|(member, node)| {
+        let timed_out = self.registrations.iter().filter(|(member, registration)| {
             // A controller that has just registered may take long to load the records before its first status.
-            let heard = self
+            let peer = self
                 .peers
                 .get(*member)
-                .filter(|p| p.status.as_ref().is_some_and(|s| s.registration == **node));
-            let heard_at = heard.map(|p| p.last_heard.max(self.resumed_at));
+                .filter(|p| p.status.as_ref().is_some_and(|s| s.registration == **registration));
+            let last_message_at = peer.map(|p| p.last_received_at.max(self.resumed_at));
             **member != self.settings.member
-                && heard_at.is_some_and(|at| self.now.since(at) > SILENCE_TIMEOUT)
+                && last_message_at.is_some_and(|at| self.now.since(at) > SILENCE_TIMEOUT)
         });
         for (member, _) in timed_out {
             if !suspects.contains(member) {
@@ -205,7 +205,8 @@
         let others = || self.registrations.keys().filter(|m| !suspects.contains(*m));
         let other_statuses = || {
             others().filter(|m| **m != me).map(|m| {
-                let peer = self.peers.get(m).filter(|p| self.now.since(p.last_heard) < Micros::from_secs(3));
+                let peer =
+                    self.peers.get(m).filter(|p| self.now.since(p.last_received_at) < Micros::from_secs(3));
                 peer.and_then(|p| p.status.as_ref())
             })
         };
@@ -218,7 +219,7 @@
         let min_interval = Micros::from_secs(30);
         let not_recently_evicted =
             |m: &String| self.evictions.get(m).is_none_or(|(at, _)| self.now.since(*at) > min_interval);
-        let Some((leader, _, leader_stamp)) = self.leader.clone() else { return };
+        let Some((leader, _, leader_revision)) = self.leader.clone() else { return };
         // The leader evicts. If it is a suspect itself, the first of the other members evicts it and takes over.
         let takes_over = suspects.contains(&leader);
         if if takes_over { others().next() != Some(&me) } else { leader != me } {
@@ -232,16 +233,18 @@
         let Some(member) = candidate.filter(|m| not_recently_evicted(m) && agreed(m)).cloned() else {
             return;
         };
-        let (Some(node), Some(lease)) = (self.registrations.get(&member), &self.lease) else { return };
+        let (Some(registration), Some(lease)) = (self.registrations.get(&member), &self.lease) else {
+            return;
+        };
         let mut transaction = Transaction {
             conditions: vec![
-                Condition::new(records::LEADER_KEY, leader_stamp),
-                Condition::new(records::registration_key(&member), *node),
+                Condition::new(records::LEADER_KEY, leader_revision),
+                Condition::new(records::registration_key(&member), *registration),
                 self.registration_condition(),
             ],
             writes: vec![
                 Write::delete(records::registration_key(&member)),
-                Write::put(records::eviction_key(&member), (*node).into()),
+                Write::put(records::eviction_key(&member), (*registration).into()),
             ],
         };
         if takes_over {
@@ -256,9 +259,9 @@
 
     /// The condition that every transaction of this controller carries: its registration is still in force.
     pub(super) fn registration_condition(&self) -> Condition {
-        // No registration has this stamp. Without a registration every transaction fails.
-        let stamp = self.lease.as_ref().map_or(u64::MAX >> 1, |l| l.registration);
-        Condition::new(records::registration_key(self.own_name()), stamp)
+        // No registration record has this revision. Without a registration every transaction fails.
+        let registration = self.lease.as_ref().map_or(u64::MAX >> 1, |l| l.registration);
+        Condition::new(records::registration_key(self.own_name()), registration)
     }
 
     /// Handles replies to the calls of registration, loading, renewal, election and eviction.
@@ -404,8 +407,8 @@
 
     /// Tells users who asked about live jobs to retry later.
     fn defer_polls(&mut self, polls: Vec<super::JobQuery>) {
-        for question in polls {
-            self.answer(question.request, super::Answer::RetryLater(1));
+        for query in polls {
+            self.answer(query.request, super::Answer::RetryLater(1));
         }
     }
 }
--- a/src/coordination/simulation/asking.rs
+++ b/src/coordination/simulation/query_load.rs
@@ -1,11 +1,14 @@
-//! Users who ask far more often than anything changes.
+//! Users who send requests far more often than the states of their jobs change.
 
 use super::*;
 
-/// How long, from an end of all controllers on, the longest time without an answered question is, in seconds, with
-/// this many jobs that are over, and how many requests the store has had for it.
-fn after_an_end_of_all(seed: u64, jobs: u32) -> (f64, u64) {
-    let mut world = World::sized(seed, Trouble::default(), Size { controllers: 3, machines: 24 });
+/// Restarts all controllers once the given number of jobs has ended.
+///
+/// Returns the longest time, in seconds, for which no request about some job was answered, and the number of requests
+/// that the store received meanwhile.
+fn longest_unanswered_after_restart(seed: u64, jobs: u32) -> (f64, u64) {
+    let mut world =
+        World::with_size(seed, FaultProfile::default(), ClusterSize { controllers: 3, machines: 24 });
     for _ in 0..24 {
         world.add_machine("c16", "east", false);
     }
@@ -19,24 +22,26 @@
         }
     }
     world.run(world.now + Micros::from_secs(120));
-    assert!(world.jobs.values().all(|w| w.told_final.is_some()), "seed {seed}: not all are over");
+    assert!(world.jobs.values().all(|w| w.known_final.is_some()), "seed {seed}: not all jobs have ended");
     let (from, calls) = (world.now, world.store_calls);
     (0..3).for_each(|n| world.crash_for(n, Micros::from_millis(300)));
     let mut longest = Micros::ZERO;
     for _ in 0..60 {
         world.run(world.now + Micros::from_secs(1));
-        let waits = world.jobs.values().map(|w| world.now.since(w.answered.max(from)));
+        let waits = world.jobs.values().map(|w| world.now.since(w.last_answered_at.max(from)));
         longest = longest.max(waits.max().unwrap_or_default());
     }
     (longest.as_secs_f64(), world.store_calls - calls)
 }
 
-/// Guards questions about jobs that are over against an end of all controllers, after which none of them has a final
-/// state in memory: one by one each would cost two requests at each controller.
+/// Guards against slow answers about ended jobs after a crash of all controllers.
+///
+/// None of them has a final state in memory then, and looking the jobs up one by one would cost two requests per job at
+/// each controller.
 #[test]
-fn after_an_end_of_all_every_question_is_answered_soon() {
+fn after_a_crash_of_all_controllers_every_request_is_answered_soon() {
     for seed in 0..2 {
-        let (longest, calls) = after_an_end_of_all(seed, 600);
+        let (longest, calls) = longest_unanswered_after_restart(seed, 600);
         eprintln!("longest {longest} s without an answer, {calls} calls");
         assert!(longest <= 20.0, "seed {seed}: {longest} s without an answer");
     }
--- a/src/coordination/user_requests.rs
+++ b/src/coordination/user_requests.rs
@@ -47,9 +47,9 @@
     }
 
     /// Answers with the job's final state if it is known. Returns whether it is.
-    fn answer_if_ended(&mut self, question: &JobQuery) -> bool {
-        let Some((state, tasks)) = self.final_states.get(&question.job) else { return false };
-        self.answer_end(question.request, &question.job, state, tasks, question.deadline);
+    fn answer_if_ended(&mut self, query: &JobQuery) -> bool {
+        let Some((state, tasks)) = self.final_states.get(&query.job) else { return false };
+        self.answer_end(query.request, &query.job, state, tasks, query.deadline);
         true
     }
 
@@ -69,7 +69,7 @@
             tracing::debug!(job = spec.id, why, "rejected: the job can never run");
             // If another controller has accepted the job, it must not be rejected here, even if settings have changed.
             if self.accepts_reads() {
-                return self.look_up_live(query, LookupGoal::Refusal(why));
+                return self.look_up_live(query, LookupGoal::Rejection(why));
             }
             return self.answer(request, Answer::RetryLater(1));
         }
@@ -81,8 +81,8 @@
             return self.answer(request, Answer::Rejected("the description is too long to keep"));
         }
         let capacity = self.capacity();
-        let verdict = self.submission_limiter.decide(self.now, &spec.id, &spec.team, &spec.class, capacity);
-        if let SubmissionDecision::RetryLater(reason, wait) = verdict {
+        let decision = self.submission_limiter.decide(self.now, &spec.id, &spec.team, &spec.class, capacity);
+        if let SubmissionDecision::RetryLater(reason, wait) = decision {
             tracing::debug!(job = spec.id, class = spec.class, ?reason, "submission deferred");
             let seconds = (wait.as_secs_f64().ceil() as u32).clamp(1, 30);
             return self.answer(request, Answer::RetryLater(seconds));
@@ -186,7 +186,7 @@
             .max_by_key(|i| (self.submission_limiter.first_asked(self.now, &self.pending_polls[*i].job), *i));
         if let Some(i) = newest {
             let JobQuery { request, job, .. } = self.pending_polls.swap_remove(i);
-            self.submission_limiter.query_rejected(self.now, &job);
+            self.submission_limiter.query_deferred(self.now, &job);
             self.answer(request, Answer::RetryLater(1));
         }
     }
@@ -236,7 +236,7 @@
                 // A failed transaction shows nothing about the jobs that it does not name; they are checked again.
                 StoreReply::Conflict { .. } => self.pending_polls.push(query),
                 _ => {
-                    self.submission_limiter.query_rejected(self.now, &query.job);
+                    self.submission_limiter.query_deferred(self.now, &query.job);
                     self.answer(query.request, Answer::RetryLater(1));
                 }
             }
@@ -262,7 +262,7 @@
         self.enqueue_store_call(urgency, Purpose::LookUpLive { query, goal }, StoreCall::Get { key });
     }
 
-    /// Reads a job's final record. `missing` tells what it means if there is none.
+    /// Reads a job's final record. `if_not_found` selects the answer if there is none.
     fn look_up_final(&mut self, query: JobQuery, if_not_found: IfNotFound) {
         let key = records::final_state_key(&query.job);
         self.enqueue_store_call(
@@ -336,7 +336,7 @@
                 // 404.
                 IfNotFound::NeverAccepted { as_of, goal } if self.is_recent(as_of) => {
                     let answer = match goal {
-                        LookupGoal::Refusal(why) => Answer::Rejected(why),
+                        LookupGoal::Rejection(why) => Answer::Rejected(why),
                         _ => Answer::NotFound,
                     };
                     self.answer(query.request, answer);
@@ -398,9 +398,9 @@
                 running: 0,
             };
         };
-        let running = job.placements.iter().filter(|(index, places)| {
+        let running = job.placements.iter().filter(|(index, machines)| {
             let task = crate::protocol::worker::TaskId::new(id, **index);
-            let mut tasks = places.iter().filter_map(|m| self.machines.get(m)?.tasks.get(&task));
+            let mut tasks = machines.iter().filter_map(|m| self.machines.get(m)?.tasks.get(&task));
             tasks.any(|t| t.state == TaskState::Running && t.pending.is_none())
         });
         let running = running.count() as u32;
--- a/src/coordination/worker_reports.rs
+++ b/src/coordination/worker_reports.rs
@@ -20,7 +20,7 @@
 /// considers at most so many tasks for stops and for starts. With the longest ids so many orders stay far below 64 KiB.
 pub(super) const MAX_ORDERS: usize = 300;
 
-/// How long after a grant a worker may still report to a controller that does not hold it.
+/// How long after a grant a worker may still report to a controller that does not own it.
 const OWNER_DISCOVERY_GRACE: Micros = Micros::from_secs(10);
 
 impl Controller {
@@ -53,7 +53,8 @@
             return self.answer(request, Answer::RetryLater(1));
         }
         if !self.owns(machine) {
-            // Redirecting a worker to a controller that is no longer registered would only make it go round in circles.
+            // Redirecting a worker to a controller that is no longer registered would only make it try every controller
+            // again.
             let owner = machine.row.owner.clone();
             let owner_registered =
                 owner != self.own_name() && self.registrations.get(&owner) == Some(&machine.row.registration);
@@ -82,7 +83,7 @@
         }
         if let Some(machine) = self.machines.get_mut(&name) {
             machine.last_report_tally = tally;
-            machine.last_heard = Some(self.now);
+            machine.last_received_at = Some(self.now);
             machine.unresponsive = machine.delivery.is_not_receiving();
         }
         if self.is_abandoned_as_not_receiving(&name) {
@@ -158,7 +159,7 @@
         let mut ended = Vec::new();
         let Some(machine) = self.machines.get(&name) else { return };
         let was_idle = machine.idle();
-        let was_ready = machine.last_heard.is_some();
+        let was_ready = machine.last_received_at.is_some();
         // Until the worker has seen the current token, its report may be older than the known state, and orders of a
         // former owner may still arrive.
         let fenced = report.token >= machine.row.token;
@@ -188,9 +189,9 @@
             tasks.insert(id, on);
         }
         // A task that the message does not show may still be started by an order in transit.
-        let heard = WorkerMessage { session: report.session, token: report.token, direct };
+        let message = WorkerMessage { session: report.session, token: report.token, direct };
         for (id, t) in &machine.tasks {
-            if !fenced || t.pending.is_some_and(|pending| pending.may_arrive(heard)) {
+            if !fenced || t.pending.is_some_and(|pending| pending.may_arrive(message)) {
                 tasks.entry(id.clone()).or_insert_with(|| t.clone());
             }
         }
@@ -214,7 +215,7 @@
         if !report.addr.is_empty() {
             machine.addr = report.addr;
         }
-        machine.last_heard = machine.last_heard.filter(|_| direct).or(Some(now));
+        machine.last_received_at = machine.last_received_at.filter(|_| direct).or(Some(now));
         machine.up = true;
         machine.unresponsive = machine.delivery.is_not_receiving();
         machine.preemption_notice = noticed;
@@ -235,7 +236,7 @@
             self.handle_task_end(&name, &task, cause);
         }
         if newly_resolved {
-            self.machine_knowledge.holder_reported(&name, &self.incarnation(), true);
+            self.machine_knowledge.owner_reported(&name, &self.incarnation(), true);
             self.check_takeover();
         }
         if state_changed || newly_resolved {
@@ -293,7 +294,7 @@
             .unwrap_or_default();
         self.drop_planned_starts(name, |id| unwanted.contains(id));
         self.drop_disowned_starts(name);
-        self.cancel_unpermitted_starts(name);
+        self.drop_unpermitted_starts(name);
         let live: BTreeMap<String, bool> = self
             .machines
             .get(name)
@@ -379,7 +380,7 @@
         proof.answer(machine.row.token, orders)
     }
 
-    /// Whether the store has a live record of a job, even one that this version cannot read.
+    /// Whether the state service has a live record of a job, even one that this version cannot read.
     pub(super) fn is_live(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
             || !self.unreadable_keys.is_empty() && self.unreadable_keys.contains(&records::live_job_key(job))
@@ -405,7 +406,7 @@
         }
     }
 
-    /// Marks a task to be stopped, with `grace` to save its state, if this controller holds its machine.
+    /// Marks a task to be stopped, with `grace` to save its state, if this controller owns its machine.
     pub(super) fn request_stop(&mut self, name: &str, task: &TaskId, attempt: u64, grace: Micros) {
         if let Some(machine) = self.machines.get(name)
             && self.owns(machine)
@@ -418,7 +419,7 @@
         }
     }
 
-    /// Stop requests for tasks of this controller's jobs on machines that other controllers hold. Sent with each status
+    /// Stop requests for tasks of this controller's jobs on machines that other controllers own. Sent with each status
     /// for as long as the tasks are there.
     pub(super) fn take_peer_stop_requests(&mut self) -> Vec<StopRequest> {
         let mut stops = Vec::new();
@@ -445,9 +446,9 @@
     }
 
     /// Seconds since a machine's owner last received a message from it.
-    pub(super) fn seconds_unheard(&self, machine: &Machine) -> u32 {
+    pub(super) fn seconds_silent(&self, machine: &Machine) -> u32 {
         if self.owns(machine) {
-            self.now.since(machine.last_heard.unwrap_or(machine.known_since)).as_secs_f64() as u32
+            self.now.since(machine.last_received_at.unwrap_or(machine.known_since)).as_secs_f64() as u32
         } else {
             machine.silent_since.map_or(0, |at| self.now.since(at).as_secs_f64() as u32)
         }
@@ -469,14 +470,14 @@
         if self.leader_state.is_some() {
             self.note_misdirected_report(machine.to_owned(), me);
         } else if let Some((leader, ..)) = &self.leader {
-            let heard = PeerMessage::MisdirectedReport { machine: machine.to_owned() };
-            self.effects.push(Effect::Send(Some(leader.clone()), heard));
+            let message = PeerMessage::MisdirectedReport { machine: machine.to_owned() };
+            self.effects.push(Effect::Send(Some(leader.clone()), message));
         }
     }
 
     /// Tells the leader that a machine has reported which is in no block, or has no owner.
     fn notify_leader_of_unrecorded_machine(&mut self, report: Report) {
-        let stray = PeerMessage::UnrecordedMachine {
+        let message = PeerMessage::UnrecordedMachine {
             machine: report.machine.clone(),
             kind: report.kind.clone(),
             zone: report.zone.clone(),
@@ -485,7 +486,7 @@
         if self.leader_state.is_some() {
             self.note_unrecorded_machine(report.machine, report.kind, report.zone, report.spot);
         } else if let Some((leader, ..)) = &self.leader {
-            self.effects.push(Effect::Send(Some(leader.clone()), stray));
+            self.effects.push(Effect::Send(Some(leader.clone()), message));
         }
     }
 }
